--- a/crates/core/benches/places.rs
+++ b/crates/core/benches/places.rs
@@ -24,7 +24,7 @@
 use curlewlift_core::gateway::Want;
 use curlewlift_core::gateway::Wanted;
 use curlewlift_core::id;
-use curlewlift_core::limit::Words;
+use curlewlift_core::limit::Reports;
 use curlewlift_core::quarantine::Identity;
 use curlewlift_core::unit::Tokens;
 
@@ -134,7 +134,7 @@
             loads: loads.collect(),
             ends: Vec::new(),
             observed: Vec::new(),
-            limits: Words::default(),
+            limits: Reports::default(),
         };
         self.hub.report(&report, self.now);
     }
--- a/crates/core/src/gateway/grant.rs
+++ b/crates/core/src/gateway/grant.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 use crate::id;
-use crate::limit::Words;
+use crate::limit::Reports;
 use crate::pool::End;
 use crate::quarantine::Identity;
 use crate::quarantine::Observation;
@@ -141,5 +141,5 @@
     /// What it has to tell of requests under which servers ended.
     pub observed: Vec<Observation>,
     /// What it has to tell of limits that servers name.
-    pub limits: Words,
+    pub limits: Reports,
 }
--- a/crates/core/src/gateway/limits.rs
+++ b/crates/core/src/gateway/limits.rs
@@ -4,14 +4,14 @@
 
 use crate::clock::Instant;
 use crate::id;
-use crate::limit::Words;
+use crate::limit::Reports;
 
 use super::Hub;
 
 /// # Limits
 impl Hub {
     /// Takes note of what a gateway tells of limits.
-    pub(super) fn hear_limits(&mut self, host: &id::Host, words: &Words, now: Instant) {
+    pub(super) fn hear_limits(&mut self, host: &id::Host, words: &Reports, now: Instant) {
         let last = self.dispatcher.last_grant();
         let changes = self.limits.hear(host, words, last, now);
         self.dispatcher.limit(changes.into_iter(), now);
--- a/crates/core/src/gateway/sync.rs
+++ b/crates/core/src/gateway/sync.rs
@@ -90,7 +90,7 @@
     /// What it has to tell of requests under which servers ended.
     pub observed: Vec<quarantine::Observation>,
     /// What it has to tell of limits that servers name.
-    pub limits: limit::Words,
+    pub limits: limit::Reports,
     /// The hub by whose table of limits it goes, and the version of that.
     pub limits_held: (u64, u64),
     /// The whole list, where this gateway is the one that fetches it and the hub held another.
@@ -107,7 +107,7 @@
     /// What is new of the requests in quarantine.
     pub quarantine: Option<quarantine::News>,
     /// What is new of the limits that servers name.
-    pub limits: Option<limit::News>,
+    pub limits: Option<limit::Update>,
     /// The number of the table in force.
     pub newest: u64,
     /// That table, where the asker does not know of it and it is small.
--- a/crates/core/src/limit/said.rs
+++ b/crates/core/src/limit/announcement.rs
@@ -4,7 +4,7 @@
 
 /// What one answer says of the limit of the server that gave it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub enum Said {
+pub enum Announcement {
     /// It names none.
     #[default]
     Nothing,
--- a/crates/core/src/limit/ledger.rs
+++ b/crates/core/src/limit/limiter.rs
@@ -85,9 +85,9 @@
 /// One is kept by whoever gives out places, and each place is drawn before it is given: in any time a server gets no
 /// more than it names, and what it holds at once. An account begins empty, as a hub does not know what the one before
 /// it gave: so all hubs one after the other give no more than one would. Without the hub's word nothing is drawn
-/// ([`Ledger::closed`]).
+/// ([`RateLimiter::closed`]).
 #[derive(Clone, Debug)]
-pub struct Ledger {
+pub struct RateLimiter {
     /// By what servers call themselves.
     accounts: HashMap<Arc<str>, Account>,
     /// Whether places are drawn here.
@@ -96,7 +96,7 @@
     warmup: Option<(Warmup, Instant)>,
 }
 
-impl Ledger {
+impl RateLimiter {
     /// The ledger of whoever gives out places for all.
     #[must_use]
     pub fn giving() -> Self {
--- a/crates/core/src/limit/local.rs
+++ b/crates/core/src/limit/local.rs
@@ -10,14 +10,14 @@
 use crate::gateway::Server;
 use crate::id;
 
+use super::Announcement;
 use super::Change;
 use super::Key;
 use super::Limit;
-use super::News;
 use super::Rate;
-use super::Said;
-use super::Word;
-use super::Words;
+use super::Report;
+use super::Reports;
+use super::Update;
 
 /// The most servers of which is remembered that they named something odd.
 const MOST_ODD: usize = 256;
@@ -32,17 +32,17 @@
 /// A word that the hub has not acknowledged, and when it was heard.
 #[derive(Clone, Debug)]
 struct Untold {
-    word: Word,
+    word: Report,
     heard: Instant,
 }
 
 /// What a gateway knows of the limits that servers name: what the hub told, and what answers said since.
 ///
 /// A word is told until the hub has acknowledged it, and what a hub knew is told to the next one. A place at a server
-/// with a limit that its hub did not know of is not taken up ([`Local::closes`]). Only the hub lifts a limit, as it
+/// with a limit that its hub did not know of is not taken up ([`LocalReports::closes`]). Only the hub lifts a limit, as it
 /// alone can tell which of the answers of all gateways is the newer one.
 #[derive(Clone, Debug, Default)]
-pub struct Local {
+pub struct LocalReports {
     life: u64,
     /// The hub that it goes by, and the version of its table.
     held: (u64, u64),
@@ -58,7 +58,7 @@
     odd: BTreeSet<Key>,
 }
 
-impl Local {
+impl LocalReports {
     /// Knows nothing yet; `life` is drawn anew by each process.
     #[must_use]
     pub fn new(life: u64) -> Self {
@@ -73,24 +73,24 @@
     pub fn hear(
         &mut self,
         server: &Server,
-        said: &Said,
+        said: &Announcement,
         mark: Mark,
         sent: Instant,
         now: Instant,
-    ) -> Option<Said> {
+    ) -> Option<Announcement> {
         let key = Key::of(server);
         let known = self.get(&key);
-        if let Said::Named(rate) = said {
+        if let Announcement::Named(rate) = said {
             self.named.retain(|_, (_, at)| now.since(*at) < NAMED_LATE);
             self.named.insert(key.clone(), (*rate, now));
         }
         let rate = match said {
-            Said::Named(rate) => Some(*rate),
-            Said::Nothing if known.is_some() => None,
-            Said::Nothing => return None,
-            Said::Odd(_) => return self.odd(key).then(|| said.clone()),
+            Announcement::Named(rate) => Some(*rate),
+            Announcement::Nothing if known.is_some() => None,
+            Announcement::Nothing => return None,
+            Announcement::Odd(_) => return self.odd(key).then(|| said.clone()),
         };
-        let word = Word {
+        let word = Report {
             number: 0,
             key,
             rate,
@@ -165,7 +165,7 @@
 
     /// Keeps a limit to be told, of which nothing says how new it is.
     fn note_limit(&mut self, key: Key, rate: Rate, now: Instant) {
-        let word = Word {
+        let word = Report {
             number: 0,
             key,
             rate: Some(rate),
@@ -175,7 +175,7 @@
     }
 
     /// Keeps a word to be told, with what of a former one still counts.
-    fn note(&mut self, mut word: Word, sent: Instant, now: Instant) {
+    fn note(&mut self, mut word: Report, sent: Instant, now: Instant) {
         let former = self.untold.get(&word.key);
         // Of two that may have been said in either order the one that allows less counts.
         let unordered = former.filter(|former| sent < former.heard);
@@ -233,9 +233,9 @@
 
     /// What the hub has not acknowledged.
     #[must_use]
-    pub fn words(&self) -> Words {
+    pub fn words(&self) -> Reports {
         let words = self.untold.values().map(|untold| untold.word.clone());
-        Words {
+        Reports {
             life: self.life,
             words: words.collect(),
         }
@@ -249,7 +249,13 @@
 
     /// The hub `hub` has answered, was told all up to the word `upto`, and has `news`; gives the servers of which
     /// something may have changed here.
-    pub fn heard(&mut self, hub: u64, upto: u64, news: Option<&News>, now: Instant) -> Vec<Change> {
+    pub fn heard(
+        &mut self,
+        hub: u64,
+        upto: u64,
+        news: Option<&Update>,
+        now: Instant,
+    ) -> Vec<Change> {
         let is_other = hub != self.held.0;
         let former = if is_other {
             std::mem::take(&mut self.table)
@@ -302,7 +308,7 @@
     }
 
     /// Takes up what is new of the hub's table; news that start from another version than is held change nothing.
-    fn take(&mut self, news: &News) -> BTreeSet<Key> {
+    fn take(&mut self, news: &Update) -> BTreeSet<Key> {
         let mut changed = BTreeSet::new();
         match news.former {
             Some(former) if former != self.held.1 => return changed,
--- a/crates/core/src/limit/rate.rs
+++ b/crates/core/src/limit/rate.rs
@@ -25,7 +25,7 @@
 
 /// A text that is no rate.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OddRate(pub String);
+pub struct InvalidRate(pub String);
 
 impl Rate {
     /// The number of requests a second.
@@ -36,12 +36,12 @@
 }
 
 impl FromStr for Rate {
-    type Err = OddRate;
+    type Err = InvalidRate;
 
-    fn from_str(text: &str) -> Result<Self, OddRate> {
+    fn from_str(text: &str) -> Result<Self, InvalidRate> {
         let number: Option<f64> = text.trim().parse().ok();
         let number = number.filter(|number| number.is_finite() && *number >= 0.0);
-        number.map(Self).ok_or_else(|| OddRate(text.to_owned()))
+        number.map(Self).ok_or_else(|| InvalidRate(text.to_owned()))
     }
 }
 
@@ -51,10 +51,10 @@
     }
 }
 
-impl fmt::Display for OddRate {
+impl fmt::Display for InvalidRate {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "`{}` is no number of requests a second", self.0)
     }
 }
 
-impl Error for OddRate {}
+impl Error for InvalidRate {}
--- a/crates/core/src/limit/word.rs
+++ b/crates/core/src/limit/report.rs
@@ -36,7 +36,7 @@
 
 /// What an answer said of its server's limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Word {
+pub struct Report {
     /// Rises with each word of a gateway.
     pub number: u64,
     /// The server.
@@ -49,9 +49,9 @@
 
 /// What a gateway has to tell that its hub has not acknowledged.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Words {
+pub struct Reports {
     /// Drawn when the gateway began: its numbers begin anew with it.
     pub life: u64,
     /// The words, in any order.
-    pub words: Vec<Word>,
+    pub words: Vec<Report>,
 }
--- a/crates/core/src/limit/table.rs
+++ b/crates/core/src/limit/table.rs
@@ -13,8 +13,8 @@
 
 use super::Key;
 use super::Rate;
-use super::Word;
-use super::Words;
+use super::Report;
+use super::Reports;
 
 /// Between two times that changes go to the gateways: servers whose limits come and go from answer to answer must not
 /// have all of hundreds of gateways answered for each.
@@ -52,7 +52,7 @@
 
 /// What is new of a table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     /// The version that they lead to.
     pub version: u64,
     /// The version that they start from; none where they are the whole table.
@@ -113,7 +113,13 @@
 
     /// Takes note of what a gateway tells, `last` being the number of the hub's last grant; gives the servers of which
     /// something was heard.
-    pub fn hear(&mut self, host: &id::Host, words: &Words, last: u64, now: Instant) -> Vec<Change> {
+    pub fn hear(
+        &mut self,
+        host: &id::Host,
+        words: &Reports,
+        last: u64,
+        now: Instant,
+    ) -> Vec<Change> {
         let mut touched = BTreeSet::new();
         let heard = self.heard.get(host);
         let upto = heard.filter(|heard| heard.life == words.life);
@@ -133,7 +139,7 @@
     }
 
     /// Takes one word; whether it says something of a limit.
-    fn take(&mut self, word: &Word, last: u64, now: Instant) -> bool {
+    fn take(&mut self, word: &Report, last: u64, now: Instant) -> bool {
         let entry = self.entries.get_mut(&word.key);
         let is_newer = |entry: &Entry| word.mark.hub == self.hub && word.mark.number > entry.since;
         let Some(rate) = word.rate else {
@@ -179,7 +185,7 @@
     }
 
     /// Forgets the server that was heard of longest ago, where there is no room for that of `word`.
-    fn make_room(&mut self, word: &Word) -> Option<Key> {
+    fn make_room(&mut self, word: &Report) -> Option<Key> {
         if self.entries.len() < MOST || self.entries.contains_key(&word.key) {
             return None;
         }
@@ -233,7 +239,7 @@
 
     /// What leads from what a gateway holds to this table; none where it is this one.
     #[must_use]
-    pub fn since(&self, (hub, version): (u64, u64)) -> Option<News> {
+    pub fn since(&self, (hub, version): (u64, u64)) -> Option<Update> {
         if !self.is_news((hub, version)) {
             return None;
         }
@@ -248,7 +254,7 @@
             }
             None => self.entries.keys().map(|key| self.change(key)).collect(),
         };
-        Some(News {
+        Some(Update {
             version: self.version,
             former: first.map(|_| version),
             changes,
--- a/crates/core/src/pool/servers.rs
+++ b/crates/core/src/pool/servers.rs
@@ -11,8 +11,8 @@
 use crate::gateway::Load;
 use crate::gateway::Server;
 use crate::limit::Key;
-use crate::limit::Ledger;
 use crate::limit::Limit;
+use crate::limit::RateLimiter;
 use crate::limit::Warmup;
 use crate::unit::Tokens;
 
@@ -38,7 +38,7 @@
     /// What servers have said of themselves to this host.
     notices: Notices,
     /// What those may still get that have named a limit.
-    pub(super) limits: Ledger,
+    pub(super) limits: RateLimiter,
     held: Held,
     pub(super) waiting: Waiting,
     pub(super) forecast: Forecast,
@@ -56,7 +56,7 @@
             tuning,
             servers: Roster::new(tuning.over),
             notices: Notices::default(),
-            limits: Ledger::closed(),
+            limits: RateLimiter::closed(),
             held: Held::default(),
             waiting: Waiting::default(),
             forecast: Forecast::default(),
@@ -70,7 +70,7 @@
     #[must_use]
     pub fn of_all(self) -> Self {
         Self {
-            limits: Ledger::giving(),
+            limits: RateLimiter::giving(),
             ..self
         }
     }
--- a/crates/core/tests/limit_words.rs
+++ b/crates/core/tests/limit_words.rs
@@ -8,15 +8,15 @@
 use curlewlift_core::gateway::Mark;
 use curlewlift_core::gateway::Server;
 use curlewlift_core::id;
+use curlewlift_core::limit::Announcement;
 use curlewlift_core::limit::Key;
-use curlewlift_core::limit::Ledger;
 use curlewlift_core::limit::Limit;
-use curlewlift_core::limit::Local;
+use curlewlift_core::limit::LocalReports;
 use curlewlift_core::limit::Rate;
-use curlewlift_core::limit::Said;
+use curlewlift_core::limit::RateLimiter;
+use curlewlift_core::limit::Report;
+use curlewlift_core::limit::Reports;
 use curlewlift_core::limit::Table;
-use curlewlift_core::limit::Word;
-use curlewlift_core::limit::Words;
 
 use support::lives::life;
 
@@ -30,8 +30,8 @@
     text.parse().expect("a rate")
 }
 
-fn named(text: &str) -> Said {
-    Said::Named(rate(text))
+fn named(text: &str) -> Announcement {
+    Announcement::Named(rate(text))
 }
 
 fn mark(number: u64) -> Mark {
@@ -58,7 +58,7 @@
     fn hear(&mut self, name: &str, limit: Option<&str>, by: u64, last: u64) {
         self.number += 1;
         let server = life(name, 1);
-        let word = Word {
+        let word = Report {
             number: self.number,
             key: Key::of(&server),
             rate: limit.map(rate),
@@ -67,8 +67,8 @@
         self.tell(vec![word], last);
     }
 
-    fn tell(&mut self, words: Vec<Word>, last: u64) {
-        let words = Words { life: 1, words };
+    fn tell(&mut self, words: Vec<Report>, last: u64) {
+        let words = Reports { life: 1, words };
         self.table.hear(&host(), &words, last, at(0));
     }
 
@@ -106,7 +106,7 @@
     hub.hear("s", Some("3"), 5, 10);
     let server = life("s", 1);
     for (number, mark) in [(2, Mark { hub: 1, number: 99 }), (3, Mark::default())] {
-        let word = Word {
+        let word = Report {
             number,
             key: Key::of(&server),
             rate: None,
@@ -121,7 +121,7 @@
 #[test]
 fn told_again() {
     let mut hub = Hub::new();
-    let mut local = Local::new(1);
+    let mut local = LocalReports::new(1);
     local.hear(&life("s", 1), &named("3"), mark(1), at(0), at(1));
     let words = local.words();
     hub.tell(words.words.clone(), 1);
@@ -136,11 +136,17 @@
 #[test]
 fn kept_until_lifted() {
     let server = life("s", 1);
-    let (mut local, mut first) = (Local::new(1), Table::new(1));
+    let (mut local, mut first) = (LocalReports::new(1), Table::new(1));
     local.hear(&server, &named("3"), Mark::default(), at(0), at(1));
     assert!(local.closes(&server, mark(1)));
     // Neither its own answers lift it, whatever their order, nor that the hub knows of it.
-    local.hear(&server, &Said::Nothing, Mark::default(), at(0), at(2));
+    local.hear(
+        &server,
+        &Announcement::Nothing,
+        Mark::default(),
+        at(0),
+        at(2),
+    );
     assert!(local.closes(&server, mark(1)));
     let upto = local.get_last();
     first.hear(&host(), &local.words(), 9, at(3));
@@ -190,8 +196,8 @@
     }
     let service = "chat".parse().expect("a name");
     assert_eq!(hub.table.of_service(&service).count(), 4_096);
-    let mut local = Local::new(1);
-    let odd = Said::Odd("few".to_owned());
+    let mut local = LocalReports::new(1);
+    let odd = Announcement::Odd("few".to_owned());
     let server = life("s", 1);
     let said = local.hear(&server, &odd, mark(1), at(0), at(1));
     assert_eq!(said, Some(odd.clone()));
@@ -208,7 +214,7 @@
 }
 
 /// How many places a server gets within so many seconds, looked for every 10 ms.
-fn gets(ledger: &mut Ledger, server: &Server, from: u64, seconds: u64) -> usize {
+fn gets(ledger: &mut RateLimiter, server: &Server, from: u64, seconds: u64) -> usize {
     let times = (0..seconds * 100).map(|step| at(from + step * 10));
     let got = times.filter(|now| {
         let admits = ledger.admits(server, *now);
@@ -223,12 +229,12 @@
 fn gets_what_it_names() {
     let server = life("s", 1);
     for (named, got) in [("0", 2), ("0.2", 2), ("3", 30), ("40", 400)] {
-        let mut ledger = Ledger::giving();
+        let mut ledger = RateLimiter::giving();
         ledger.set(&Key::of(&server), Some(&limit(named)), at(0));
         let got_of = gets(&mut ledger, &server, 0, 10);
         assert!(got_of <= got && got_of + 2 >= got, "{named}: {got_of}");
     }
-    let mut closed = Ledger::closed();
+    let mut closed = RateLimiter::closed();
     closed.set(&Key::of(&server), Some(&limit("40")), at(0));
     assert_eq!(gets(&mut closed, &server, 0, 10), 0);
 }
@@ -238,13 +244,13 @@
 fn another_life() {
     let (former, next) = (life("s", 1), life("s", 2));
     for (met, is_held) in [(4_999, true), (5_000, false)] {
-        let mut local = Local::new(1);
+        let mut local = LocalReports::new(1);
         local.hear(&former, &named("3"), mark(1), at(0), at(0));
         local.meet([&next].into_iter(), at(met));
         assert_eq!(local.closes(&next, mark(2)), is_held, "{met}");
     }
     // What is told late of the former one says nothing of the next, and both together get what one does.
-    let mut ledger = Ledger::giving();
+    let mut ledger = RateLimiter::giving();
     for server in [&former, &next] {
         ledger.set(&Key::of(server), Some(&limit("3")), at(0));
     }
@@ -263,7 +269,7 @@
 #[test]
 fn unconfirmed() {
     let server = life("s", 1);
-    let mut ledger = Ledger::giving();
+    let mut ledger = RateLimiter::giving();
     let told = Limit {
         confirmed: false,
         ..limit("40")
--- a/crates/core/tests/support/limited.rs
+++ b/crates/core/tests/support/limited.rs
@@ -18,10 +18,10 @@
 use curlewlift_core::gateway::Want;
 use curlewlift_core::gateway::Wanted;
 use curlewlift_core::id;
+use curlewlift_core::limit::Announcement;
 use curlewlift_core::limit::Change;
 use curlewlift_core::limit::Key;
-use curlewlift_core::limit::Local;
-use curlewlift_core::limit::Said;
+use curlewlift_core::limit::LocalReports;
 use curlewlift_core::pool;
 use curlewlift_core::pool::Ask;
 use curlewlift_core::pool::End;
@@ -150,7 +150,7 @@
 struct Node {
     host: id::Host,
     pool: Pool,
-    limits: Local,
+    limits: LocalReports,
     /// The hub by which it goes, and when that was last heard.
     hub: Option<(u64, Instant)>,
     cut: bool,
@@ -175,7 +175,7 @@
 
 /// What an answer says of its server's limit, and which life of the server said it.
 struct Word {
-    said: Said,
+    said: Announcement,
     life: u64,
     at: Instant,
 }
@@ -265,7 +265,7 @@
         Node {
             host: format!("g{place}").parse().expect("a name"),
             pool,
-            limits: Local::new(self.random.next_u64()),
+            limits: LocalReports::new(self.random.next_u64()),
             hub: None,
             cut: false,
             suspended: self.now,
@@ -710,7 +710,7 @@
         self.beyond = self.beyond.max(engine.beyond(now));
         let life = engine.life;
         let Some(limit) = engine.limit else {
-            let said = Said::Nothing;
+            let said = Announcement::Nothing;
             let word = Word {
                 said,
                 life,
@@ -721,10 +721,10 @@
         self.limited += 1;
         let limit = if engine.changes { other } else { limit };
         let said = match limit.parse() {
-            Ok(rate) => Said::Named(rate),
-            Err(_) => Said::Odd(limit.to_owned()),
+            Ok(rate) => Announcement::Named(rate),
+            Err(_) => Announcement::Odd(limit.to_owned()),
         };
-        if let Said::Named(rate) = &said {
+        if let Announcement::Named(rate) = &said {
             engine.first.get_or_insert(now);
             engine.named.push(Named {
                 at: now,
@@ -754,7 +754,7 @@
         let engine = (0..SERVERS).find(is_its).expect("it is there");
         let engine = &mut self.engines[engine];
         let is_its_own = word.life == engine.life && engine.limit.is_some();
-        if matches!(word.said, Said::Named(_)) && is_its_own {
+        if matches!(word.said, Announcement::Named(_)) && is_its_own {
             engine.told.entry(place).or_insert(now);
             let said = engine.named.iter_mut().filter(|named| named.at == word.at);
             for named in said {
--- a/crates/core/tests/support/messages.rs
+++ b/crates/core/tests/support/messages.rs
@@ -8,7 +8,7 @@
 use curlewlift_core::gateway::Report;
 use curlewlift_core::gateway::Want;
 use curlewlift_core::id;
-use curlewlift_core::limit::Words;
+use curlewlift_core::limit::Reports;
 use curlewlift_core::quarantine::Identity;
 use curlewlift_core::route::Rank;
 use curlewlift_core::unit::Tokens;
@@ -57,7 +57,7 @@
         got: 0,
         quarantine: 0,
         observed: Vec::new(),
-        limits: Words::default(),
+        limits: Reports::default(),
         limits_held: (0, 0),
         fetched: None,
     }
@@ -71,6 +71,6 @@
         loads: Vec::new(),
         ends: Vec::new(),
         observed: Vec::new(),
-        limits: Words::default(),
+        limits: Reports::default(),
     }
 }
--- a/crates/curlewlift/src/gateway/dialect.rs
+++ b/crates/curlewlift/src/gateway/dialect.rs
@@ -5,7 +5,7 @@
 use axum::http::HeaderMap;
 use axum::http::HeaderValue;
 use curlewlift_core::code::Refusal;
-use curlewlift_core::limit::Said;
+use curlewlift_core::limit::Announcement;
 use curlewlift_core::pool::Notice;
 
 /// What the head of a request says.
@@ -50,7 +50,7 @@
     /// What the server says of itself.
     pub(crate) notices: Vec<Notice>,
     /// What it says of the requests that it takes a second.
-    pub(crate) limit: Said,
+    pub(crate) limit: Announcement,
 }
 
 /// How heads are read and written.
--- a/crates/curlewlift/src/gateway/node.rs
+++ b/crates/curlewlift/src/gateway/node.rs
@@ -109,7 +109,7 @@
     /// What it knows of requests under which servers end.
     pub(super) quarantine: RefCell<quarantine::Local>,
     /// What it knows of limits that servers name.
-    pub(super) limits: RefCell<limit::Local>,
+    pub(super) limits: RefCell<limit::LocalReports>,
     /// The part of the sendings past the first that this gateway may do by itself.
     pub(super) part: RefCell<Part>,
     /// The hosts that are known to keep a control replica.
@@ -162,7 +162,7 @@
             reserve: RefCell::new(Reserve::new(tolerance)),
             deputies: RefCell::default(),
             quarantine: RefCell::default(),
-            limits: RefCell::new(limit::Local::new(rand::rng().next_u64())),
+            limits: RefCell::new(limit::LocalReports::new(rand::rng().next_u64())),
             part: RefCell::default(),
             known,
             hub: RefCell::default(),
--- a/crates/curlewlift/src/gateway/place.rs
+++ b/crates/curlewlift/src/gateway/place.rs
@@ -11,9 +11,9 @@
 use curlewlift_core::gateway::Server;
 use curlewlift_core::gateway::Watched;
 use curlewlift_core::id;
+use curlewlift_core::limit::Announcement;
 use curlewlift_core::limit::Change;
 use curlewlift_core::limit::Key;
-use curlewlift_core::limit::Said;
 use curlewlift_core::pool::End;
 use curlewlift_core::pool::Notice;
 use curlewlift_core::quarantine::Identity;
@@ -171,7 +171,7 @@
     }
 
     /// What the head of an answer said of the server's limit.
-    pub(super) fn limited(&self, said: &Said) {
+    pub(super) fn limited(&self, said: &Announcement) {
         let now = self.node.now();
         let mut limits = self.node.limits.borrow_mut();
         let news = limits.hear(&self.server, said, self.mark(), self.given, now);
@@ -188,9 +188,9 @@
     }
 
     /// What is known here of the server's limit.
-    pub(super) fn get_limit(&self) -> Said {
+    pub(super) fn get_limit(&self) -> Announcement {
         let rate = self.node.limits.borrow().rate(&self.server);
-        rate.map_or(Said::Nothing, Said::Named)
+        rate.map_or(Announcement::Nothing, Announcement::Named)
     }
 
     /// Writes what is new of what the server said of itself.
@@ -264,10 +264,10 @@
 }
 
 /// Adds to a line what a server said of its limit.
-pub(super) fn log_limit(line: Line, said: &Said) -> Line {
+pub(super) fn log_limit(line: Line, said: &Announcement) -> Line {
     match said {
-        Said::Nothing => line.with("limit", None::<f64>),
-        Said::Named(rate) => line.with("limit", rate.as_f64()),
-        Said::Odd(odd) => line.with("odd", odd.as_str()),
+        Announcement::Nothing => line.with("limit", None::<f64>),
+        Announcement::Named(rate) => line.with("limit", rate.as_f64()),
+        Announcement::Odd(odd) => line.with("odd", odd.as_str()),
     }
 }
--- a/crates/curlewlift/src/platform/heads.rs
+++ b/crates/curlewlift/src/platform/heads.rs
@@ -8,9 +8,9 @@
 use axum::http::header;
 use curlewlift_core::code::Code;
 use curlewlift_core::code::Refusal;
-use curlewlift_core::limit::OddRate;
+use curlewlift_core::limit::Announcement;
+use curlewlift_core::limit::InvalidRate;
 use curlewlift_core::limit::Rate;
-use curlewlift_core::limit::Said;
 use curlewlift_core::pool::Notice;
 
 use crate::gateway::Call;
@@ -155,15 +155,17 @@
 }
 
 /// What the server says of its limit: where it is given more than once, the least that can be read.
-fn limit(headers: &HeaderMap) -> Said {
-    let mut limit = Said::Nothing;
+fn limit(headers: &HeaderMap) -> Announcement {
+    let mut limit = Announcement::Nothing;
     for value in headers.get_all(LIMIT) {
         let text = String::from_utf8_lossy(value.as_bytes());
         let rate: Result<Rate, _> = text.parse();
         limit = match (limit, rate) {
-            (Said::Named(former), Ok(rate)) if former <= rate => Said::Named(former),
-            (_, Ok(rate)) => Said::Named(rate),
-            (Said::Nothing, Err(OddRate(odd))) => Said::Odd(odd),
+            (Announcement::Named(former), Ok(rate)) if former <= rate => {
+                Announcement::Named(former)
+            }
+            (_, Ok(rate)) => Announcement::Named(rate),
+            (Announcement::Nothing, Err(InvalidRate(odd))) => Announcement::Odd(odd),
             (limit, Err(_)) => limit,
         };
     }
--- a/crates/curlewlift/src/platform/heads/tests.rs
+++ b/crates/curlewlift/src/platform/heads/tests.rs
@@ -5,7 +5,7 @@
 use axum::http::HeaderMap;
 use axum::http::HeaderName;
 use axum::http::HeaderValue;
-use curlewlift_core::limit::Said;
+use curlewlift_core::limit::Announcement;
 use curlewlift_core::pool::Notice;
 
 use super::marks;
@@ -63,7 +63,7 @@
 }
 
 /// What an answer with these limits says.
-fn limits(values: &[&'static str]) -> Said {
+fn limits(values: &[&'static str]) -> Announcement {
     let pairs: Vec<_> = values
         .iter()
         .map(|value| ("server-limit", *value))
@@ -73,7 +73,7 @@
 
 #[test]
 fn names_limit() {
-    let named = |text: &str| Said::Named(text.parse().expect("a rate"));
+    let named = |text: &str| Announcement::Named(text.parse().expect("a rate"));
     for text in ["0", "0.2", "3", "1e9"] {
         assert_eq!(limits(&[text]), named(text));
     }
@@ -81,12 +81,12 @@
     assert_eq!(limits(&["4", "2", "3"]), named("2"));
     assert_eq!(limits(&["none", "2"]), named("2"));
     assert_eq!(limits(&["2", "none"]), named("2"));
-    assert_eq!(limits(&[]), Said::Nothing);
+    assert_eq!(limits(&[]), Announcement::Nothing);
 }
 
 #[test]
 fn odd_limits() {
     for odd in ["", "few", "-3", "NaN", "inf", "3 a second", "1,5"] {
-        assert_eq!(limits(&[odd]), Said::Odd(odd.to_owned()));
+        assert_eq!(limits(&[odd]), Announcement::Odd(odd.to_owned()));
     }
 }
--- a/crates/lab/src/rollout/world.rs
+++ b/crates/lab/src/rollout/world.rs
@@ -22,7 +22,7 @@
 use curlewlift_core::gateway::Wanted;
 use curlewlift_core::gateway::Watched;
 use curlewlift_core::id;
-use curlewlift_core::limit::Words;
+use curlewlift_core::limit::Reports;
 use curlewlift_core::pool::End;
 use curlewlift_core::quarantine::Identity;
 use curlewlift_core::rollout::Bounds;
@@ -533,7 +533,7 @@
                 loads: loads.clone(),
                 ends: std::mem::take(&mut asker.ends),
                 observed: Vec::new(),
-                limits: Words::default(),
+                limits: Reports::default(),
             };
             hub.report(&report, now);
             if asks {
@@ -616,7 +616,7 @@
         got: 0,
         quarantine: 0,
         observed: Vec::new(),
-        limits: Words::default(),
+        limits: Reports::default(),
         limits_held: (0, 0),
         fetched: None,
     }
