--- a/crates/core/src/gateway/hub.rs
+++ b/crates/core/src/gateway/hub.rs
@@ -11,7 +11,7 @@
 use crate::limit::Warmup;
 use crate::pool::Allowed;
 use crate::quarantine;
-use crate::quota::Desk;
+use crate::quota::Limiter;
 use crate::quota::Tolerance;
 use crate::rollout;
 use crate::rollout::Policy;
@@ -113,7 +113,7 @@
     pub(super) tuning: Tuning,
     pub(super) seen: BTreeMap<id::Host, Seen>,
     pub(super) dispatcher: Dispatcher,
-    pub(super) desk: Desk,
+    pub(super) desk: Limiter,
     /// Of the parts of the sendings past the first.
     pub(super) keeper: Keeper,
     /// Of the parts of what is let in without its word.
@@ -158,7 +158,7 @@
             tuning,
             seen: BTreeMap::new(),
             dispatcher: Dispatcher::default(),
-            desk: Desk::new(tuning.tolerance),
+            desk: Limiter::new(tuning.tolerance),
             keeper: Keeper::new(now),
             deputies: Keeper::new(now),
             holders: Deputies::default(),
--- a/crates/core/src/gateway/parts.rs
+++ b/crates/core/src/gateway/parts.rs
@@ -24,7 +24,7 @@
 /// In how many parts what gateways may do by themselves is cut, and who holds one; kept in the log.
 ///
 /// It holds that the parts by which hosts go are never more than one together, though a host goes by a
-/// word for as long as [`quota::HELD`]: one is added only once all holders have got a word of there being
+/// word for as long as [`quota::SHARE_LIFETIME`]: one is added only once all holders have got a word of there being
 /// parts enough, and one is taken out only once it has had no word for so long. A leader that has only
 /// begun counts from its own beginning.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -112,7 +112,9 @@
         if let Some(told) = self.told.get_mut(host)
             && told.last.0 == got
         {
-            let was_aside = told.got.is_none_or(|got| got + quota::ASIDE <= now);
+            let was_aside = told
+                .got
+                .is_none_or(|got| got + quota::SHARE_RESERVE_DELAY <= now);
             told.got = Some(told.last.1);
             if was_aside {
                 self.present = None;
@@ -134,7 +136,7 @@
     }
 
     /// The part (0 to 1) of the allowances that is the hub's: not that of holders that have not said for
-    /// [`quota::ASIDE`] that they got an answer.
+    /// [`quota::SHARE_RESERVE_DELAY`] that they got an answer.
     ///
     /// It is asked for at each request, and worked out again only when it can have changed: that costs time
     /// linear in the holders.
@@ -145,10 +147,13 @@
             return present;
         }
         let heard = self.parts.holders.iter().filter_map(|host| self.got(host));
-        let ends = heard.map(|got| got + quota::ASIDE).filter(|end| now < *end);
-        let (count, until) = ends.fold((0, now + quota::ASIDE), |(count, until), end| {
-            (count + 1, until.min(end))
-        });
+        let ends = heard
+            .map(|got| got + quota::SHARE_RESERVE_DELAY)
+            .filter(|end| now < *end);
+        let (count, until) = ends.fold(
+            (0, now + quota::SHARE_RESERVE_DELAY),
+            |(count, until), end| (count + 1, until.min(end)),
+        );
         let present = 1.0 - self.parts.share(self.parts.holders.len() - count);
         self.present = Some((present, until));
         present
@@ -165,8 +170,9 @@
             return None;
         }
         let holders = &self.parts.holders;
-        self.told
-            .retain(|host, told| holders.contains(host) || now.since(told.last.1) < quota::HELD);
+        self.told.retain(|host, told| {
+            holders.contains(host) || now.since(told.last.1) < quota::SHARE_LIFETIME
+        });
         let next = self.next(most, now);
         if next == self.parts {
             return None;
@@ -179,7 +185,7 @@
     fn next(&self, most: usize, now: Instant) -> Parts {
         let goes_by = |host: &Host| {
             let last = self.told.get(host).map_or(self.began, |told| told.last.1);
-            now.since(last) < quota::HELD
+            now.since(last) < quota::SHARE_LIFETIME
         };
         let holders = self.parts.holders.iter().filter(|host| goes_by(host));
         let mut holders: BTreeSet<_> = holders.cloned().collect();
--- a/crates/core/src/quota/desk.rs
+++ b/crates/core/src/quota/limiter.rs
@@ -42,20 +42,20 @@
 /// One bucket a customer, of which each request that the hub hears of is drawn before it is sent.
 ///
 /// What it lets through in any time is at most what it held and what has been filled since. A part is
-/// set aside for gateways that may be letting in by themselves ([`super::Reserve`]). It begins empty, as
+/// set aside for gateways that may be letting in by themselves ([`super::LocalLimiter`]). It begins empty, as
 /// what the desk before it let through is not known; so all desks and gateways together let in no more
 /// than one bucket would. Filled up at any later time it would let in a burst twice.
 #[derive(Clone, Debug)]
-pub struct Desk {
+pub struct Limiter {
     tolerance: Tolerance,
     present: f64,
     held: BTreeMap<id::Customer, Held>,
 }
 
-impl Desk {
+impl Limiter {
     /// A desk with nothing in its buckets, where so much more than an allowance may be let in.
     ///
-    /// It fills nothing before [`Desk::set_present`] was told who is there.
+    /// It fills nothing before [`Limiter::set_present`] was told who is there.
     #[must_use]
     pub fn new(tolerance: Tolerance) -> Self {
         Self {
--- a/crates/core/src/quota/reserve.rs
+++ b/crates/core/src/quota/local.rs
@@ -9,26 +9,26 @@
 
 use super::Bucket;
 use super::Charge;
-use super::Part;
+use super::Share;
 use super::Tolerance;
 use super::amount;
 
 /// After how long without the hub's word a gateway lets in by its part of the allowances themselves.
 ///
-/// The hub sets that part aside once it has had no sign for [`ASIDE`] that a word of its has come; the
+/// The hub sets that part aside once it has had no sign for [`SHARE_RESERVE_DELAY`] that a word of its has come; the
 /// question for that word was sent 0.6 s before at the most. What is left is for clocks that differ.
-pub const ALONE: Duration = Duration::from_millis(1_400);
+pub const LOCAL_QUOTA_DELAY: Duration = Duration::from_millis(1_400);
 
 /// After how long without a sign that a word of its has come the hub sets a gateway's part aside: two
 /// rounds of questions, and a busy host's delay.
-pub const ASIDE: Duration = Duration::from_millis(700);
+pub const SHARE_RESERVE_DELAY: Duration = Duration::from_millis(700);
 
 /// For how long a gateway holds a part that the hub's word gave it; the hub counts it as gone after as
 /// long.
 ///
 /// Longer, and a host that is gone for good takes more from those that are left; shorter, and a gateway
 /// that is cut off turns customers away sooner.
-pub const HELD: Duration = Duration::from_secs(10);
+pub const SHARE_LIFETIME: Duration = Duration::from_secs(10);
 
 /// A customer's two buckets.
 #[derive(Clone, Copy, Debug)]
@@ -55,19 +55,19 @@
 
 /// What a gateway may let in by itself, where the hub gives no word on a request.
 ///
-/// It has a part of the tolerance at all times, and once the hub has been silent for [`ALONE`], a part
+/// It has a part of the tolerance at all times, and once the hub has been silent for [`LOCAL_QUOTA_DELAY`], a part
 /// of the allowances too. Parts of all gateways together are never more than one
 /// ([`crate::gateway::Parts`]). All buckets begin empty, so that a start anew gives nobody more.
 #[derive(Clone, Debug, Default)]
-pub struct Reserve {
+pub struct LocalLimiter {
     tolerance: Tolerance,
-    part: Part,
+    part: Share,
     /// Since when it holds a part.
     since: Instant,
     own: BTreeMap<id::Customer, Own>,
 }
 
-impl Reserve {
+impl LocalLimiter {
     /// A reserve without a part, where so much more than an allowance may be let in.
     #[must_use]
     pub fn new(tolerance: Tolerance) -> Self {
@@ -106,7 +106,7 @@
     /// Since when it lets in by its part of the allowances themselves.
     fn alone(&self, now: Instant) -> Option<Instant> {
         let asked = self.part.get_asked()?;
-        (now.since(asked) >= ALONE).then(|| asked + ALONE)
+        (now.since(asked) >= LOCAL_QUOTA_DELAY).then(|| asked + LOCAL_QUOTA_DELAY)
     }
 
     /// Whether a request is let in; if so it is counted.
--- a/crates/core/src/quota/mod.rs
+++ b/crates/core/src/quota/mod.rs
@@ -4,18 +4,18 @@
 mod amount;
 mod bucket;
 mod charge;
-mod desk;
-mod part;
-mod reserve;
+mod limiter;
+mod local;
+mod share;
 mod tolerance;
 
 pub use amount::amount;
 pub use bucket::Bucket;
 pub use charge::Charge;
-pub use desk::Desk;
-pub use part::Part;
-pub use reserve::ALONE;
-pub use reserve::ASIDE;
-pub use reserve::HELD;
-pub use reserve::Reserve;
+pub use limiter::Limiter;
+pub use local::LOCAL_QUOTA_DELAY;
+pub use local::LocalLimiter;
+pub use local::SHARE_LIFETIME;
+pub use local::SHARE_RESERVE_DELAY;
+pub use share::Share;
 pub use tolerance::Tolerance;
--- a/crates/core/src/quota/part.rs
+++ b/crates/core/src/quota/share.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Instant;
 
-use super::HELD;
+use super::SHARE_LIFETIME;
 
 /// The part (0 to 1) of what all gateways share that one of them holds, by the hub's last word.
 ///
@@ -10,22 +10,22 @@
 ///
 /// ```
 /// use curlewlift_core::clock::Instant;
-/// use curlewlift_core::quota::HELD;
-/// use curlewlift_core::quota::Part;
+/// use curlewlift_core::quota::SHARE_LIFETIME;
+/// use curlewlift_core::quota::Share;
 /// let asked = Instant::default();
-/// let mut part = Part::default();
+/// let mut part = Share::default();
 /// part.heard(0.25, asked);
 /// assert!(part.get(asked) > 0.2);
-/// assert!(part.get(asked + HELD) <= 0.0);
+/// assert!(part.get(asked + SHARE_LIFETIME) <= 0.0);
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Part {
+pub struct Share {
     part: f64,
     /// When the question was sent that the hub answered last.
     asked: Option<Instant>,
 }
 
-impl Part {
+impl Share {
     /// Takes up the hub's answer to a question that was sent at `asked`.
     pub fn heard(&mut self, part: f64, asked: Instant) {
         self.part = part;
@@ -41,7 +41,9 @@
     /// What is held at `now`; 0 where nothing is any more.
     #[must_use]
     pub fn get(&self, now: Instant) -> f64 {
-        let held = self.asked.is_some_and(|asked| now.since(asked) < HELD);
+        let held = self
+            .asked
+            .is_some_and(|asked| now.since(asked) < SHARE_LIFETIME);
         if held { self.part } else { 0.0 }
     }
 }
--- a/crates/core/tests/allowances.rs
+++ b/crates/core/tests/allowances.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use curlewlift_core::quota::Charge;
-use curlewlift_core::quota::Desk;
+use curlewlift_core::quota::Limiter;
 use curlewlift_core::route::Allowance;
 
 use support::asks::at;
@@ -228,8 +228,8 @@
 }
 
 /// A desk that has only begun, with so much of the allowance for its own.
-fn desk(present: f64) -> Desk {
-    let mut desk = Desk::new(TOLERANCE);
+fn desk(present: f64) -> Limiter {
+    let mut desk = Limiter::new(TOLERANCE);
     desk.set_present(present, at(0));
     desk.adopt([(&ann(), ALLOWANCE)].into_iter(), at(0));
     desk
--- a/crates/core/tests/support/gateways.rs
+++ b/crates/core/tests/support/gateways.rs
@@ -18,7 +18,7 @@
 use curlewlift_core::gateway::Wanted;
 use curlewlift_core::id;
 use curlewlift_core::quota::Charge;
-use curlewlift_core::quota::Reserve;
+use curlewlift_core::quota::LocalLimiter;
 use curlewlift_core::quota::Tolerance;
 use curlewlift_core::route::Account;
 use curlewlift_core::route::Allowance;
@@ -71,7 +71,7 @@
 /// One gateway, and the answer that is on its way to it.
 struct Node {
     host: id::Host,
-    reserve: Reserve,
+    reserve: LocalLimiter,
     got: u64,
     heard: Option<Instant>,
     asked: Instant,
@@ -85,7 +85,7 @@
     fn new(place: usize, now: Instant) -> Self {
         Self {
             host: format!("g{place}").parse().expect("a name"),
-            reserve: Reserve::new(TOLERANCE),
+            reserve: LocalLimiter::new(TOLERANCE),
             got: 0,
             heard: None,
             asked: now,
--- a/crates/curlewlift/src/gateway/node.rs
+++ b/crates/curlewlift/src/gateway/node.rs
@@ -23,8 +23,8 @@
 use curlewlift_core::pool::Lead;
 use curlewlift_core::quarantine;
 use curlewlift_core::quota::Charge;
-use curlewlift_core::quota::Part;
-use curlewlift_core::quota::Reserve;
+use curlewlift_core::quota::LocalLimiter;
+use curlewlift_core::quota::Share;
 use curlewlift_core::quota::Tolerance;
 use curlewlift_core::rollout::Policy;
 use curlewlift_core::route::Regions;
@@ -103,7 +103,7 @@
     /// How long answers take to begin, by rule.
     pub(super) leads: RefCell<BTreeMap<Arc<str>, Lead>>,
     /// What customers may still ask for where the hub gives no word.
-    pub(super) reserve: RefCell<Reserve>,
+    pub(super) reserve: RefCell<LocalLimiter>,
     /// Who else may let their requests in then.
     pub(super) deputies: RefCell<Deputies>,
     /// What it knows of requests under which servers end.
@@ -111,7 +111,7 @@
     /// What it knows of limits that servers name.
     pub(super) limits: RefCell<limit::LocalReports>,
     /// The part of the sendings past the first that this gateway may do by itself.
-    pub(super) part: RefCell<Part>,
+    pub(super) part: RefCell<Share>,
     /// The hosts that are known to keep a control replica.
     pub(super) known: Known,
     /// What is known of the hub.
@@ -159,7 +159,7 @@
             policy: RefCell::default(),
             roll: RefCell::default(),
             leads: RefCell::default(),
-            reserve: RefCell::new(Reserve::new(tolerance)),
+            reserve: RefCell::new(LocalLimiter::new(tolerance)),
             deputies: RefCell::default(),
             quarantine: RefCell::default(),
             limits: RefCell::new(limit::LocalReports::new(rand::rng().next_u64())),
