--- a/crates/core/src/gateway/answers.rs
+++ b/crates/core/src/gateway/answers.rs
@@ -82,7 +82,7 @@
             number: self.answers,
             hub: self.dispatcher.get_hub(),
             quarantine: self.quarantine.since(question.quarantine),
-            limits: self.limits.since(question.limits_held),
+            limits: self.limits.update_since(question.limits_held),
             part,
             deputy,
             deputies: self.deputies_for(question),
@@ -131,7 +131,7 @@
         }
         let has_other_policy = self.has_other_policy(question);
         let is_other = self.quarantine.get_version() != question.quarantine;
-        let is_limited = self.limits.is_news(question.limits_held);
+        let is_limited = self.limits.is_outdated(question.limits_held);
         has_other_policy || is_other || is_limited || self.has_other_list(question)
     }
 
--- a/crates/core/src/gateway/dispatch.rs
+++ b/crates/core/src/gateway/dispatch.rs
@@ -89,7 +89,7 @@
         for (service, servers) in by_service {
             let mut pool = Pool::new(pool::Tuning::default(), self.hub).of_all();
             pool.adopt(servers);
-            for (key, limit, heard) in limits.of_service(&service) {
+            for (key, limit, heard) in limits.service_limits(&service) {
                 pool.set_limit(key, Some(limit), heard);
             }
             let (warmups, since) = &self.warmups;
--- a/crates/core/src/gateway/hub.rs
+++ b/crates/core/src/gateway/hub.rs
@@ -294,7 +294,7 @@
         let is_forgotten = self.seen.len() < known;
         if is_forgotten {
             let seen = &self.seen;
-            self.limits.keep(|host| seen.contains_key(host));
+            self.limits.retain_gateways(|host| seen.contains_key(host));
         }
         let silent = self.silent();
         let mut is_changed = is_first || is_forgotten;
--- a/crates/core/src/gateway/limits.rs
+++ b/crates/core/src/gateway/limits.rs
@@ -13,7 +13,7 @@
     /// Takes note of what a gateway tells of limits.
     pub(super) fn hear_limits(&mut self, host: &id::Host, words: &Reports, now: Instant) {
         let last = self.dispatcher.last_grant();
-        let changes = self.limits.hear(host, words, last, now);
+        let changes = self.limits.record(host, words, last, now);
         self.dispatcher.limit(changes.into_iter(), now);
     }
 
--- a/crates/core/src/limit/announcement.rs
+++ b/crates/core/src/limit/announcement.rs
@@ -7,9 +7,9 @@
 pub enum Announcement {
     /// It names none.
     #[default]
-    Nothing,
+    NoLimit,
     /// It takes so many requests a second, from all hosts together.
-    Named(Rate),
+    Limited(Rate),
     /// It names a limit that cannot be read.
-    Odd(String),
+    Invalid(String),
 }
--- a/crates/core/src/limit/limiter.rs
+++ b/crates/core/src/limit/limiter.rs
@@ -91,7 +91,7 @@
     /// By what servers call themselves.
     accounts: HashMap<Arc<str>, Account>,
     /// Whether places are drawn here.
-    gives: bool,
+    is_granting: bool,
     /// What the servers get that may be cold, and since when that is kept; none where there are none.
     warmup: Option<(Warmup, Instant)>,
 }
@@ -99,10 +99,10 @@
 impl RateLimiter {
     /// The ledger of whoever gives out places for all.
     #[must_use]
-    pub fn giving() -> Self {
+    pub fn granting() -> Self {
         Self {
             accounts: HashMap::new(),
-            gives: true,
+            is_granting: true,
             warmup: None,
         }
     }
@@ -114,13 +114,13 @@
     pub fn closed() -> Self {
         Self {
             accounts: HashMap::new(),
-            gives: false,
+            is_granting: false,
             warmup: None,
         }
     }
 
     /// A server has named its limit, or names none any more.
-    pub fn set(&mut self, key: &Key, limit: Option<&Limit>, now: Instant) {
+    pub fn set_limit(&mut self, key: &Key, limit: Option<&Limit>, now: Instant) {
         let account = self.accounts.entry(Arc::clone(&key.name));
         let account = account.or_insert_with(|| Account::new(now));
         let former = account.paces.remove(&key.incarnation);
@@ -145,7 +145,7 @@
     }
 
     /// Forgets what servers got that are gone.
-    pub fn keep(&mut self, is_listed: impl Fn(&str) -> bool) {
+    pub fn retain_servers(&mut self, is_listed: impl Fn(&str) -> bool) {
         self.accounts
             .retain(|name, account| !account.paces.is_empty() || is_listed(name));
     }
@@ -193,14 +193,14 @@
         let (Some(flow), Some(mut bucket)) = (self.flow(server), self.bucket(server)) else {
             return true;
         };
-        if !self.gives {
+        if !self.is_granting {
             return self.named(server).is_none() && !server.cold;
         }
         bucket.fill(flow.rate, flow.depth, now) >= 1.0
     }
 
     /// Draws a place at a server that admits one; whether the server has named a limit that it was drawn from.
-    pub fn draw(&mut self, server: &Server, now: Instant) -> bool {
+    pub fn acquire(&mut self, server: &Server, now: Instant) -> bool {
         let (Some(flow), Some(mut bucket)) = (self.flow(server), self.bucket(server)) else {
             return false;
         };
--- a/crates/core/src/limit/local.rs
+++ b/crates/core/src/limit/local.rs
@@ -39,7 +39,7 @@
 /// What a gateway knows of the limits that servers name: what the hub told, and what answers said since.
 ///
 /// A word is told until the hub has acknowledged it, and what a hub knew is told to the next one. A place at a server
-/// with a limit that its hub did not know of is not taken up ([`LocalReports::closes`]). Only the hub lifts a limit, as it
+/// with a limit that its hub did not know of is not taken up ([`LocalReports::blocks`]). Only the hub lifts a limit, as it
 /// alone can tell which of the answers of all gateways is the newer one.
 #[derive(Clone, Debug, Default)]
 pub struct LocalReports {
@@ -70,7 +70,7 @@
 
     /// An answer to a request that was sent at `sent`, by the grant with `mark`, said something of its server's limit;
     /// gives what is new of that.
-    pub fn hear(
+    pub fn record_response(
         &mut self,
         server: &Server,
         said: &Announcement,
@@ -78,23 +78,23 @@
         sent: Instant,
         now: Instant,
     ) -> Option<Announcement> {
-        let key = Key::of(server);
+        let key = Key::from_server(server);
         let known = self.get(&key);
-        if let Announcement::Named(rate) = said {
+        if let Announcement::Limited(rate) = said {
             self.named.retain(|_, (_, at)| now.since(*at) < NAMED_LATE);
             self.named.insert(key.clone(), (*rate, now));
         }
         let rate = match said {
-            Announcement::Named(rate) => Some(*rate),
-            Announcement::Nothing if known.is_some() => None,
-            Announcement::Nothing => return None,
-            Announcement::Odd(_) => return self.odd(key).then(|| said.clone()),
+            Announcement::Limited(rate) => Some(*rate),
+            Announcement::NoLimit if known.is_some() => None,
+            Announcement::NoLimit => return None,
+            Announcement::Invalid(_) => return self.odd(key).then(|| said.clone()),
         };
         let word = Report {
             number: 0,
             key,
             rate,
-            mark,
+            grant_id: mark,
         };
         self.note(word, sent, now);
         if let Some(rate) = rate {
@@ -106,14 +106,14 @@
 
     /// Meets servers of a list or a place: what was heard lately under the name of another life of one may be its own
     /// word, and holds for it until an answer of its own says otherwise. Gives the servers of which that is so.
-    pub fn meet<'a>(
+    pub fn observe_servers<'a>(
         &mut self,
         servers: impl Iterator<Item = &'a Server>,
         now: Instant,
     ) -> Vec<Change> {
         let mut changes = Vec::new();
         for server in servers {
-            let key = Key::of(server);
+            let key = Key::from_server(server);
             if self.met.len() >= MOST_MET {
                 self.met.clear();
             }
@@ -169,7 +169,7 @@
             number: 0,
             key,
             rate: Some(rate),
-            mark: Mark::default(),
+            grant_id: Mark::default(),
         };
         self.note(word, Instant::default(), now);
     }
@@ -182,7 +182,7 @@
         if let Some(former) = unordered {
             let former = &former.word;
             if former.rate.is_some() || word.rate.is_some() {
-                word.mark = Mark::default();
+                word.grant_id = Mark::default();
             }
             word.rate = match (former.rate, word.rate) {
                 (Some(a), Some(b)) if a <= b => Some(a),
@@ -207,7 +207,7 @@
         let least = told.map(|told| told.rate).filter(|told| *told < rate);
         Some(Limit {
             rate: least.unwrap_or(rate),
-            from: u64::MAX,
+            last_unaware_grant: u64::MAX,
             confirmed: false,
         })
     }
@@ -215,41 +215,41 @@
     /// Whether a request with a place by the grant `mark`, which was not drawn from its server's limit, is not to be
     /// sent: who gave the place did not know of the limit.
     #[must_use]
-    pub fn closes(&self, server: &Server, mark: Mark) -> bool {
-        let key = Key::of(server);
+    pub fn blocks(&self, server: &Server, mark: Mark) -> bool {
+        let key = Key::from_server(server);
         // A life that has begun since may answer to the same name.
         let next = self.next_life(server);
         let lives = next.iter().chain([&key]);
         let mut limits = lives.filter_map(|key| self.get(key));
         // A later grant of the same hub was given once it had heard that the limit is lifted.
-        limits.any(|limit| mark.hub != self.held.0 || mark.number <= limit.from)
+        limits.any(|limit| mark.hub != self.held.0 || mark.number <= limit.last_unaware_grant)
     }
 
     /// The version of the table that it holds, and whose.
     #[must_use]
-    pub fn get_held(&self) -> (u64, u64) {
+    pub fn get_table_version(&self) -> (u64, u64) {
         self.held
     }
 
     /// What the hub has not acknowledged.
     #[must_use]
-    pub fn words(&self) -> Reports {
+    pub fn pending_reports(&self) -> Reports {
         let words = self.untold.values().map(|untold| untold.word.clone());
         Reports {
-            life: self.life,
-            words: words.collect(),
+            incarnation: self.life,
+            reports: words.collect(),
         }
     }
 
     /// Up to which word that is.
     #[must_use]
-    pub fn get_last(&self) -> u64 {
+    pub fn get_last_number(&self) -> u64 {
         self.last
     }
 
     /// The hub `hub` has answered, was told all up to the word `upto`, and has `news`; gives the servers of which
     /// something may have changed here.
-    pub fn heard(
+    pub fn apply_reply(
         &mut self,
         hub: u64,
         upto: u64,
@@ -289,7 +289,7 @@
                 let limit = self.table.entry(key.clone());
                 limit.or_insert(Limit {
                     rate,
-                    from: u64::MAX,
+                    last_unaware_grant: u64::MAX,
                     confirmed: false,
                 });
             }
@@ -310,7 +310,7 @@
     /// Takes up what is new of the hub's table; news that start from another version than is held change nothing.
     fn take(&mut self, news: &Update) -> BTreeSet<Key> {
         let mut changed = BTreeSet::new();
-        match news.former {
+        match news.base_version {
             Some(former) if former != self.held.1 => return changed,
             Some(_) => {}
             None => changed.extend(std::mem::take(&mut self.table).into_keys()),
@@ -327,7 +327,7 @@
     }
 
     /// All limits that are known here.
-    pub fn all(&self) -> impl Iterator<Item = Change> {
+    pub fn all_limits(&self) -> impl Iterator<Item = Change> {
         let keys: BTreeSet<_> = self.table.keys().chain(self.untold.keys()).collect();
         let limits = keys.into_iter().map(|key| Change {
             key: key.clone(),
@@ -339,6 +339,6 @@
     /// The rate that a server named last, as far as it is known here.
     #[must_use]
     pub fn rate(&self, server: &Server) -> Option<Rate> {
-        self.get(&Key::of(server)).map(|limit| limit.rate)
+        self.get(&Key::from_server(server)).map(|limit| limit.rate)
     }
 }
--- a/crates/core/src/limit/report.rs
+++ b/crates/core/src/limit/report.rs
@@ -25,7 +25,7 @@
 impl Key {
     /// That of a server.
     #[must_use]
-    pub fn of(server: &Server) -> Self {
+    pub fn from_server(server: &Server) -> Self {
         Self {
             service: server.service.clone(),
             name: Arc::clone(&server.name),
@@ -44,14 +44,14 @@
     /// The rate that it named; none where it named none.
     pub rate: Option<Rate>,
     /// The hub's grant by which the request was sent; none of this hub's where it was not.
-    pub mark: Mark,
+    pub grant_id: Mark,
 }
 
 /// What a gateway has to tell that its hub has not acknowledged.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Reports {
     /// Drawn when the gateway began: its numbers begin anew with it.
-    pub life: u64,
+    pub incarnation: u64,
     /// The words, in any order.
-    pub words: Vec<Report>,
+    pub reports: Vec<Report>,
 }
--- a/crates/core/src/limit/table.rs
+++ b/crates/core/src/limit/table.rs
@@ -36,7 +36,7 @@
     /// The requests a second that it takes.
     pub rate: Rate,
     /// The number of the hub's last grant that was given without regard to it.
-    pub from: u64,
+    pub last_unaware_grant: u64,
     /// Whether an answer to a grant of this hub has named it; what a former hub knew may have changed since.
     pub confirmed: bool,
 }
@@ -56,7 +56,7 @@
     /// The version that they lead to.
     pub version: u64,
     /// The version that they start from; none where they are the whole table.
-    pub former: Option<u64>,
+    pub base_version: Option<u64>,
     /// The changes between.
     pub changes: Vec<Change>,
 }
@@ -113,7 +113,7 @@
 
     /// Takes note of what a gateway tells, `last` being the number of the hub's last grant; gives the servers of which
     /// something was heard.
-    pub fn hear(
+    pub fn record(
         &mut self,
         host: &id::Host,
         words: &Reports,
@@ -122,10 +122,10 @@
     ) -> Vec<Change> {
         let mut touched = BTreeSet::new();
         let heard = self.heard.get(host);
-        let upto = heard.filter(|heard| heard.life == words.life);
+        let upto = heard.filter(|heard| heard.life == words.incarnation);
         // What is told again until it is acknowledged would undo what was heard in between.
         let upto = upto.map_or(0, |heard| heard.upto);
-        let news = words.words.iter().filter(|word| word.number > upto);
+        let news = words.reports.iter().filter(|word| word.number > upto);
         for word in news.clone() {
             touched.extend(self.make_room(word));
             if self.take(word, last, now) {
@@ -133,7 +133,7 @@
             }
         }
         let upto = news.map(|word| word.number).fold(upto, u64::max);
-        let life = words.life;
+        let life = words.incarnation;
         self.heard.insert(host.clone(), Heard { life, upto });
         touched.iter().map(|key| self.change(key)).collect()
     }
@@ -141,7 +141,8 @@
     /// Takes one word; whether it says something of a limit.
     fn take(&mut self, word: &Report, last: u64, now: Instant) -> bool {
         let entry = self.entries.get_mut(&word.key);
-        let is_newer = |entry: &Entry| word.mark.hub == self.hub && word.mark.number > entry.since;
+        let is_newer =
+            |entry: &Entry| word.grant_id.hub == self.hub && word.grant_id.number > entry.since;
         let Some(rate) = word.rate else {
             // An answer that may be older than the word says nothing.
             let lifts = entry.is_some_and(|entry| is_newer(entry));
@@ -151,7 +152,7 @@
             }
             return lifts;
         };
-        let confirmed = word.mark.hub == self.hub;
+        let confirmed = word.grant_id.hub == self.hub;
         if let Some(entry) = entry {
             entry.limit.confirmed |= confirmed;
             // Of two that may have been named in either order the one that allows less counts.
@@ -170,7 +171,7 @@
         }
         let limit = Limit {
             rate,
-            from: last,
+            last_unaware_grant: last,
             confirmed,
         };
         let entry = Entry {
@@ -205,7 +206,7 @@
     }
 
     /// The limits of a service's servers, and when each was last heard of.
-    pub fn of_service<'a>(
+    pub fn service_limits<'a>(
         &'a self,
         service: &'a id::Service,
     ) -> impl Iterator<Item = (&'a Key, &'a Limit, Instant)> {
@@ -233,14 +234,14 @@
 
     /// Whether a gateway that holds `version` of the table of the hub `hub` is behind.
     #[must_use]
-    pub fn is_news(&self, (hub, version): (u64, u64)) -> bool {
+    pub fn is_outdated(&self, (hub, version): (u64, u64)) -> bool {
         hub != self.hub || version != self.version
     }
 
     /// What leads from what a gateway holds to this table; none where it is this one.
     #[must_use]
-    pub fn since(&self, (hub, version): (u64, u64)) -> Option<Update> {
-        if !self.is_news((hub, version)) {
+    pub fn update_since(&self, (hub, version): (u64, u64)) -> Option<Update> {
+        if !self.is_outdated((hub, version)) {
             return None;
         }
         let missing = self.version.checked_sub(version);
@@ -256,13 +257,13 @@
         };
         Some(Update {
             version: self.version,
-            former: first.map(|_| version),
+            base_version: first.map(|_| version),
             changes,
         })
     }
 
     /// Forgets what was heard of gateways that are not among `hosts`.
-    pub fn keep(&mut self, is_known: impl Fn(&id::Host) -> bool) {
+    pub fn retain_gateways(&mut self, is_known: impl Fn(&id::Host) -> bool) {
         self.heard.retain(|host, _| is_known(host));
     }
 }
--- a/crates/core/src/limit/warmup.rs
+++ b/crates/core/src/limit/warmup.rs
@@ -8,14 +8,14 @@
     /// By how much its rate may be exceeded, as a factor of 1 or more.
     pub factor: f64,
     /// How many requests in a second it bears on top.
-    pub on_top: f64,
+    pub extra_requests: f64,
 }
 
 impl Default for Slack {
     fn default() -> Self {
         Self {
             factor: 1.0,
-            on_top: 0.0,
+            extra_requests: 0.0,
         }
     }
 }
@@ -59,9 +59,9 @@
     #[must_use]
     pub fn new(rate: Rate, slack: Slack) -> Self {
         let rate = rate.as_f64();
-        let depth = (slack.on_top * AT_ONCE).max(1.0);
+        let depth = (slack.extra_requests * AT_ONCE).max(1.0);
         let most = rate * slack.factor;
-        let within = (most + slack.on_top - depth).max(0.0);
+        let within = (most + slack.extra_requests - depth).max(0.0);
         let flow = |rate: f64| Flow {
             rate: rate.min(within),
             depth,
--- a/crates/core/src/pool/servers.rs
+++ b/crates/core/src/pool/servers.rs
@@ -70,7 +70,7 @@
     #[must_use]
     pub fn of_all(self) -> Self {
         Self {
-            limits: RateLimiter::giving(),
+            limits: RateLimiter::granting(),
             ..self
         }
     }
@@ -90,7 +90,7 @@
         if !self.limits.is_empty() {
             let names = self.servers.all().map(|known| &*known.server.name);
             let names: HashSet<_> = names.collect();
-            self.limits.keep(|name| names.contains(name));
+            self.limits.retain_servers(|name| names.contains(name));
         }
     }
 
@@ -212,7 +212,7 @@
 
     /// A server has named its limit, or names none any more.
     pub fn set_limit(&mut self, key: &Key, limit: Option<&Limit>, now: Instant) {
-        self.limits.set(key, limit, now);
+        self.limits.set_limit(key, limit, now);
     }
 
     /// Servers may be cold at times, and get no more than this; none where that makes no difference.
@@ -366,7 +366,7 @@
             self.spend_at(place);
             // A server's limit is over all hosts, of which each sees its own part only: it is kept where all places
             // are given.
-            let drawn = self.limits.draw(&self.servers.at(place).server, now);
+            let drawn = self.limits.acquire(&self.servers.at(place).server, now);
             self.servers.update_at(place, |known| {
                 known.trust.given(now);
                 known.begin(ask.prompt);
--- a/crates/core/tests/cold_servers.rs
+++ b/crates/core/tests/cold_servers.rs
@@ -35,7 +35,7 @@
 
 const SLACK: Slack = Slack {
     factor: 1.5,
-    on_top: 5.0,
+    extra_requests: 5.0,
 };
 
 /// What a server with a rate of 10 bears in a second.
--- a/crates/core/tests/limit_words.rs
+++ b/crates/core/tests/limit_words.rs
@@ -31,7 +31,7 @@
 }
 
 fn named(text: &str) -> Announcement {
-    Announcement::Named(rate(text))
+    Announcement::Limited(rate(text))
 }
 
 fn mark(number: u64) -> Mark {
@@ -60,21 +60,24 @@
         let server = life(name, 1);
         let word = Report {
             number: self.number,
-            key: Key::of(&server),
+            key: Key::from_server(&server),
             rate: limit.map(rate),
-            mark: mark(by),
+            grant_id: mark(by),
         };
         self.tell(vec![word], last);
     }
 
     fn tell(&mut self, words: Vec<Report>, last: u64) {
-        let words = Reports { life: 1, words };
-        self.table.hear(&host(), &words, last, at(0));
+        let words = Reports {
+            incarnation: 1,
+            reports: words,
+        };
+        self.table.record(&host(), &words, last, at(0));
     }
 
     fn limit(&self, name: &str) -> Option<String> {
         let service = "chat".parse().expect("a name");
-        let mut limits = self.table.of_service(&service);
+        let mut limits = self.table.service_limits(&service);
         let limit = limits.find(|(key, ..)| *key.name == *name);
         limit.map(|(_, limit, _)| limit.rate.to_string())
     }
@@ -108,9 +111,9 @@
     for (number, mark) in [(2, Mark { hub: 1, number: 99 }), (3, Mark::default())] {
         let word = Report {
             number,
-            key: Key::of(&server),
+            key: Key::from_server(&server),
             rate: None,
-            mark,
+            grant_id: mark,
         };
         hub.tell(vec![word], 100);
     }
@@ -122,13 +125,13 @@
 fn told_again() {
     let mut hub = Hub::new();
     let mut local = LocalReports::new(1);
-    local.hear(&life("s", 1), &named("3"), mark(1), at(0), at(1));
-    let words = local.words();
-    hub.tell(words.words.clone(), 1);
+    local.record_response(&life("s", 1), &named("3"), mark(1), at(0), at(1));
+    let words = local.pending_reports();
+    hub.tell(words.reports.clone(), 1);
     assert!(hub.limit("s").is_some());
     hub.number = 1;
     hub.hear("s", None, 2, 2);
-    hub.tell(words.words, 3);
+    hub.tell(words.reports, 3);
     assert_eq!(hub.limit("s"), None);
 }
 
@@ -137,33 +140,33 @@
 fn kept_until_lifted() {
     let server = life("s", 1);
     let (mut local, mut first) = (LocalReports::new(1), Table::new(1));
-    local.hear(&server, &named("3"), Mark::default(), at(0), at(1));
-    assert!(local.closes(&server, mark(1)));
+    local.record_response(&server, &named("3"), Mark::default(), at(0), at(1));
+    assert!(local.blocks(&server, mark(1)));
     // Neither its own answers lift it, whatever their order, nor that the hub knows of it.
-    local.hear(
+    local.record_response(
         &server,
-        &Announcement::Nothing,
+        &Announcement::NoLimit,
         Mark::default(),
         at(0),
         at(2),
     );
-    assert!(local.closes(&server, mark(1)));
-    let upto = local.get_last();
-    first.hear(&host(), &local.words(), 9, at(3));
-    let _ = local.heard(1, upto, None, at(4));
-    assert!(local.words().words.is_empty());
-    assert!(local.closes(&server, Mark { hub: 1, number: 9 }));
+    assert!(local.blocks(&server, mark(1)));
+    let upto = local.get_last_number();
+    first.record(&host(), &local.pending_reports(), 9, at(3));
+    let _ = local.apply_reply(1, upto, None, at(4));
+    assert!(local.pending_reports().reports.is_empty());
+    assert!(local.blocks(&server, Mark { hub: 1, number: 9 }));
     first.publish(at(5));
-    let news = first.since(local.get_held());
-    let _ = local.heard(1, upto, news.as_ref(), at(6));
-    assert!(local.closes(&server, Mark { hub: 1, number: 9 }));
+    let news = first.update_since(local.get_table_version());
+    let _ = local.apply_reply(1, upto, news.as_ref(), at(6));
+    assert!(local.blocks(&server, Mark { hub: 1, number: 9 }));
     let later = Mark { hub: 1, number: 10 };
-    assert!(!local.closes(&server, later), "given once it was known");
+    assert!(!local.blocks(&server, later), "given once it was known");
     // The next hub is told.
-    let news = Table::new(2).since(local.get_held());
-    let _ = local.heard(2, upto, news.as_ref(), at(7));
-    assert!(local.closes(&server, later));
-    assert_eq!(local.words().words.len(), 1);
+    let news = Table::new(2).update_since(local.get_table_version());
+    let _ = local.apply_reply(2, upto, news.as_ref(), at(7));
+    assert!(local.blocks(&server, later));
+    assert_eq!(local.pending_reports().reports.len(), 1);
 }
 
 /// Gateways are told changes, and those that are behind too far the whole; not more often than four times a second,
@@ -176,13 +179,13 @@
     hub.hear("t", Some("3"), 2, 2);
     assert!(!hub.table.publish(at(249)));
     assert!(hub.table.publish(at(250)));
-    let news = hub.table.since((HUB, 1)).expect("it is behind");
-    assert_eq!((news.former, news.changes.len()), (Some(1), 1));
-    let whole = hub.table.since((1, 1)).expect("of another hub");
-    assert_eq!((whole.former, whole.changes.len()), (None, 2));
+    let news = hub.table.update_since((HUB, 1)).expect("it is behind");
+    assert_eq!((news.base_version, news.changes.len()), (Some(1), 1));
+    let whole = hub.table.update_since((1, 1)).expect("of another hub");
+    assert_eq!((whole.base_version, whole.changes.len()), (None, 2));
     hub.hear("t", Some("3.1"), 3, 3);
     assert!(!hub.table.publish(at(900)));
-    assert_eq!(hub.table.since((HUB, 2)), None);
+    assert_eq!(hub.table.update_since((HUB, 2)), None);
     hub.hear("t", Some("4"), 4, 4);
     assert!(hub.table.publish(at(900)));
 }
@@ -195,20 +198,23 @@
         hub.hear(&format!("s{number}"), Some("3"), number, number);
     }
     let service = "chat".parse().expect("a name");
-    assert_eq!(hub.table.of_service(&service).count(), 4_096);
+    assert_eq!(hub.table.service_limits(&service).count(), 4_096);
     let mut local = LocalReports::new(1);
-    let odd = Announcement::Odd("few".to_owned());
+    let odd = Announcement::Invalid("few".to_owned());
     let server = life("s", 1);
-    let said = local.hear(&server, &odd, mark(1), at(0), at(1));
+    let said = local.record_response(&server, &odd, mark(1), at(0), at(1));
     assert_eq!(said, Some(odd.clone()));
-    assert_eq!(local.hear(&server, &odd, mark(2), at(1), at(2)), None);
-    assert!(!local.closes(&server, mark(1)) && local.words().words.is_empty());
+    assert_eq!(
+        local.record_response(&server, &odd, mark(2), at(1), at(2)),
+        None
+    );
+    assert!(!local.blocks(&server, mark(1)) && local.pending_reports().reports.is_empty());
 }
 
 fn limit(text: &str) -> Limit {
     Limit {
         rate: rate(text),
-        from: 0,
+        last_unaware_grant: 0,
         confirmed: true,
     }
 }
@@ -218,7 +224,7 @@
     let times = (0..seconds * 100).map(|step| at(from + step * 10));
     let got = times.filter(|now| {
         let admits = ledger.admits(server, *now);
-        admits && ledger.draw(server, *now)
+        admits && ledger.acquire(server, *now)
     });
     got.count()
 }
@@ -229,13 +235,13 @@
 fn gets_what_it_names() {
     let server = life("s", 1);
     for (named, got) in [("0", 2), ("0.2", 2), ("3", 30), ("40", 400)] {
-        let mut ledger = RateLimiter::giving();
-        ledger.set(&Key::of(&server), Some(&limit(named)), at(0));
+        let mut ledger = RateLimiter::granting();
+        ledger.set_limit(&Key::from_server(&server), Some(&limit(named)), at(0));
         let got_of = gets(&mut ledger, &server, 0, 10);
         assert!(got_of <= got && got_of + 2 >= got, "{named}: {got_of}");
     }
     let mut closed = RateLimiter::closed();
-    closed.set(&Key::of(&server), Some(&limit("40")), at(0));
+    closed.set_limit(&Key::from_server(&server), Some(&limit("40")), at(0));
     assert_eq!(gets(&mut closed, &server, 0, 10), 0);
 }
 
@@ -245,22 +251,22 @@
     let (former, next) = (life("s", 1), life("s", 2));
     for (met, is_held) in [(4_999, true), (5_000, false)] {
         let mut local = LocalReports::new(1);
-        local.hear(&former, &named("3"), mark(1), at(0), at(0));
-        local.meet([&next].into_iter(), at(met));
-        assert_eq!(local.closes(&next, mark(2)), is_held, "{met}");
+        local.record_response(&former, &named("3"), mark(1), at(0), at(0));
+        local.observe_servers([&next].into_iter(), at(met));
+        assert_eq!(local.blocks(&next, mark(2)), is_held, "{met}");
     }
     // What is told late of the former one says nothing of the next, and both together get what one does.
-    let mut ledger = RateLimiter::giving();
+    let mut ledger = RateLimiter::granting();
     for server in [&former, &next] {
-        ledger.set(&Key::of(server), Some(&limit("3")), at(0));
+        ledger.set_limit(&Key::from_server(server), Some(&limit("3")), at(0));
     }
     let times = (0..1_000).map(|step| (step, at(step * 10)));
     let got = times.filter(|(step, now)| {
         let server = if step % 2 == 0 { &former } else { &next };
-        ledger.admits(server, *now) && ledger.draw(server, *now)
+        ledger.admits(server, *now) && ledger.acquire(server, *now)
     });
     assert!(got.count() <= 30);
-    ledger.set(&Key::of(&former), None, at(10_000));
+    ledger.set_limit(&Key::from_server(&former), None, at(10_000));
     assert!(ledger.admits(&former, at(10_000)) && ledger.rate(&next).is_some());
 }
 
@@ -269,13 +275,13 @@
 #[test]
 fn unconfirmed() {
     let server = life("s", 1);
-    let mut ledger = RateLimiter::giving();
+    let mut ledger = RateLimiter::granting();
     let told = Limit {
         confirmed: false,
         ..limit("40")
     };
-    ledger.set(&Key::of(&server), Some(&told), at(0));
+    ledger.set_limit(&Key::from_server(&server), Some(&told), at(0));
     assert_eq!(gets(&mut ledger, &server, 0, 4), 1);
-    ledger.set(&Key::of(&server), Some(&limit("40")), at(4_000));
+    ledger.set_limit(&Key::from_server(&server), Some(&limit("40")), at(4_000));
     assert!(gets(&mut ledger, &server, 4_000, 1) >= 38);
 }
--- a/crates/core/tests/support/limited.rs
+++ b/crates/core/tests/support/limited.rs
@@ -307,7 +307,7 @@
     pub(crate) fn is_limited_anywhere(&self) -> bool {
         self.nodes
             .iter()
-            .any(|node| node.limits.all().next().is_some())
+            .any(|node| node.limits.all_limits().next().is_some())
     }
 
     /// The hub is gone, and another one begins after so long.
@@ -370,7 +370,7 @@
             let node = &mut self.nodes[place];
             node.pool.adopt(servers.clone());
             let servers = servers.iter().map(|server| &**server);
-            let met = node.limits.meet(servers, self.now);
+            let met = node.limits.observe_servers(servers, self.now);
             self.limit(place, met);
         }
         if let Some((_, hub)) = &mut self.hub {
@@ -418,15 +418,15 @@
             let node = &mut self.nodes[place];
             node.asks = self.now + CALL;
             let question = Question {
-                limits: node.limits.words(),
-                limits_held: node.limits.get_held(),
+                limits: node.limits.pending_reports(),
+                limits_held: node.limits.get_table_version(),
                 ..messages::question(&node.host)
             };
             self.talks.push(Talk {
                 gateway: place,
                 asked: self.now,
                 due,
-                told: node.limits.get_last(),
+                told: node.limits.get_last_number(),
                 says: Says::Asks(Box::new(question)),
             });
         }
@@ -468,7 +468,7 @@
         node.asks = now + pause;
         node.hub = Some((reply.hub, now));
         let news = reply.limits.as_ref();
-        let changes = node.limits.heard(reply.hub, told, news, now);
+        let changes = node.limits.apply_reply(reply.hub, told, news, now);
         self.limit(place, changes);
     }
 
@@ -641,7 +641,7 @@
         let looks = self.flaw != Some(Flaw::NoLookAtPlace);
         let server = Arc::new(grant.server.clone());
         let node = &mut self.nodes[place];
-        let is_beyond = !grant.drawn && node.limits.closes(&server, grant.mark);
+        let is_beyond = !grant.drawn && node.limits.blocks(&server, grant.mark);
         let is_beyond = is_beyond && looks;
         if is_late || is_beyond || !node.pool.take(&server, Tokens(0), now) {
             self.refused += 1;
@@ -661,7 +661,7 @@
         let due = self.now + self.millis(1, 4);
         let is_drawn = grant.as_ref().is_some_and(|grant| grant.drawn);
         let mark = grant.as_ref().map_or(Mark::default(), |grant| grant.mark);
-        let is_beyond = !is_drawn && self.nodes[place].limits.closes(&server, mark);
+        let is_beyond = !is_drawn && self.nodes[place].limits.blocks(&server, mark);
         let looks = !matches!(
             self.flaw,
             Some(Flaw::NoLastLook | Flaw::NoLookAtPlace | Flaw::Alone)
@@ -710,7 +710,7 @@
         self.beyond = self.beyond.max(engine.beyond(now));
         let life = engine.life;
         let Some(limit) = engine.limit else {
-            let said = Announcement::Nothing;
+            let said = Announcement::NoLimit;
             let word = Word {
                 said,
                 life,
@@ -721,10 +721,10 @@
         self.limited += 1;
         let limit = if engine.changes { other } else { limit };
         let said = match limit.parse() {
-            Ok(rate) => Announcement::Named(rate),
-            Err(_) => Announcement::Odd(limit.to_owned()),
+            Ok(rate) => Announcement::Limited(rate),
+            Err(_) => Announcement::Invalid(limit.to_owned()),
         };
-        if let Announcement::Named(rate) = &said {
+        if let Announcement::Limited(rate) = &said {
             engine.first.get_or_insert(now);
             engine.named.push(Named {
                 at: now,
@@ -754,7 +754,7 @@
         let engine = (0..SERVERS).find(is_its).expect("it is there");
         let engine = &mut self.engines[engine];
         let is_its_own = word.life == engine.life && engine.limit.is_some();
-        if matches!(word.said, Announcement::Named(_)) && is_its_own {
+        if matches!(word.said, Announcement::Limited(_)) && is_its_own {
             engine.told.entry(place).or_insert(now);
             let said = engine.named.iter_mut().filter(|named| named.at == word.at);
             for named in said {
@@ -770,8 +770,9 @@
             _ => mark,
         };
         let node = &mut self.nodes[place];
-        node.limits.hear(server, &word.said, mark, given, now);
-        let key = Key::of(server);
+        node.limits
+            .record_response(server, &word.said, mark, given, now);
+        let key = Key::from_server(server);
         let limit = node.limits.get(&key);
         self.limit(place, vec![Change { key, limit }]);
     }
@@ -791,7 +792,7 @@
         let node = &self.nodes[place];
         let report = Report {
             loads: node.pool.loads().collect(),
-            limits: node.limits.words(),
+            limits: node.limits.pending_reports(),
             ..messages::report(&node.host)
         };
         if let Some((_, hub)) = &mut self.hub {
--- a/crates/curlewlift/src/gateway/place.rs
+++ b/crates/curlewlift/src/gateway/place.rs
@@ -174,10 +174,10 @@
     pub(super) fn limited(&self, said: &Announcement) {
         let now = self.node.now();
         let mut limits = self.node.limits.borrow_mut();
-        let news = limits.hear(&self.server, said, self.mark(), self.given, now);
+        let news = limits.record_response(&self.server, said, self.mark(), self.given, now);
         let change = Change {
-            key: Key::of(&self.server),
-            limit: limits.get(&Key::of(&self.server)),
+            key: Key::from_server(&self.server),
+            limit: limits.get(&Key::from_server(&self.server)),
         };
         drop(limits);
         self.node.limit(std::iter::once(change));
@@ -190,7 +190,7 @@
     /// What is known here of the server's limit.
     pub(super) fn get_limit(&self) -> Announcement {
         let rate = self.node.limits.borrow().rate(&self.server);
-        rate.map_or(Announcement::Nothing, Announcement::Named)
+        rate.map_or(Announcement::NoLimit, Announcement::Limited)
     }
 
     /// Writes what is new of what the server said of itself.
@@ -223,7 +223,7 @@
         }
         let is_drawn = self.grant.as_ref().is_some_and(|grant| grant.drawn);
         let limits = self.node.limits.borrow();
-        if !is_drawn && limits.closes(&self.server, self.mark()) {
+        if !is_drawn && limits.blocks(&self.server, self.mark()) {
             return true;
         }
         let now = self.node.now();
@@ -266,8 +266,8 @@
 /// Adds to a line what a server said of its limit.
 pub(super) fn log_limit(line: Line, said: &Announcement) -> Line {
     match said {
-        Announcement::Nothing => line.with("limit", None::<f64>),
-        Announcement::Named(rate) => line.with("limit", rate.as_f64()),
-        Announcement::Odd(odd) => line.with("odd", odd.as_str()),
+        Announcement::NoLimit => line.with("limit", None::<f64>),
+        Announcement::Limited(rate) => line.with("limit", rate.as_f64()),
+        Announcement::Invalid(odd) => line.with("odd", odd.as_str()),
     }
 }
--- a/crates/curlewlift/src/gateway/places.rs
+++ b/crates/curlewlift/src/gateway/places.rs
@@ -196,9 +196,9 @@
         let met = self
             .limits
             .borrow_mut()
-            .meet(std::iter::once(&*server), now);
+            .observe_servers(std::iter::once(&*server), now);
         self.limit(met.into_iter());
-        let is_beyond = !grant.drawn && self.limits.borrow().closes(&server, grant.mark);
+        let is_beyond = !grant.drawn && self.limits.borrow().blocks(&server, grant.mark);
         let is_evacuated = self.policy.borrow().closes(&server.hall);
         let is_closed = is_beyond || is_evacuated;
         let take = |service: &mut Service| {
@@ -287,7 +287,7 @@
             loads: node.loads(),
             ends,
             observed: node.quarantine.borrow().get_evidence().untold().0,
-            limits: node.limits.borrow().words(),
+            limits: node.limits.borrow().pending_reports(),
         };
         let call = RenewCall::Hub(HubCall::Tell(report));
         let told: Result<HubReply, Refusal> =
--- a/crates/curlewlift/src/gateway/services.rs
+++ b/crates/curlewlift/src/gateway/services.rs
@@ -44,8 +44,11 @@
         drop(policy);
         drop(services);
         let servers = self.holding.borrow().get_subset().servers.clone();
-        let _ = self.limits.borrow_mut().meet(servers.iter(), now);
-        self.limit(self.limits.borrow().all());
+        let _ = self
+            .limits
+            .borrow_mut()
+            .observe_servers(servers.iter(), now);
+        self.limit(self.limits.borrow().all_limits());
         self.serve_all();
     }
 
--- a/crates/curlewlift/src/gateway/sync.rs
+++ b/crates/curlewlift/src/gateway/sync.rs
@@ -106,7 +106,7 @@
     let most = CALL + node.hub.borrow().wait.max(WAIT);
     let question = question(node);
     let (_, told) = node.quarantine.borrow().get_evidence().untold();
-    let told_limits = node.limits.borrow().get_last();
+    let told_limits = node.limits.borrow().get_last_number();
     let call = RenewCall::Hub(HubCall::Ask(Box::new(question)));
     let reply: Result<HubReply, Refusal> = node.rpc.call(address, Method::Renew, &call, most).await;
     match reply {
@@ -117,7 +117,8 @@
         Ok(HubReply::News(reply)) => {
             node.quarantine.borrow_mut().heard(reply.hub, told);
             let mut limits = node.limits.borrow_mut();
-            let changes = limits.heard(reply.hub, told_limits, reply.limits.as_ref(), node.now());
+            let changes =
+                limits.apply_reply(reply.hub, told_limits, reply.limits.as_ref(), node.now());
             drop(limits);
             node.limit(changes.into_iter());
             take(node, around, address, asked, *reply);
@@ -186,8 +187,8 @@
         got: hub.got,
         quarantine: quarantine.get_version(),
         observed: quarantine.get_evidence().untold().0,
-        limits: limits.words(),
-        limits_held: limits.get_held(),
+        limits: limits.pending_reports(),
+        limits_held: limits.get_table_version(),
         fetched: fetched.cloned(),
     }
 }
--- a/crates/curlewlift/src/platform/heads.rs
+++ b/crates/curlewlift/src/platform/heads.rs
@@ -156,16 +156,16 @@
 
 /// What the server says of its limit: where it is given more than once, the least that can be read.
 fn limit(headers: &HeaderMap) -> Announcement {
-    let mut limit = Announcement::Nothing;
+    let mut limit = Announcement::NoLimit;
     for value in headers.get_all(LIMIT) {
         let text = String::from_utf8_lossy(value.as_bytes());
         let rate: Result<Rate, _> = text.parse();
         limit = match (limit, rate) {
-            (Announcement::Named(former), Ok(rate)) if former <= rate => {
-                Announcement::Named(former)
+            (Announcement::Limited(former), Ok(rate)) if former <= rate => {
+                Announcement::Limited(former)
             }
-            (_, Ok(rate)) => Announcement::Named(rate),
-            (Announcement::Nothing, Err(InvalidRate(odd))) => Announcement::Odd(odd),
+            (_, Ok(rate)) => Announcement::Limited(rate),
+            (Announcement::NoLimit, Err(InvalidRate(odd))) => Announcement::Invalid(odd),
             (limit, Err(_)) => limit,
         };
     }
--- a/crates/curlewlift/src/platform/heads/tests.rs
+++ b/crates/curlewlift/src/platform/heads/tests.rs
@@ -73,7 +73,7 @@
 
 #[test]
 fn names_limit() {
-    let named = |text: &str| Announcement::Named(text.parse().expect("a rate"));
+    let named = |text: &str| Announcement::Limited(text.parse().expect("a rate"));
     for text in ["0", "0.2", "3", "1e9"] {
         assert_eq!(limits(&[text]), named(text));
     }
@@ -81,12 +81,12 @@
     assert_eq!(limits(&["4", "2", "3"]), named("2"));
     assert_eq!(limits(&["none", "2"]), named("2"));
     assert_eq!(limits(&["2", "none"]), named("2"));
-    assert_eq!(limits(&[]), Announcement::Nothing);
+    assert_eq!(limits(&[]), Announcement::NoLimit);
 }
 
 #[test]
 fn odd_limits() {
     for odd in ["", "few", "-3", "NaN", "inf", "3 a second", "1,5"] {
-        assert_eq!(limits(&[odd]), Announcement::Odd(odd.to_owned()));
+        assert_eq!(limits(&[odd]), Announcement::Invalid(odd.to_owned()));
     }
 }
--- a/crates/curlewlift/src/platform/settings.rs
+++ b/crates/curlewlift/src/platform/settings.rs
@@ -268,7 +268,7 @@
     pub(super) fn cold(&self) -> limit::Slack {
         limit::Slack {
             factor: self.bounds.cold_factor,
-            on_top: self.bounds.cold_on_top,
+            extra_requests: self.bounds.cold_on_top,
         }
     }
 
