--- a/crates/core/src/gateway/hub.rs
+++ b/crates/core/src/gateway/hub.rs
@@ -199,7 +199,7 @@
             self.table = table.get_number();
             let accounts = table.accounts();
             let accounts = accounts.map(|account| (&account.name, account.allowance));
-            self.desk.adopt(accounts, now);
+            self.desk.set_quotas(accounts, now);
             let services = table.get_services().iter();
             let warmups = services.filter_map(|(service, provider)| {
                 let rate = provider.cold_rate?;
@@ -212,7 +212,7 @@
     /// Says that the table that was taken up is the first of all, so that nobody has used anything.
     pub fn first_table(&mut self, now: Instant) {
         self.set_present(now);
-        self.desk.begin_full(now);
+        self.desk.fill_all(now);
     }
 
     /// Takes up a newer list of backend servers.
--- a/crates/core/src/gateway/places.rs
+++ b/crates/core/src/gateway/places.rs
@@ -58,7 +58,7 @@
         }
         self.set_present(now);
         if let Some(charge) = &want.charge {
-            if let Err(wait) = self.desk.draw(charge, now) {
+            if let Err(wait) = self.desk.acquire(charge, now) {
                 self.give_back(given, now);
                 return Wanted::Beyond(wait);
             }
@@ -96,7 +96,7 @@
         let served = served.map(|(ticket, grant, given)| {
             self.trials.given(&grant.server);
             if let Some(charge) = given.charge {
-                self.desk.spent(&charge, now);
+                self.desk.commit(&charge, now);
             }
             (ticket, grant)
         });
@@ -122,7 +122,7 @@
     /// Takes back what a request was given that got no server.
     fn give_back(&mut self, given: Given, now: Instant) {
         if let Some(charge) = given.charge {
-            self.desk.give_back(&charge, now);
+            self.desk.refund(&charge, now);
         }
         if let Some(permit) = given.permit {
             self.cases.give_back(&permit);
@@ -135,7 +135,7 @@
     /// Sets aside what gateways that are not heard may be letting in by themselves.
     pub(super) fn set_present(&mut self, now: Instant) {
         let present = self.deputies.present(now);
-        self.desk.set_present(present, now);
+        self.desk.set_hub_share(present, now);
     }
 
     /// What only the passing of time brings: gateways fall silent, and their parts are set aside.
--- a/crates/core/src/gateway/retries.rs
+++ b/crates/core/src/gateway/retries.rs
@@ -45,14 +45,14 @@
         if account.fill(rate, depth, now) < 1.0 {
             return false;
         }
-        account.draw(1.0);
+        account.charge(1.0);
         true
     }
 
     /// One that was drawn was not sent.
     pub(super) fn give_back(&mut self, service: &id::Service) {
         if let Some(account) = self.accounts.get_mut(service) {
-            account.draw(-1.0);
+            account.charge(-1.0);
         }
     }
 }
--- a/crates/core/src/limit/limiter.rs
+++ b/crates/core/src/limit/limiter.rs
@@ -205,7 +205,7 @@
             return false;
         };
         bucket.fill(flow.rate, flow.depth, now);
-        bucket.draw(1.0);
+        bucket.charge(1.0);
         let account = self.accounts.entry(Arc::clone(&server.name));
         let account = account.or_insert_with(|| Account::new(now));
         account.bucket = bucket;
--- a/crates/core/src/quota/bucket.rs
+++ b/crates/core/src/quota/bucket.rs
@@ -25,7 +25,7 @@
     }
 
     /// Says that it is filled from `since` on, and was not before.
-    pub fn begin(&mut self, since: Instant) {
+    pub fn start_at(&mut self, since: Instant) {
         self.at = self.at.max(since);
     }
 
@@ -36,12 +36,12 @@
     }
 
     /// Takes `amount` out.
-    pub fn draw(&mut self, amount: f64) {
+    pub fn charge(&mut self, amount: f64) {
         self.level -= amount;
     }
 
     /// Lowers the level to `level`, where it is higher.
-    pub fn lower(&mut self, level: f64) {
+    pub fn cap(&mut self, level: f64) {
         self.level = self.level.min(level);
     }
 }
--- a/crates/core/src/quota/limiter.rs
+++ b/crates/core/src/quota/limiter.rs
@@ -34,7 +34,7 @@
 
     fn fill(&mut self, tolerance: &Tolerance, present: f64, now: Instant) {
         let depth = self.depth(present);
-        let rate = tolerance.rate(&self.allowance) * present;
+        let rate = tolerance.fill_rate(&self.allowance) * present;
         self.bucket.fill(rate, depth, now);
     }
 }
@@ -55,7 +55,7 @@
 impl Limiter {
     /// A desk with nothing in its buckets, where so much more than an allowance may be let in.
     ///
-    /// It fills nothing before [`Limiter::set_present`] was told who is there.
+    /// It fills nothing before [`Limiter::set_hub_share`] was told who is there.
     #[must_use]
     pub fn new(tolerance: Tolerance) -> Self {
         Self {
@@ -66,7 +66,7 @@
     }
 
     /// Takes up the allowances of a table; a bucket never holds more than its burst.
-    pub fn adopt<'a>(
+    pub fn set_quotas<'a>(
         &mut self,
         accounts: impl Iterator<Item = (&'a id::Customer, Allowance)>,
         now: Instant,
@@ -80,14 +80,14 @@
                 waiting: 0.0,
             });
             held.allowance = allowance;
-            held.bucket.lower(held.depth(self.present));
+            held.bucket.cap(held.depth(self.present));
             (customer.clone(), held)
         });
         self.held = next.collect();
     }
 
     /// Says that nobody can have let anything in before `now`.
-    pub fn begin_full(&mut self, now: Instant) {
+    pub fn fill_all(&mut self, now: Instant) {
         for held in self.held.values_mut() {
             let depth = held.depth(self.present);
             held.bucket = Bucket::new(depth, now);
@@ -95,7 +95,7 @@
     }
 
     /// Says which part (0 to 1) of the allowances is the desk's own at `now`; the rest is set aside.
-    pub fn set_present(&mut self, present: f64, now: Instant) {
+    pub fn set_hub_share(&mut self, present: f64, now: Instant) {
         if (present - self.present).abs() < f64::EPSILON {
             return;
         }
@@ -110,7 +110,7 @@
     /// # Errors
     ///
     /// After how long there is enough, if nobody else draws.
-    pub fn draw(&mut self, charge: &Charge, now: Instant) -> Result<(), Duration> {
+    pub fn acquire(&mut self, charge: &Charge, now: Instant) -> Result<(), Duration> {
         let Some(held) = self.held.get_mut(&charge.customer) else {
             return Ok(());
         };
@@ -119,17 +119,17 @@
         // A request that counts more than a bucket holds needs a full one.
         let missing = cost.min(held.allowance.burst) - held.bucket.level();
         if missing > 0.0 {
-            let rate = self.tolerance.rate(&held.allowance) * self.present;
+            let rate = self.tolerance.fill_rate(&held.allowance) * self.present;
             let wait = Duration::try_from_secs_f64(missing / rate);
             return Err(wait.unwrap_or(NOTHING_FILLS).min(NOTHING_FILLS));
         }
-        held.bucket.draw(cost);
+        held.bucket.charge(cost);
         held.waiting += cost;
         Ok(())
     }
 
     /// Takes note that a request is sent whose count was drawn here.
-    pub fn spent(&mut self, charge: &Charge, now: Instant) {
+    pub fn commit(&mut self, charge: &Charge, now: Instant) {
         if let Some(held) = self.held.get_mut(&charge.customer) {
             held.fill(&self.tolerance, self.present, now);
             held.waiting = (held.waiting - amount(charge.cost)).max(0.0);
@@ -137,12 +137,12 @@
     }
 
     /// Gives back what a request counted that was drawn here and surely is not sent.
-    pub fn give_back(&mut self, charge: &Charge, now: Instant) {
+    pub fn refund(&mut self, charge: &Charge, now: Instant) {
         if let Some(held) = self.held.get_mut(&charge.customer) {
             held.fill(&self.tolerance, self.present, now);
             held.waiting = (held.waiting - amount(charge.cost)).max(0.0);
-            held.bucket.draw(-amount(charge.cost));
-            held.bucket.lower(held.depth(self.present));
+            held.bucket.charge(-amount(charge.cost));
+            held.bucket.cap(held.depth(self.present));
         }
     }
 
--- a/crates/core/src/quota/local.rs
+++ b/crates/core/src/quota/local.rs
@@ -43,10 +43,10 @@
 impl Own {
     /// Fills both for a gateway that holds `part`; `alone` tells since when the other one is filled too.
     fn fill(&mut self, tolerance: &Tolerance, part: f64, alone: Option<Instant>, now: Instant) {
-        let (rate, depth) = tolerance.spare(&self.allowance);
+        let (rate, depth) = tolerance.local_reserve(&self.allowance);
         self.spare.fill(rate * part, depth * part, now);
         if let Some(since) = alone {
-            self.alone.begin(since);
+            self.alone.start_at(since);
             let (rate, depth) = (self.allowance.rate, self.allowance.burst);
             self.alone.fill(rate * part, depth * part, now);
         }
@@ -79,8 +79,8 @@
 
     /// Takes up the hub's answer to a question that was sent at `asked`: the gateway has this part (0 to
     /// 1) from now on, and what it held of the allowances themselves is the hub's again.
-    pub fn heard(&mut self, part: f64, asked: Instant, now: Instant) {
-        let former = self.get_part(now);
+    pub fn set_share(&mut self, part: f64, asked: Instant, now: Instant) {
+        let former = self.get_share(now);
         if former <= 0.0 {
             self.since = now;
             self.own.clear();
@@ -94,24 +94,24 @@
                 own.alone = Bucket::new(0.0, now);
             }
         }
-        self.part.heard(part, asked);
+        self.part.set(part, asked);
     }
 
     /// The part that it holds at `now`; 0 where it holds none any more.
     #[must_use]
-    pub fn get_part(&self, now: Instant) -> f64 {
+    pub fn get_share(&self, now: Instant) -> f64 {
         self.part.get(now)
     }
 
     /// Since when it lets in by its part of the allowances themselves.
     fn alone(&self, now: Instant) -> Option<Instant> {
-        let asked = self.part.get_asked()?;
+        let asked = self.part.get_requested_at()?;
         (now.since(asked) >= LOCAL_QUOTA_DELAY).then(|| asked + LOCAL_QUOTA_DELAY)
     }
 
     /// Whether a request is let in; if so it is counted.
-    pub fn draw(&mut self, charge: &Charge, allowance: &Allowance, now: Instant) -> bool {
-        let part = self.get_part(now);
+    pub fn acquire(&mut self, charge: &Charge, allowance: &Allowance, now: Instant) -> bool {
+        let part = self.get_share(now);
         if part <= 0.0 {
             return false;
         }
@@ -129,8 +129,8 @@
         if spare + own.alone.level().max(0.0) < cost {
             return false;
         }
-        own.spare.draw(cost.min(spare));
-        own.alone.draw((cost - spare).max(0.0));
+        own.spare.charge(cost.min(spare));
+        own.alone.charge((cost - spare).max(0.0));
         true
     }
 }
--- a/crates/core/src/quota/share.rs
+++ b/crates/core/src/quota/share.rs
@@ -13,10 +13,10 @@
 /// use curlewlift_core::quota::SHARE_LIFETIME;
 /// use curlewlift_core::quota::Share;
 /// let asked = Instant::default();
-/// let mut part = Share::default();
-/// part.heard(0.25, asked);
-/// assert!(part.get(asked) > 0.2);
-/// assert!(part.get(asked + SHARE_LIFETIME) <= 0.0);
+/// let mut share = Share::default();
+/// share.set(0.25, asked);
+/// assert!(share.get(asked) > 0.2);
+/// assert!(share.get(asked + SHARE_LIFETIME) <= 0.0);
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Share {
@@ -27,14 +27,14 @@
 
 impl Share {
     /// Takes up the hub's answer to a question that was sent at `asked`.
-    pub fn heard(&mut self, part: f64, asked: Instant) {
+    pub fn set(&mut self, part: f64, asked: Instant) {
         self.part = part;
         self.asked = Some(asked);
     }
 
     /// When the question was sent that the hub answered last.
     #[must_use]
-    pub fn get_asked(&self) -> Option<Instant> {
+    pub fn get_requested_at(&self) -> Option<Instant> {
         self.asked
     }
 
--- a/crates/core/src/quota/tolerance.rs
+++ b/crates/core/src/quota/tolerance.rs
@@ -21,7 +21,7 @@
     /// The window's length.
     pub window: Duration,
     /// A part of what the allowance gives in a window.
-    pub part: f64,
+    pub ratio: f64,
     /// On top of it, in the allowance's unit.
     pub slack: f64,
 }
@@ -38,12 +38,12 @@
     /// use curlewlift_core::route::Allowance;
     /// use curlewlift_core::route::Unit;
     /// let allowance = Allowance { unit: Unit::Requests, rate: 10.0, burst: 20.0 };
-    /// let tolerance = Tolerance { window: Duration::from_secs(8), part: 0.1, slack: 0.0 };
-    /// assert!((tolerance.rate(&allowance) - 10.8125).abs() < 1e-9);
-    /// assert!((Tolerance::default().rate(&allowance) - 10.0).abs() < 1e-9);
+    /// let tolerance = Tolerance { window: Duration::from_secs(8), ratio: 0.1, slack: 0.0 };
+    /// assert!((tolerance.fill_rate(&allowance) - 10.8125).abs() < 1e-9);
+    /// assert!((Tolerance::default().fill_rate(&allowance) - 10.0).abs() < 1e-9);
     /// ```
     #[must_use]
-    pub fn rate(&self, allowance: &Allowance) -> f64 {
+    pub fn fill_rate(&self, allowance: &Allowance) -> f64 {
         let window = self.window.as_secs_f64();
         if window <= 0.0 {
             return allowance.rate;
@@ -54,7 +54,7 @@
     /// What all gateways together hold for the time in which the hub gives no word: at what rate it
     /// fills, and how much it is at the most.
     #[must_use]
-    pub fn spare(&self, allowance: &Allowance) -> (f64, f64) {
+    pub fn local_reserve(&self, allowance: &Allowance) -> (f64, f64) {
         let window = self.window.as_secs_f64();
         if window <= 0.0 {
             return (0.0, 0.0);
@@ -69,6 +69,6 @@
     }
 
     fn tolerated(&self, allowance: &Allowance) -> f64 {
-        self.part * self.gives(allowance) + self.slack
+        self.ratio * self.gives(allowance) + self.slack
     }
 }
--- a/crates/core/tests/allowances.rs
+++ b/crates/core/tests/allowances.rs
@@ -230,31 +230,31 @@
 /// A desk that has only begun, with so much of the allowance for its own.
 fn desk(present: f64) -> Limiter {
     let mut desk = Limiter::new(TOLERANCE);
-    desk.set_present(present, at(0));
-    desk.adopt([(&ann(), ALLOWANCE)].into_iter(), at(0));
+    desk.set_hub_share(present, at(0));
+    desk.set_quotas([(&ann(), ALLOWANCE)].into_iter(), at(0));
     desk
 }
 
 #[test]
 fn given_back() {
     let mut desk = desk(1.0);
-    desk.begin_full(at(5_000));
-    assert!(desk.draw(&charge(60_000), at(5_000)).is_ok());
-    assert!(desk.draw(&charge(800), at(5_000)).is_err());
-    desk.give_back(&charge(60_000), at(5_000));
-    assert!(desk.draw(&charge(60_000), at(5_000)).is_ok());
-    desk.spent(&charge(60_000), at(5_000));
-    assert!(desk.draw(&charge(60_000), at(5_500)).is_err());
+    desk.fill_all(at(5_000));
+    assert!(desk.acquire(&charge(60_000), at(5_000)).is_ok());
+    assert!(desk.acquire(&charge(800), at(5_000)).is_err());
+    desk.refund(&charge(60_000), at(5_000));
+    assert!(desk.acquire(&charge(60_000), at(5_000)).is_ok());
+    desk.commit(&charge(60_000), at(5_000));
+    assert!(desk.acquire(&charge(60_000), at(5_500)).is_err());
 }
 
 /// What was let in before it began is not known.
 #[test]
 fn begins_empty() {
     let mut desk = desk(1.0);
-    assert!(desk.draw(&charge(1_000), at(10)).is_err());
-    assert!(desk.draw(&charge(30_000), at(500)).is_ok());
-    desk.spent(&charge(30_000), at(500));
-    assert!(desk.draw(&charge(60_000), at(8_000)).is_ok());
+    assert!(desk.acquire(&charge(1_000), at(10)).is_err());
+    assert!(desk.acquire(&charge(30_000), at(500)).is_ok());
+    desk.commit(&charge(30_000), at(500));
+    assert!(desk.acquire(&charge(60_000), at(8_000)).is_ok());
 }
 
 /// Seen: 3,426,491 tokens of 3,263,235 in 8 s, 7 s after a hub had begun, all let in by it. It gave a
@@ -262,39 +262,41 @@
 #[test]
 fn filled_once() {
     let mut desk = desk(1.0);
-    assert!(desk.draw(&charge(60_000), at(7_900)).is_ok());
-    desk.spent(&charge(60_000), at(7_900));
-    assert!(desk.draw(&charge(60_000), at(8_100)).is_err());
+    assert!(desk.acquire(&charge(60_000), at(7_900)).is_ok());
+    desk.commit(&charge(60_000), at(7_900));
+    assert!(desk.acquire(&charge(60_000), at(8_100)).is_err());
 }
 
 /// What waits for a place is not filled up beside it, or it would come on top when it is given back.
 #[test]
 fn waiting_counts() {
     let mut desk = desk(1.0);
-    assert!(desk.draw(&charge(40_000), at(5_000)).is_ok());
-    assert!(desk.draw(&charge(20_001), at(9_000)).is_err());
-    assert!(desk.draw(&charge(20_000), at(9_000)).is_ok());
-    desk.give_back(&charge(40_000), at(9_000));
-    assert!(desk.draw(&charge(40_001), at(9_000)).is_err());
-    assert!(desk.draw(&charge(40_000), at(9_000)).is_ok());
+    assert!(desk.acquire(&charge(40_000), at(5_000)).is_ok());
+    assert!(desk.acquire(&charge(20_001), at(9_000)).is_err());
+    assert!(desk.acquire(&charge(20_000), at(9_000)).is_ok());
+    desk.refund(&charge(40_000), at(9_000));
+    assert!(desk.acquire(&charge(40_001), at(9_000)).is_err());
+    assert!(desk.acquire(&charge(40_000), at(9_000)).is_ok());
 }
 
 /// Nor is the time in which it waited made up for once it is spent.
 #[test]
 fn waited_is_full() {
     let mut desk = desk(1.0);
-    desk.begin_full(at(0));
-    assert!(desk.draw(&charge(60_000), at(0)).is_ok());
-    desk.spent(&charge(60_000), at(900));
-    assert!(desk.draw(&charge(10_000), at(900)).is_err());
-    assert!(desk.draw(&charge(10_000), at(1_100)).is_ok());
+    desk.fill_all(at(0));
+    assert!(desk.acquire(&charge(60_000), at(0)).is_ok());
+    desk.commit(&charge(60_000), at(900));
+    assert!(desk.acquire(&charge(10_000), at(900)).is_err());
+    assert!(desk.acquire(&charge(10_000), at(1_100)).is_ok());
 }
 
 /// A customer is told when there is enough.
 #[test]
 fn when_to_return() {
     let mut desk = desk(0.5);
-    let wait = desk.draw(&charge(9_000), at(100)).expect_err("too little");
-    assert!(desk.draw(&charge(9_000), at(100) + wait / 2).is_err());
-    assert!(desk.draw(&charge(9_000), at(101) + wait).is_ok());
+    let wait = desk
+        .acquire(&charge(9_000), at(100))
+        .expect_err("too little");
+    assert!(desk.acquire(&charge(9_000), at(100) + wait / 2).is_err());
+    assert!(desk.acquire(&charge(9_000), at(101) + wait).is_ok());
 }
--- a/crates/core/tests/support/gateways.rs
+++ b/crates/core/tests/support/gateways.rs
@@ -56,7 +56,7 @@
 
 pub(crate) const TOLERANCE: Tolerance = Tolerance {
     window: Duration::from_secs(8),
-    part: 0.1,
+    ratio: 0.1,
     slack: 72_000.0,
 };
 
@@ -342,7 +342,7 @@
             if due <= now && !node.cut {
                 node.got = reply.number;
                 node.heard = Some(now);
-                node.reserve.heard(reply.deputy, node.asked, now);
+                node.reserve.set_share(reply.deputy, node.asked, now);
             } else if now.since(node.asked) < CALL {
                 node.answer = Some((due, reply));
             }
@@ -453,23 +453,23 @@
     /// Whether a request is let in without the hub: by the gateway, or by a deputy that it reaches.
     fn lets_in_alone(&mut self, place: usize, charge: &Charge) -> bool {
         let (now, allowance) = (self.now, self.allowance);
-        if self.nodes[place].reserve.draw(charge, &allowance, now) {
+        if self.nodes[place].reserve.acquire(charge, &allowance, now) {
             return true;
         }
         let from = usize::try_from(self.draw(self.nodes.len() as u64)).expect("few");
         let (before, after) = self.nodes.split_at_mut(from);
         let deputies = after.iter_mut().chain(before);
         let awake = |node: &&mut Node| !node.cut && node.suspended <= now;
-        let deputies = deputies.filter(|node| node.reserve.get_part(now) > 0.0);
+        let deputies = deputies.filter(|node| node.reserve.get_share(now) > 0.0);
         let deputies = deputies.filter(awake);
         let mut asked = deputies.take(ASKED);
-        asked.any(|deputy| deputy.reserve.draw(charge, &allowance, now))
+        asked.any(|deputy| deputy.reserve.acquire(charge, &allowance, now))
     }
 
     /// Whether no window had more than the hub and the gateways claim to let in.
     pub(crate) fn is_kept(&self) -> bool {
         let window = self.allowance.rate * TOLERANCE.window.as_secs_f64() + self.allowance.burst;
-        let bound = window + (window * TOLERANCE.part + TOLERANCE.slack) * CLAIMED;
+        let bound = window + (window * TOLERANCE.ratio + TOLERANCE.slack) * CLAIMED;
         #[allow(clippy::cast_precision_loss)]
         let most = self.most as f64;
         most <= bound
--- a/crates/curlewlift/src/gateway/node.rs
+++ b/crates/curlewlift/src/gateway/node.rs
@@ -263,7 +263,7 @@
             return false;
         };
         let mut reserve = self.reserve.borrow_mut();
-        reserve.draw(charge, &account.allowance, self.now())
+        reserve.acquire(charge, &account.allowance, self.now())
     }
 
     /// The number of the table in force here; 0 before the first one has come.
--- a/crates/curlewlift/src/gateway/sync.rs
+++ b/crates/curlewlift/src/gateway/sync.rs
@@ -238,10 +238,10 @@
     if let Some(told) = reply.deputies {
         *node.deputies.borrow_mut() = Deputies::told(&told, &node.host, &around.locate);
     }
-    node.part.borrow_mut().heard(reply.part, asked);
+    node.part.borrow_mut().set(reply.part, asked);
     node.reserve
         .borrow_mut()
-        .heard(reply.deputy, asked, node.now());
+        .set_share(reply.deputy, asked, node.now());
     node.newer.notify_one();
     node.hear(&reply.loads);
 }
--- a/crates/curlewlift/src/platform/settings.rs
+++ b/crates/curlewlift/src/platform/settings.rs
@@ -250,7 +250,7 @@
     pub(super) fn tolerance(&self) -> Tolerance {
         Tolerance {
             window: Duration::from_secs_f64(self.bounds.use_seconds),
-            part: self.bounds.use_part,
+            ratio: self.bounds.use_part,
             slack: self.bounds.use_slack,
         }
     }
