--- a/crates/core/src/gateway/answers.rs
+++ b/crates/core/src/gateway/answers.rs
@@ -81,7 +81,7 @@
         Reply {
             number: self.answers,
             hub: self.dispatcher.get_hub(),
-            quarantine: self.quarantine.since(question.quarantine),
+            quarantine: self.quarantine.update_since(question.quarantine),
             limits: self.limits.update_since(question.limits_held),
             part,
             deputy,
--- a/crates/core/src/gateway/places.rs
+++ b/crates/core/src/gateway/places.rs
@@ -39,7 +39,7 @@
         }
         // By what it is, not by the try: each try is new to its gateway and here, and a request that ends servers
         // was given one for as often as it came: 13 servers ended in 16 s.
-        let permit = match self.cases.ask(&want.identity, want.left, now) {
+        let permit = match self.cases.decide(&want.identity, want.left, now) {
             Decision::Allowed => None,
             Decision::Permitted(permit) => Some(permit),
             Decision::Rejected(why) => return Wanted::Withheld(why),
@@ -125,7 +125,7 @@
             self.desk.refund(&charge, now);
         }
         if let Some(permit) = given.permit {
-            self.cases.give_back(&permit);
+            self.cases.release_permit(&permit);
         }
         if let Some(service) = given.retry {
             self.retries.give_back(&service);
--- a/crates/core/src/gateway/quarantine.rs
+++ b/crates/core/src/gateway/quarantine.rs
@@ -13,19 +13,19 @@
 impl Hub {
     /// Takes up the requests in quarantine as they are agreed.
     pub fn adopt_quarantine(&mut self, list: &List, now: Instant) {
-        self.cases.adopt(list, now);
+        self.cases.apply_list(list, now);
         self.quarantine = list.clone();
     }
 
     /// What of them is to be agreed now.
     pub fn tend_quarantine(&mut self, now: Instant) -> Vec<Step> {
-        self.cases.tend(now)
+        self.cases.propose_steps(now)
     }
 
     /// Takes note of what gateways tell of requests under which servers ended.
     pub(super) fn observe(&mut self, observed: &[Observation], now: Instant) {
         for observation in observed {
-            if self.cases.hear(observation, now) {
+            if self.cases.record(observation, now) {
                 self.withhold(&observation.identity, now);
             }
         }
@@ -36,7 +36,7 @@
     fn withhold(&mut self, identity: &Identity, now: Instant) {
         for ticket in self.dispatcher.unpermitted(identity) {
             let left = self.dispatcher.left(&ticket, now);
-            match self.cases.ask(identity, left, now) {
+            match self.cases.decide(identity, left, now) {
                 Decision::Permitted(permit) => self.dispatcher.permit(&ticket, permit),
                 Decision::Rejected(_) => {
                     self.leave(&ticket, now);
--- a/crates/core/src/quarantine/evidence.rs
+++ b/crates/core/src/quarantine/evidence.rs
@@ -37,7 +37,7 @@
     /// The number of the permit that it was sent by; none where it needed none.
     pub permit: Option<u64>,
     /// How the sending ended.
-    pub seen: Effect,
+    pub effect: Effect,
 }
 
 /// An observation, with its number and when it was made.
@@ -70,7 +70,7 @@
 
 impl Evidence {
     /// Takes note of an observation.
-    pub fn note(&mut self, observation: Observation, now: Instant) {
+    pub fn record(&mut self, observation: Observation, now: Instant) {
         let is_old = |noted: &mut Noted| now.since(noted.at) >= KEPT;
         while self.noted.pop_front_if(is_old).is_some() {}
         if self.noted.len() >= MOST {
@@ -86,7 +86,7 @@
 
     /// What the hub has not acknowledged, and up to which observation that is.
     #[must_use]
-    pub fn untold(&self) -> (Vec<Observation>, u64) {
+    pub fn unacknowledged(&self) -> (Vec<Observation>, u64) {
         let upto = self.acknowledged.upto;
         let untold = self.noted.iter().filter(|noted| noted.number > upto);
         let untold = untold.map(|noted| noted.observation.clone());
@@ -95,14 +95,14 @@
 
     /// The same, of one request.
     #[must_use]
-    pub fn untold_of(&self, identity: &Identity) -> Vec<Observation> {
-        let (mut untold, _) = self.untold();
+    pub fn unacknowledged_for(&self, identity: &Identity) -> Vec<Observation> {
+        let (mut untold, _) = self.unacknowledged();
         untold.retain(|observation| observation.identity == *identity);
         untold
     }
 
     /// The hub `hub` has answered, and was told all up to the observation `upto`.
-    pub fn heard(&mut self, hub: u64, upto: u64) {
+    pub fn acknowledge(&mut self, hub: u64, upto: u64) {
         // Another hub knows nothing of what was told to the former one.
         let is_same = self.acknowledged.hub == hub;
         let upto = if is_same { upto } else { 0 };
@@ -111,11 +111,11 @@
 
     /// The servers that ended here under a request that was not answered whole since.
     #[must_use]
-    pub fn ended(&self, identity: &Identity) -> BTreeSet<Arc<str>> {
+    pub fn crashed_servers(&self, identity: &Identity) -> BTreeSet<Arc<str>> {
         let mut ended = BTreeSet::new();
         let observations = self.noted.iter().map(|noted| &noted.observation);
         for observation in observations.filter(|observation| observation.identity == *identity) {
-            match &observation.seen {
+            match &observation.effect {
                 Effect::Crashed(incarnation) => {
                     ended.insert(Arc::clone(incarnation));
                 }
--- a/crates/core/src/quarantine/list.rs
+++ b/crates/core/src/quarantine/list.rs
@@ -25,7 +25,8 @@
     /// The request.
     pub identity: Identity,
     /// The incarnations that ended.
-    pub ended: BTreeSet<Arc<str>>,
+    #[serde(rename = "ended")]
+    pub crashed_servers: BTreeSet<Arc<str>>,
 }
 
 /// One change of the list.
@@ -43,7 +44,7 @@
     /// The version that they lead to.
     pub version: u64,
     /// The version that they start from; none where they are the whole list.
-    pub former: Option<u64>,
+    pub base_version: Option<u64>,
     /// The steps between.
     pub steps: Vec<Step>,
 }
@@ -59,11 +60,11 @@
 /// use curlewlift_core::quarantine::Step;
 /// let identity = Identity::new(None, "shop.example", "/chat/1", b"hello");
 /// let mut list = List::default();
-/// let case = Case { identity: identity.clone(), ended: ["s1".into(), "s2".into()].into() };
+/// let case = Case { identity: identity.clone(), crashed_servers: ["s1".into(), "s2".into()].into() };
 /// list.apply(&Step::Put(case));
 /// let mut copy = List::default();
-/// copy.take(&list.since(0).expect("it is behind"));
-/// assert_eq!(copy.get(&identity).map(|case| case.ended.len()), Some(2));
+/// copy.apply_update(&list.update_since(0).expect("it is behind"));
+/// assert_eq!(copy.get(&identity).map(|case| case.crashed_servers.len()), Some(2));
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct List {
@@ -133,7 +134,7 @@
 
     /// What leads from `version` to this one; none where it is this one.
     #[must_use]
-    pub fn since(&self, version: u64) -> Option<Update> {
+    pub fn update_since(&self, version: u64) -> Option<Update> {
         if version == self.version {
             return None;
         }
@@ -143,12 +144,12 @@
         let news = match first {
             Some(first) => Update {
                 version: self.version,
-                former: Some(version),
+                base_version: Some(version),
                 steps: self.recent.iter().skip(first).cloned().collect(),
             },
             None => Update {
                 version: self.version,
-                former: None,
+                base_version: None,
                 steps: self.cases.iter().cloned().map(Step::Put).collect(),
             },
         };
@@ -156,8 +157,8 @@
     }
 
     /// Takes up what is new; news that start from another version than this change nothing.
-    pub fn take(&mut self, news: &Update) {
-        match news.former {
+    pub fn apply_update(&mut self, news: &Update) {
+        match news.base_version {
             Some(former) if former != self.version => return,
             Some(_) => {}
             None => self.cases.clear(),
--- a/crates/core/src/quarantine/local.rs
+++ b/crates/core/src/quarantine/local.rs
@@ -34,9 +34,9 @@
     /// most before it does, and one more.
     #[must_use]
     pub fn may_send(&self, identity: &Identity) -> bool {
-        let mut ended = self.evidence.ended(identity);
+        let mut ended = self.evidence.crashed_servers(identity);
         if let Some(case) = self.list.get(identity) {
-            ended.extend(case.ended.iter().cloned());
+            ended.extend(case.crashed_servers.iter().cloned());
         }
         ended.len() < CRASHES_TO_COMMIT
     }
@@ -54,12 +54,18 @@
     }
 
     /// Takes up what is new of the list.
-    pub fn take(&mut self, news: &Update) {
-        self.list.take(news);
+    pub fn apply_update(&mut self, news: &Update) {
+        self.list.apply_update(news);
     }
 
     /// A server broke off under a request.
-    pub fn ended(&mut self, identity: Identity, permit: Option<u64>, server: &str, now: Instant) {
+    pub fn record_crash(
+        &mut self,
+        identity: Identity,
+        permit: Option<u64>,
+        server: &str,
+        now: Instant,
+    ) {
         let seen = if self.answered.contains(&identity) {
             Effect::Completed
         } else {
@@ -69,10 +75,10 @@
     }
 
     /// A request was answered whole.
-    pub fn answered(&mut self, identity: Identity, permit: Option<u64>, now: Instant) {
+    pub fn record_completion(&mut self, identity: Identity, permit: Option<u64>, now: Instant) {
         let is_suspected = permit.is_some()
             || self.list.get(&identity).is_some()
-            || !self.evidence.ended(&identity).is_empty();
+            || !self.evidence.crashed_servers(&identity).is_empty();
         if is_suspected {
             self.note(identity.clone(), permit, Effect::Completed, now);
         }
@@ -83,7 +89,7 @@
     }
 
     /// A sending by a permit has ended otherwise.
-    pub fn gave_back(&mut self, identity: Identity, permit: u64, now: Instant) {
+    pub fn record_inconclusive(&mut self, identity: Identity, permit: u64, now: Instant) {
         self.note(identity, Some(permit), Effect::Inconclusive, now);
     }
 
@@ -91,13 +97,13 @@
         let observation = Observation {
             identity,
             permit,
-            seen,
+            effect: seen,
         };
-        self.evidence.note(observation, now);
+        self.evidence.record(observation, now);
     }
 
     /// The hub `hub` has answered, and was told all up to the observation `upto`.
-    pub fn heard(&mut self, hub: u64, upto: u64) {
-        self.evidence.heard(hub, upto);
+    pub fn acknowledge(&mut self, hub: u64, upto: u64) {
+        self.evidence.acknowledge(hub, upto);
     }
 }
--- a/crates/core/src/quarantine/tracker.rs
+++ b/crates/core/src/quarantine/tracker.rs
@@ -172,7 +172,7 @@
     }
 
     /// Takes up the list as it is agreed.
-    pub fn adopt(&mut self, list: &List, now: Instant) {
+    pub fn apply_list(&mut self, list: &List, now: Instant) {
         self.proposed = None;
         self.is_dirty = true;
         self.released
@@ -186,13 +186,13 @@
             }
             let open = self.open.entry(case.identity.clone());
             let open = open.or_insert_with(|| Open::new(now));
-            open.ended.extend(case.ended.iter().cloned());
-            open.agreed = case.ended.len();
+            open.ended.extend(case.crashed_servers.iter().cloned());
+            open.agreed = case.crashed_servers.len();
         }
     }
 
     /// Whether a request may go to a server; `left` is for how much longer it may take.
-    pub fn ask(&mut self, identity: &Identity, left: Duration, now: Instant) -> Decision {
+    pub fn decide(&mut self, identity: &Identity, left: Duration, now: Instant) -> Decision {
         let Some(open) = self.open.get_mut(identity) else {
             return Decision::Allowed;
         };
@@ -209,21 +209,23 @@
     }
 
     /// Takes a permit back by which nothing was sent.
-    pub fn give_back(&mut self, permit: &Permit) {
+    pub fn release_permit(&mut self, permit: &Permit) {
         if let Some(open) = self.open.get_mut(&permit.identity) {
             open.permits.remove(&permit.number);
         }
     }
 
     /// Takes note of what a gateway saw; whether that is an end that was not known.
-    pub fn hear(&mut self, observation: &Observation, now: Instant) -> bool {
+    pub fn record(&mut self, observation: &Observation, now: Instant) -> bool {
         if let (Some(number), Some(open)) =
             (observation.permit, self.open.get_mut(&observation.identity))
         {
             open.permits.remove(&number);
         }
-        match &observation.seen {
-            Effect::Crashed(incarnation) => self.ended(&observation.identity, incarnation, now),
+        match &observation.effect {
+            Effect::Crashed(incarnation) => {
+                self.record_crash(&observation.identity, incarnation, now)
+            }
             Effect::Completed => {
                 self.release(&observation.identity);
                 false
@@ -234,11 +236,11 @@
 
     /// How many servers are known to have ended under a request.
     #[must_use]
-    pub fn ends(&self, identity: &Identity) -> usize {
+    pub fn crash_count(&self, identity: &Identity) -> usize {
         self.open.get(identity).map_or(0, |open| open.ended.len())
     }
 
-    fn ended(&mut self, identity: &Identity, incarnation: &Arc<str>, now: Instant) -> bool {
+    fn record_crash(&mut self, identity: &Identity, incarnation: &Arc<str>, now: Instant) -> bool {
         if !self.open.contains_key(identity) {
             self.make_room(identity);
         }
@@ -278,7 +280,7 @@
     }
 
     /// What is to be agreed now.
-    pub fn tend(&mut self, now: Instant) -> Vec<Step> {
+    pub fn propose_steps(&mut self, now: Instant) -> Vec<Step> {
         self.forget(now);
         let waits = |proposed| now.since(proposed) < AGREE;
         if !self.is_dirty || self.proposed.is_some_and(waits) {
@@ -293,7 +295,7 @@
         let grown = grown.map(|(identity, open)| {
             Step::Put(Case {
                 identity: identity.clone(),
-                ended: open.ended.clone(),
+                crashed_servers: open.ended.clone(),
             })
         });
         let steps: Vec<_> = released.chain(grown).collect();
--- a/crates/core/tests/quarantine_bounds.rs
+++ b/crates/core/tests/quarantine_bounds.rs
@@ -187,12 +187,12 @@
     Observation {
         identity: identity.clone(),
         permit: None,
-        seen,
+        effect: seen,
     }
 }
 
 fn end(desk: &mut Tracker, identity: &Identity, server: &str, now: Instant) {
-    desk.hear(&observation(identity, Effect::Crashed(server.into())), now);
+    desk.record(&observation(identity, Effect::Crashed(server.into())), now);
 }
 
 /// Three servers end for reasons of their own under a request that comes again: it is kept away for a while,
@@ -207,18 +207,18 @@
     }
     let left = Duration::from_secs(5);
     let withheld = Decision::Rejected(Rejection::Quarantined);
-    assert_eq!(desk.ask(&one, left, now), withheld);
+    assert_eq!(desk.decide(&one, left, now), withheld);
     now = now + Duration::from_secs(30);
-    let Decision::Permitted(permit) = desk.ask(&one, left, now) else {
+    let Decision::Permitted(permit) = desk.decide(&one, left, now) else {
         panic!("one trial");
     };
-    assert_eq!(desk.ask(&one, left, now), withheld, "one at a time");
+    assert_eq!(desk.decide(&one, left, now), withheld, "one at a time");
     let whole = Observation {
         permit: Some(permit.number),
         ..observation(&one, Effect::Completed)
     };
-    desk.hear(&whole, now);
-    assert_eq!(desk.ask(&one, left, now), Decision::Allowed);
+    desk.record(&whole, now);
+    assert_eq!(desk.decide(&one, left, now), Decision::Allowed);
 }
 
 /// Each trial that ends a server puts off the next one.
@@ -230,7 +230,7 @@
     let mut ended = 0;
     for second in 0..3_600_u64 {
         now = Instant::default() + Duration::from_secs(second);
-        if !matches!(desk.ask(&bad(), left, now), Decision::Rejected(_)) {
+        if !matches!(desk.decide(&bad(), left, now), Decision::Rejected(_)) {
             ended += 1;
             end(&mut desk, &bad(), &format!("s{second}"), now);
         }
@@ -255,15 +255,15 @@
         for server in ["s1", "s2"] {
             end(&mut desk, &one, server, now);
         }
-        for step in desk.tend(now) {
+        for step in desk.propose_steps(now) {
             list.apply(&step);
         }
-        desk.adopt(&list, now);
+        desk.apply_list(&list, now);
     }
     let left = Duration::from_secs(5);
     let withheld = Decision::Rejected(Rejection::Quarantined);
-    assert_eq!(desk.ask(&other, left, now), withheld);
-    assert_eq!(desk.ask(&bad(), left, now), Decision::Allowed);
+    assert_eq!(desk.decide(&other, left, now), withheld);
+    assert_eq!(desk.decide(&bad(), left, now), Decision::Allowed);
     assert!(list.cases().count() <= 33, "{}", list.cases().count());
 }
 
@@ -278,25 +278,25 @@
         let one = identity("ann", &(number * 7 % 40).to_string());
         end(&mut desk, &one, &format!("s{number}"), now);
         if number % 11 == 0 {
-            desk.hear(&observation(&one, Effect::Completed), now);
+            desk.record(&observation(&one, Effect::Completed), now);
         }
-        for step in desk.tend(now) {
+        for step in desk.propose_steps(now) {
             list.apply(&step);
         }
-        desk.adopt(&list, now);
+        desk.apply_list(&list, now);
         copies.push(list.clone());
     }
     assert!(
-        desk.tend(Instant::default() + Duration::from_secs(400))
+        desk.propose_steps(Instant::default() + Duration::from_secs(400))
             .is_empty()
     );
     for mut copy in copies {
-        if let Some(news) = list.since(copy.get_version()) {
-            copy.take(&news);
+        if let Some(news) = list.update_since(copy.get_version()) {
+            copy.apply_update(&news);
         }
         let held = |list: &List| -> BTreeSet<_> {
             list.cases()
-                .map(|case| (case.identity.clone(), case.ended.clone()))
+                .map(|case| (case.identity.clone(), case.crashed_servers.clone()))
                 .collect()
         };
         assert_eq!(held(&copy), held(&list));
--- a/crates/core/tests/support/ending.rs
+++ b/crates/core/tests/support/ending.rs
@@ -271,7 +271,7 @@
     fn answered(&mut self, running: Running) {
         let now = self.now;
         let quarantine = &mut self.nodes[running.gateway].quarantine;
-        quarantine.answered(running.identity, running.permit, now);
+        quarantine.record_completion(running.identity, running.permit, now);
         self.report(running.gateway);
     }
 
@@ -289,7 +289,7 @@
         broken.push(cause);
         for broken in broken {
             let quarantine = &mut self.nodes[broken.gateway].quarantine;
-            quarantine.ended(broken.identity.clone(), broken.permit, &server, now);
+            quarantine.record_crash(broken.identity.clone(), broken.permit, &server, now);
             self.report(broken.gateway);
             if broken.play == Play::Answer {
                 self.broken.push(broken.identity);
@@ -311,7 +311,7 @@
         }
         let node = &self.nodes[place];
         let report = Report {
-            observed: node.quarantine.get_evidence().untold().0,
+            observed: node.quarantine.get_evidence().unacknowledged().0,
             ..messages::report(&node.host)
         };
         if let Some(hub) = &mut self.hub {
@@ -333,7 +333,7 @@
         }
         let node = &mut self.nodes[place];
         node.suspended = None;
-        let (observed, upto) = node.quarantine.get_evidence().untold();
+        let (observed, upto) = node.quarantine.get_evidence().unacknowledged();
         let question = question(node, observed);
         let Some(hub) = &mut self.hub else {
             return;
@@ -345,9 +345,9 @@
             return;
         }
         let node = &mut self.nodes[place];
-        node.quarantine.heard(reply.hub, upto);
+        node.quarantine.acknowledge(reply.hub, upto);
         if let Some(news) = &reply.quarantine {
-            node.quarantine.take(news);
+            node.quarantine.apply_update(news);
         }
         node.hears.get_or_insert(self.now);
     }
@@ -461,7 +461,7 @@
 fn want(node: &Node, identity: &Identity) -> Want {
     Want {
         identity: identity.clone(),
-        observed: node.quarantine.get_evidence().untold_of(identity),
+        observed: node.quarantine.get_evidence().unacknowledged_for(identity),
         ..messages::want(&node.host)
     }
 }
--- a/crates/curlewlift/src/control/quarantine.rs
+++ b/crates/curlewlift/src/control/quarantine.rs
@@ -41,7 +41,11 @@
 /// The line about a step.
 fn line(step: &Step) -> Line {
     let (kind, identity, ended) = match step {
-        Step::Put(case) => (Kind::Quarantined, &case.identity, Some(&case.ended)),
+        Step::Put(case) => (
+            Kind::Quarantined,
+            &case.identity,
+            Some(&case.crashed_servers),
+        ),
         Step::Release(identity) => (Kind::Released, identity, None),
     };
     let customer = identity.customer.as_ref();
--- a/crates/curlewlift/src/gateway/place.rs
+++ b/crates/curlewlift/src/gateway/place.rs
@@ -120,11 +120,11 @@
                 .with("permit", self.permit())
                 .write();
             metrics::counter!("curlewlift_servers_ended").increment(1);
-            quarantine.ended(identity, self.permit(), server, now);
+            quarantine.record_crash(identity, self.permit(), server, now);
         } else if self.whole {
-            quarantine.answered(identity, self.permit(), now);
+            quarantine.record_completion(identity, self.permit(), now);
         } else if let Some(permit) = self.permit() {
-            quarantine.gave_back(identity, permit, now);
+            quarantine.record_inconclusive(identity, permit, now);
         }
     }
 
--- a/crates/curlewlift/src/gateway/places.rs
+++ b/crates/curlewlift/src/gateway/places.rs
@@ -172,7 +172,7 @@
                 .quarantine
                 .borrow()
                 .get_evidence()
-                .untold_of(wanted.identity),
+                .unacknowledged_for(wanted.identity),
             prompt: ask.prompt,
             charge: charge.cloned(),
             retry: wanted.retry,
@@ -210,7 +210,7 @@
         if let Some(permit) = grant.permit {
             let identity = wanted.identity.clone();
             let mut quarantine = self.quarantine.borrow_mut();
-            quarantine.gave_back(identity, permit, now);
+            quarantine.record_inconclusive(identity, permit, now);
         }
         self.tell(service, &server.incarnation, End::Nothing, None);
         if (self.tell_word(service, &server) || is_closed) && !is_late {
@@ -286,7 +286,7 @@
             mark: node.hub.borrow().mark,
             loads: node.loads(),
             ends,
-            observed: node.quarantine.borrow().get_evidence().untold().0,
+            observed: node.quarantine.borrow().get_evidence().unacknowledged().0,
             limits: node.limits.borrow().pending_reports(),
         };
         let call = RenewCall::Hub(HubCall::Tell(report));
--- a/crates/curlewlift/src/gateway/sync.rs
+++ b/crates/curlewlift/src/gateway/sync.rs
@@ -105,7 +105,7 @@
     let asked = node.now();
     let most = CALL + node.hub.borrow().wait.max(WAIT);
     let question = question(node);
-    let (_, told) = node.quarantine.borrow().get_evidence().untold();
+    let (_, told) = node.quarantine.borrow().get_evidence().unacknowledged();
     let told_limits = node.limits.borrow().get_last_number();
     let call = RenewCall::Hub(HubCall::Ask(Box::new(question)));
     let reply: Result<HubReply, Refusal> = node.rpc.call(address, Method::Renew, &call, most).await;
@@ -115,7 +115,7 @@
             Err(format!("the answer of {address} came too late"))
         }
         Ok(HubReply::News(reply)) => {
-            node.quarantine.borrow_mut().heard(reply.hub, told);
+            node.quarantine.borrow_mut().acknowledge(reply.hub, told);
             let mut limits = node.limits.borrow_mut();
             let changes =
                 limits.apply_reply(reply.hub, told_limits, reply.limits.as_ref(), node.now());
@@ -186,7 +186,7 @@
         loads: node.loads(),
         got: hub.got,
         quarantine: quarantine.get_version(),
-        observed: quarantine.get_evidence().untold().0,
+        observed: quarantine.get_evidence().unacknowledged().0,
         limits: limits.pending_reports(),
         limits_held: limits.get_table_version(),
         fetched: fetched.cloned(),
@@ -216,7 +216,7 @@
         hub.listing = reply.held;
     }
     if let Some(news) = reply.quarantine {
-        node.quarantine.borrow_mut().take(&news);
+        node.quarantine.borrow_mut().apply_update(&news);
     }
     // Before the list: what is new on it may be of a version that gets nothing by this gateway's own choice.
     if let Some(policy) = reply.policy {
