--- a/crates/core/src/limit/announcement.rs
+++ b/crates/core/src/limit/announcement.rs
@@ -1,15 +1,15 @@
-//! What one answer says of its server's limit.
+//! What a server's response says about its rate limit.
 
 use super::Rate;
 
-/// What one answer says of the limit of the server that gave it.
+/// What one response says about the rate limit of the server that sent it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Announcement {
-    /// It names none.
+    /// The server announces no limit.
     #[default]
     NoLimit,
-    /// It takes so many requests a second, from all hosts together.
+    /// The server accepts this many requests per second from all hosts together.
     Limited(Rate),
-    /// It names a limit that cannot be read.
+    /// The server announces a limit that cannot be parsed; holds the text.
     Invalid(String),
 }
--- a/crates/core/src/limit/limiter.rs
+++ b/crates/core/src/limit/limiter.rs
@@ -1,4 +1,4 @@
-//! How many requests servers may still get that have named a limit, or may be cold.
+//! Token buckets of servers that have announced a rate limit or may be cold.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,208 +10,216 @@
 use super::Key;
 use super::Limit;
 use super::Warmup;
-use super::warmup::Flow;
+use super::warmup::BucketParams;
 
-/// The least that a server gets, in requests a second, whatever it names: that it names no limit any more is heard
-/// from its answers only.
-const LEAST: f64 = 0.2;
+/// The lowest rate at which a server gets requests, in requests per second, whatever limit it announces: only a
+/// response can tell that the limit is gone.
+const MIN_RATE: f64 = 0.2;
 
-/// The part of a second's requests that may go out at once: several places are given in one look, and what was
-/// earned between two looks must not be lost.
-const AT_ONCE: f64 = 0.25;
+/// The share of one second's requests that a bucket holds. Several slots are granted in one scan, and what a bucket
+/// gained between two scans must not be lost.
+const BURST_SECONDS: f64 = 0.25;
 
-/// What one incarnation takes.
+/// The limit of one incarnation of a server.
 #[derive(Clone, Copy, Debug)]
-struct Pace {
-    named: f64,
-    /// Whether an answer to a place that was given here has named it.
+struct IncarnationLimit {
+    rate: f64,
+    /// Whether a response to a slot granted by this limiter has announced it.
     confirmed: bool,
-    /// Whether one was given since it is known.
-    tried: bool,
+    /// Whether a slot has been granted since the limit became known.
+    is_probed: bool,
 }
 
-impl Pace {
-    /// At what rate its account fills.
+impl IncarnationLimit {
+    /// The rate at which the server's bucket fills.
     ///
-    /// What others told of a limit may be long out of date, and far above what the server names by now. Until an answer
-    /// to a place that was given here says what holds, it gets one place, and the least after that.
-    fn rate(self) -> f64 {
-        if self.confirmed || !self.tried {
-            self.named
+    /// An unconfirmed limit may be out of date, and far above what the server announces by now. Until a response to a
+    /// slot granted here confirms it, the server gets one slot, and then the minimum rate.
+    fn fill_rate(self) -> f64 {
+        if self.confirmed || !self.is_probed {
+            self.rate
         } else {
-            LEAST
+            MIN_RATE
         }
     }
 
-    /// How many may go out at once.
-    fn depth(self) -> f64 {
+    /// How many requests may be sent at once.
+    fn burst(self) -> f64 {
         if self.confirmed {
-            (self.named * AT_ONCE).max(1.0)
+            (self.rate * BURST_SECONDS).max(1.0)
         } else {
             1.0
         }
     }
 
-    fn flow(self) -> Flow {
-        Flow {
-            rate: self.rate(),
-            depth: self.depth(),
+    fn bucket_params(self) -> BucketParams {
+        BucketParams {
+            rate: self.fill_rate(),
+            burst: self.burst(),
         }
     }
 }
 
-/// What one server may still get, in whichever of its lives: a list that goes back and forth between two must not
-/// double it.
+/// The token bucket of one server, shared by all its incarnations: a server list that alternates between two of them
+/// must not double the rate.
 #[derive(Clone, Debug)]
-struct Account {
-    paces: HashMap<Arc<str>, Pace>,
-    /// Filled by the pace of the life that a place is wanted at, and only then: by what a former life took it would fill
-    /// beyond that.
+struct ServerBucket {
+    limits: HashMap<Arc<str>, IncarnationLimit>,
+    /// Filled only when a slot is requested, at the rate of the incarnation that it is requested for. Filling it at the
+    /// rate of a former incarnation could exceed that.
     bucket: Bucket,
 }
 
-impl Account {
-    /// One that holds nothing at `now`.
+impl ServerBucket {
+    /// Creates a bucket that is empty at `now`.
     fn new(now: Instant) -> Self {
         Self {
-            paces: HashMap::new(),
+            limits: HashMap::new(),
             bucket: Bucket::new(0.0, now),
         }
     }
 }
 
-/// How many requests servers may still get that have named a limit, or may be cold, over all gateways.
+/// Limits the rate of requests, over all gateways, to servers that have announced a limit or may be cold.
 ///
-/// One is kept by whoever gives out places, and each place is drawn before it is given: in any time a server gets no
-/// more than it names, and what it holds at once. An account begins empty, as a hub does not know what the one before
-/// it gave: so all hubs one after the other give no more than one would. Without the hub's word nothing is drawn
+/// The hub keeps one and takes a token before it grants a slot: in any period a server gets at most its rate times the
+/// period plus one burst. Buckets start empty, because a new hub does not know what its predecessor granted; so
+/// successive hubs together grant no more than one would. Without the hub nothing is granted
 /// ([`RateLimiter::closed`]).
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
-    /// By what servers call themselves.
-    accounts: HashMap<Arc<str>, Account>,
-    /// Whether places are drawn here.
+    /// By server name.
+    servers: HashMap<Arc<str>, ServerBucket>,
+    /// Whether slots at limited servers are granted here.
     is_granting: bool,
-    /// What the servers get that may be cold, and since when that is kept; none where there are none.
+    /// The rates of servers that may be cold, and when they were first set; `None` where no service limits them.
     warmup: Option<(Warmup, Instant)>,
 }
 
 impl RateLimiter {
-    /// The ledger of whoever gives out places for all.
+    /// Creates the limiter of the hub, which grants slots for all gateways.
     #[must_use]
     pub fn granting() -> Self {
         Self {
-            accounts: HashMap::new(),
+            servers: HashMap::new(),
             is_granting: true,
             warmup: None,
         }
     }
 
-    /// The ledger of a gateway, which gives nothing at servers with a limit by its own choice.
+    /// Creates the limiter of a gateway, which grants no slots at limited servers by itself.
     ///
-    /// A part for each gateway would be less than a request for most limits, and each would have to hold a whole one.
+    /// Split among all gateways, most limits would be less than one request each, and every gateway would need a burst
+    /// of at least one.
     #[must_use]
     pub fn closed() -> Self {
         Self {
-            accounts: HashMap::new(),
+            servers: HashMap::new(),
             is_granting: false,
             warmup: None,
         }
     }
 
-    /// A server has named its limit, or names none any more.
+    /// Sets the announced limit of a server incarnation, or removes it.
     pub fn set_limit(&mut self, key: &Key, limit: Option<&Limit>, now: Instant) {
-        let account = self.accounts.entry(Arc::clone(&key.name));
-        let account = account.or_insert_with(|| Account::new(now));
-        let former = account.paces.remove(&key.incarnation);
+        let server = self.servers.entry(Arc::clone(&key.name));
+        let server = server.or_insert_with(|| ServerBucket::new(now));
+        let previous = server.limits.remove(&key.incarnation);
         if let Some(limit) = limit {
-            let pace = Pace {
-                named: limit.rate.as_f64().max(LEAST),
+            let limit = IncarnationLimit {
+                rate: limit.rate.as_f64().max(MIN_RATE),
                 confirmed: limit.confirmed,
-                tried: former.is_some_and(|former| former.tried),
+                is_probed: previous.is_some_and(|previous| previous.is_probed),
             };
             let incarnation = Arc::clone(&key.incarnation);
-            account.paces.insert(incarnation, pace);
+            server.limits.insert(incarnation, limit);
         }
-        if account.paces.is_empty() && self.warmup.is_none() {
-            self.accounts.remove(&key.name);
+        if server.limits.is_empty() && self.warmup.is_none() {
+            self.servers.remove(&key.name);
         }
     }
 
-    /// Servers may be cold at times, and get no more than this; none where that makes no difference.
+    /// Sets the rates of servers that may be cold; `None` lifts them.
     pub fn set_warmup(&mut self, warmup: Option<Warmup>, now: Instant) {
         let since = self.warmup.map_or(now, |(_, since)| since);
         self.warmup = warmup.map(|warmup| (warmup, since));
     }
 
-    /// Forgets what servers got that are gone.
+    /// Drops the buckets of servers that are no longer listed and have no announced limit.
     pub fn retain_servers(&mut self, is_listed: impl Fn(&str) -> bool) {
-        self.accounts
-            .retain(|name, account| !account.paces.is_empty() || is_listed(name));
+        self.servers
+            .retain(|name, server| !server.limits.is_empty() || is_listed(name));
     }
 
-    /// Whether no server has a limit here.
+    /// Returns whether no server is limited.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.accounts.is_empty() && self.warmup.is_none()
+        self.servers.is_empty() && self.warmup.is_none()
     }
 
-    /// How many requests a second a server takes; none where it has named no limit.
+    /// Returns the announced rate of a server in requests per second; `None` if it has announced no limit.
     #[must_use]
     pub fn rate(&self, server: &Server) -> Option<f64> {
-        let account = self.accounts.get(&server.name)?;
-        let pace = account.paces.get(&server.incarnation)?;
-        Some(pace.named)
-    }
-
-    /// What a server has named, where it has.
-    fn named(&self, server: &Server) -> Option<Pace> {
-        let account = self.accounts.get(&server.name)?;
-        account.paces.get(&server.incarnation).copied()
-    }
-
-    /// What a server takes; none where it has no limit.
-    fn flow(&self, server: &Server) -> Option<Flow> {
-        let named = self.named(server).map(Pace::flow);
-        let warmup = self.warmup.map(|(warmup, _)| warmup.flow(server.cold));
-        match (named, warmup) {
-            (Some(named), Some(warmup)) => Some(named.and(warmup)),
-            (named, warmup) => named.or(warmup),
+        let bucket = self.servers.get(&server.name)?;
+        let limit = bucket.limits.get(&server.incarnation)?;
+        Some(limit.rate)
+    }
+
+    /// The announced limit of a server, if there is one.
+    fn announced_limit(&self, server: &Server) -> Option<IncarnationLimit> {
+        let bucket = self.servers.get(&server.name)?;
+        bucket.limits.get(&server.incarnation).copied()
+    }
+
+    /// The effective limit of a server; `None` if it has none.
+    fn bucket_params(&self, server: &Server) -> Option<BucketParams> {
+        let announced = self
+            .announced_limit(server)
+            .map(IncarnationLimit::bucket_params);
+        let warmup = self
+            .warmup
+            .map(|(warmup, _)| warmup.bucket_params(server.cold));
+        match (announced, warmup) {
+            (Some(announced), Some(warmup)) => Some(announced.min(warmup)),
+            (announced, warmup) => announced.or(warmup),
         }
     }
 
-    /// The account of a server, as it was when it was last drawn from.
+    /// The bucket of a server as of the last acquired token.
     fn bucket(&self, server: &Server) -> Option<Bucket> {
-        let account = self.accounts.get(&server.name);
-        let since = self.warmup.map(|(_, since)| Bucket::new(0.0, since));
-        account.map(|account| account.bucket).or(since)
+        let known = self.servers.get(&server.name);
+        let new = self.warmup.map(|(_, since)| Bucket::new(0.0, since));
+        known.map(|known| known.bucket).or(new)
     }
 
-    /// Whether a request may be given a place at a server at `now`.
+    /// Returns whether a slot at a server may be granted at `now`.
     #[must_use]
     pub fn admits(&self, server: &Server, now: Instant) -> bool {
-        let (Some(flow), Some(mut bucket)) = (self.flow(server), self.bucket(server)) else {
+        let (Some(params), Some(mut bucket)) = (self.bucket_params(server), self.bucket(server))
+        else {
             return true;
         };
         if !self.is_granting {
-            return self.named(server).is_none() && !server.cold;
+            return self.announced_limit(server).is_none() && !server.cold;
         }
-        bucket.fill(flow.rate, flow.depth, now) >= 1.0
+        bucket.fill(params.rate, params.burst, now) >= 1.0
     }
 
-    /// Draws a place at a server that admits one; whether the server has named a limit that it was drawn from.
+    /// Takes a token for a slot at a server that [`RateLimiter::admits`] one; returns whether the server has an
+    /// announced limit.
     pub fn acquire(&mut self, server: &Server, now: Instant) -> bool {
-        let (Some(flow), Some(mut bucket)) = (self.flow(server), self.bucket(server)) else {
+        let (Some(params), Some(mut bucket)) = (self.bucket_params(server), self.bucket(server))
+        else {
             return false;
         };
-        bucket.fill(flow.rate, flow.depth, now);
+        bucket.fill(params.rate, params.burst, now);
         bucket.charge(1.0);
-        let account = self.accounts.entry(Arc::clone(&server.name));
-        let account = account.or_insert_with(|| Account::new(now));
-        account.bucket = bucket;
-        let pace = account.paces.get_mut(&server.incarnation);
-        pace.is_some_and(|pace| {
-            pace.tried = true;
+        let known = self.servers.entry(Arc::clone(&server.name));
+        let known = known.or_insert_with(|| ServerBucket::new(now));
+        known.bucket = bucket;
+        let limit = known.limits.get_mut(&server.incarnation);
+        limit.is_some_and(|limit| {
+            limit.is_probed = true;
             true
         })
     }
--- a/crates/core/src/limit/mod.rs
+++ b/crates/core/src/limit/mod.rs
@@ -1,10 +1,12 @@
-//! Limits of backend servers: how many requests a second they take from all hosts together, by their own word or while
-//! they are cold.
+//! Rate limits of backend servers: how many requests per second a server accepts from all hosts together, because it
+//! announces a limit or because its caches are cold.
 //!
-//! The bound is over all gateways, so it is kept in one account, at the hub ([`RateLimiter`]): whoever gives a place at
-//! such a server draws it there first. Gateways tell the hub what answers say ([`LocalReports`]) until it has heard that, and
-//! send nothing there without a place that was drawn. Which of two words is the newer one goes by the hub's grants:
-//! an answer to what was granted after a word had been heard is newer than that word ([`Table`]).
+//! The limit applies to all gateways together, so it is enforced in one place, at the hub ([`RateLimiter`]), which
+//! takes a token from the server's bucket before it grants a slot. Gateways report what responses announce
+//! ([`LocalReports`]) until the hub acknowledges it, and send nothing to a limited server without a granted slot.
+//!
+//! Responses reach the hub in any order. A report is newer than what the hub knows if its request was sent under a
+//! grant that the hub gave after it had received the previous report ([`Table`]).
 
 mod announcement;
 mod limiter;
--- a/crates/core/src/limit/rate.rs
+++ b/crates/core/src/limit/rate.rs
@@ -1,4 +1,4 @@
-//! How many requests a second a backend server takes.
+//! How many requests per second a backend server accepts.
 
 use std::error::Error;
 use std::fmt;
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A number of requests a second: finite, and not below zero.
+/// A number of requests per second: finite and not negative.
 ///
 /// # Examples
 ///
@@ -17,18 +17,18 @@
 /// assert_eq!(rate.to_string(), "2.5");
 /// assert!("-1".parse::<Rate>().is_err());
 /// assert!("many".parse::<Rate>().is_err());
-/// # Ok::<(), curlewlift_core::limit::OddRate>(())
+/// # Ok::<(), curlewlift_core::limit::InvalidRate>(())
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Rate(f64);
 
-/// A text that is no rate.
+/// The error for a text that is not a valid [`Rate`]; holds the text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidRate(pub String);
 
 impl Rate {
-    /// The number of requests a second.
+    /// Returns the number of requests per second.
     #[must_use]
     pub const fn as_f64(self) -> f64 {
         self.0
@@ -53,7 +53,11 @@
 
 impl fmt::Display for InvalidRate {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "`{}` is no number of requests a second", self.0)
+        write!(
+            f,
+            "`{}` is not a valid number of requests per second",
+            self.0
+        )
     }
 }
 
--- a/crates/core/src/limit/report.rs
+++ b/crates/core/src/limit/report.rs
@@ -1,4 +1,4 @@
-//! What gateways tell the hub of the limits that servers name.
+//! Limit reports that gateways send to the hub.
 
 use std::sync::Arc;
 
@@ -11,19 +11,21 @@
 
 use super::Rate;
 
-/// A life of a backend server: another one owes nothing to it, and what is told late of it does not concern the other.
+/// Identifies one incarnation of a backend server.
+///
+/// Limits belong to an incarnation: a late report about an earlier one does not concern its successor.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
-    /// Its service.
+    /// The server's service.
     pub service: id::Service,
-    /// What the server calls itself in any of its lives.
+    /// The server's name, the same in all its incarnations.
     pub name: Arc<str>,
     /// The incarnation.
     pub incarnation: Arc<str>,
 }
 
 impl Key {
-    /// That of a server.
+    /// Returns the key of a server's current incarnation.
     #[must_use]
     pub fn from_server(server: &Server) -> Self {
         Self {
@@ -34,24 +36,24 @@
     }
 }
 
-/// What an answer said of its server's limit.
+/// What a response said about its server's limit, as reported by a gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Rises with each word of a gateway.
+    /// Increases with each report of a gateway.
     pub number: u64,
     /// The server.
     pub key: Key,
-    /// The rate that it named; none where it named none.
+    /// The announced rate; `None` if the response announced no limit.
     pub rate: Option<Rate>,
-    /// The hub's grant by which the request was sent; none of this hub's where it was not.
+    /// The grant that the request was sent under; the default, which matches no hub, if there was none.
     pub grant_id: Mark,
 }
 
-/// What a gateway has to tell that its hub has not acknowledged.
+/// All reports of a gateway that its hub has not acknowledged yet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Reports {
-    /// Drawn when the gateway began: its numbers begin anew with it.
+    /// Random, generated when the gateway starts; report numbers start over with it.
     pub incarnation: u64,
-    /// The words, in any order.
+    /// The reports, in any order.
     pub reports: Vec<Report>,
 }
--- a/crates/core/src/limit/warmup.rs
+++ b/crates/core/src/limit/warmup.rs
@@ -1,13 +1,13 @@
-//! How many requests a second servers take while they are cold.
+//! How many requests per second a server accepts while its caches are cold.
 
 use super::Rate;
 
-/// What more than its rate a cold server bears, as a deployment says.
+/// By how much the rate of a cold server may be exceeded, as configured for the deployment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Slack {
-    /// By how much its rate may be exceeded, as a factor of 1 or more.
+    /// The allowed rate as a multiple of the configured one, at least 1.
     pub factor: f64,
-    /// How many requests in a second it bears on top.
+    /// The number of requests allowed in any second in addition.
     pub extra_requests: f64,
 }
 
@@ -20,59 +20,59 @@
     }
 }
 
-/// How fast an account fills, and how much it holds.
+/// How fast a token bucket fills, and how much it holds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Flow {
-    /// In requests a second.
+pub(super) struct BucketParams {
+    /// In requests per second.
     pub(super) rate: f64,
     /// In requests.
-    pub(super) depth: f64,
+    pub(super) burst: f64,
 }
 
-impl Flow {
-    /// What keeps within both.
-    pub(super) fn and(self, other: Self) -> Self {
+impl BucketParams {
+    /// The parameters that stay within both limits.
+    pub(super) fn min(self, other: Self) -> Self {
         Self {
             rate: self.rate.min(other.rate),
-            depth: self.depth.min(other.depth),
+            burst: self.burst.min(other.burst),
         }
     }
 }
 
-/// How many requests the servers of a service get whose caches are cold for a while after a start.
+/// The rates of a service's servers where those that have just started have cold caches and accept less.
 ///
-/// A server turns cold before the list says so, and what it got in the last second counts towards its bound. So each
-/// server of such a service has an account at all times: in any second it gets no more than a cold one bears, and no
-/// more than the rate of a cold one as soon as it is known to be cold.
+/// A server turns cold before the server list says so, and what it got in the last second counts towards its limit. So
+/// every server of such a service has a bucket at all times. In any second a server gets no more than a cold one
+/// tolerates, and only the rate of a cold one as soon as it is known to be cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Warmup {
-    cold: Flow,
-    warm: Flow,
+    cold: BucketParams,
+    warm: BucketParams,
 }
 
-/// The part of what a second may have on top of the rate that may go out at once; the rest is for requests that are
-/// sent a little later than they were granted.
-const AT_ONCE: f64 = 0.5;
+/// The share of [`Slack::extra_requests`] that may be sent at once. The rest is left for requests that are sent a
+/// little later than they were granted.
+const BURST_SHARE: f64 = 0.5;
 
 impl Warmup {
-    /// That of servers which take `rate` requests a second while they are cold.
+    /// Creates the limits for servers that accept `rate` requests per second while they are cold.
     #[must_use]
     pub fn new(rate: Rate, slack: Slack) -> Self {
         let rate = rate.as_f64();
-        let depth = (slack.extra_requests * AT_ONCE).max(1.0);
-        let most = rate * slack.factor;
-        let within = (most + slack.extra_requests - depth).max(0.0);
-        let flow = |rate: f64| Flow {
-            rate: rate.min(within),
-            depth,
+        let burst = (slack.extra_requests * BURST_SHARE).max(1.0);
+        let allowed_rate = rate * slack.factor;
+        let max_rate = (allowed_rate + slack.extra_requests - burst).max(0.0);
+        let params = |rate: f64| BucketParams {
+            rate: rate.min(max_rate),
+            burst,
         };
         Self {
-            cold: flow(rate),
-            warm: flow(most),
+            cold: params(rate),
+            warm: params(allowed_rate),
         }
     }
 
-    pub(super) fn flow(&self, cold: bool) -> Flow {
+    pub(super) fn bucket_params(&self, cold: bool) -> BucketParams {
         if cold { self.cold } else { self.warm }
     }
 }
