--- a/crates/core/src/limit/local.rs
+++ b/crates/core/src/limit/local.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of the limits that servers name.
+//! What a gateway knows about the limits that servers announce.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -19,93 +19,97 @@
 use super::Reports;
 use super::Update;
 
-/// The most servers of which is remembered that they named something odd.
-const MOST_ODD: usize = 256;
+/// How many servers are remembered as having announced an invalid limit.
+const MAX_INVALID_SERVERS: usize = 256;
 
-/// How late a list may name another life of a server: what was heard meanwhile under the name of the former one may have
-/// come from it. The lag of the platform's list, and four fetches of a host that hears no hub.
-const NAMED_LATE: Duration = Duration::from_secs(5);
+/// How long the server list may take to show a new incarnation of a server. A limit received meanwhile under the
+/// previous incarnation may come from the new one. Covers the lag of the platform's list and four fetches of a host
+/// without a hub.
+const MAX_LIST_DELAY: Duration = Duration::from_secs(5);
 
-/// The most servers of which is remembered which life was named last.
-const MOST_MET: usize = 4_096;
+/// For how many servers the incarnation seen last is remembered.
+const MAX_LATEST_INCARNATIONS: usize = 4_096;
 
-/// A word that the hub has not acknowledged, and when it was heard.
+/// A report that the hub has not acknowledged, and when its response was received.
 #[derive(Clone, Debug)]
-struct Untold {
-    word: Report,
-    heard: Instant,
+struct Pending {
+    report: Report,
+    received: Instant,
 }
 
-/// What a gateway knows of the limits that servers name: what the hub told, and what answers said since.
+/// What a gateway knows about the limits that servers announce: the hub's table, and what responses have said since.
 ///
-/// A word is told until the hub has acknowledged it, and what a hub knew is told to the next one. A place at a server
-/// with a limit that its hub did not know of is not taken up ([`LocalReports::blocks`]). Only the hub lifts a limit, as it
-/// alone can tell which of the answers of all gateways is the newer one.
+/// A report is sent until the hub acknowledges it, and the limits of one hub are reported to the next. A slot at a
+/// limited server whose limit the hub did not know of is not used ([`LocalReports::blocks`]). Only the hub lifts a
+/// limit, because only the hub can tell which of the responses of all gateways is the newest.
 #[derive(Clone, Debug, Default)]
 pub struct LocalReports {
-    life: u64,
-    /// The hub that it goes by, and the version of its table.
-    held: (u64, u64),
+    incarnation: u64,
+    /// The current hub and the version of its table.
+    table_version: (u64, u64),
     table: BTreeMap<Key, Limit>,
-    untold: BTreeMap<Key, Untold>,
-    /// What answers named lately, and when.
-    named: BTreeMap<Key, (Rate, Instant)>,
-    /// The life of each server, by its service and name, that a list or a place named last.
-    met: BTreeMap<(id::Service, Arc<str>), Key>,
-    /// The number of the last word.
-    last: u64,
-    /// Servers that have named something odd, which is said once.
-    odd: BTreeSet<Key>,
+    pending: BTreeMap<Key, Pending>,
+    /// The rates that responses announced recently, and when.
+    announced: BTreeMap<Key, (Rate, Instant)>,
+    /// By service and name, the incarnation of each server seen last in a server list or with a slot.
+    latest: BTreeMap<(id::Service, Arc<str>), Key>,
+    /// The number of the last report.
+    last_number: u64,
+    /// Servers that have announced an invalid limit, which is returned only once.
+    invalid: BTreeSet<Key>,
 }
 
 impl LocalReports {
-    /// Knows nothing yet; `life` is drawn anew by each process.
+    /// Creates an empty instance; `incarnation` is random for each process.
     #[must_use]
-    pub fn new(life: u64) -> Self {
+    pub fn new(incarnation: u64) -> Self {
         Self {
-            life,
+            incarnation,
             ..Self::default()
         }
     }
 
-    /// An answer to a request that was sent at `sent`, by the grant with `mark`, said something of its server's limit;
-    /// gives what is new of that.
+    /// Records what the response to a request, sent at `sent` under the grant `grant_id`, said about its server's
+    /// limit; returns it if it is new.
     pub fn record_response(
         &mut self,
         server: &Server,
-        said: &Announcement,
-        mark: Mark,
+        announcement: &Announcement,
+        grant_id: Mark,
         sent: Instant,
         now: Instant,
     ) -> Option<Announcement> {
         let key = Key::from_server(server);
         let known = self.get(&key);
-        if let Announcement::Limited(rate) = said {
-            self.named.retain(|_, (_, at)| now.since(*at) < NAMED_LATE);
-            self.named.insert(key.clone(), (*rate, now));
+        if let Announcement::Limited(rate) = announcement {
+            self.announced
+                .retain(|_, (_, at)| now.since(*at) < MAX_LIST_DELAY);
+            self.announced.insert(key.clone(), (*rate, now));
         }
-        let rate = match said {
+        let rate = match announcement {
             Announcement::Limited(rate) => Some(*rate),
             Announcement::NoLimit if known.is_some() => None,
             Announcement::NoLimit => return None,
-            Announcement::Invalid(_) => return self.odd(key).then(|| said.clone()),
+            Announcement::Invalid(_) => return self.add_invalid(key).then(|| announcement.clone()),
         };
-        let word = Report {
+        let report = Report {
             number: 0,
             key,
             rate,
-            grant_id: mark,
+            grant_id,
         };
-        self.note(word, sent, now);
+        self.add_report(report, sent, now);
         if let Some(rate) = rate {
-            self.hold_next_life(server, rate, now);
+            self.limit_newer_incarnation(server, rate, now);
         }
         let is_new = rate.is_some() && known.map(|limit| limit.rate) != rate;
-        is_new.then(|| said.clone())
+        is_new.then(|| announcement.clone())
     }
 
-    /// Meets servers of a list or a place: what was heard lately under the name of another life of one may be its own
-    /// word, and holds for it until an answer of its own says otherwise. Gives the servers of which that is so.
+    /// Notes the incarnations of servers from a server list or a slot grant; returns the changed limits.
+    ///
+    /// A limit received recently under another incarnation of a server may have come from this one, so it applies
+    /// to this one too until a response of its own says otherwise.
     pub fn observe_servers<'a>(
         &mut self,
         servers: impl Iterator<Item = &'a Server>,
@@ -114,161 +118,172 @@
         let mut changes = Vec::new();
         for server in servers {
             let key = Key::from_server(server);
-            if self.met.len() >= MOST_MET {
-                self.met.clear();
+            if self.latest.len() >= MAX_LATEST_INCARNATIONS {
+                self.latest.clear();
             }
             let name = (key.service.clone(), Arc::clone(&key.name));
-            self.met.insert(name, key.clone());
-            let rate = self.of_another_life(&key, now);
+            self.latest.insert(name, key.clone());
+            let rate = self.recent_rate_of_others(&key, now);
             let Some(rate) = rate.filter(|_| self.get(&key).is_none()) else {
                 continue;
             };
-            self.note_limit(key.clone(), rate, now);
+            self.report_limit(key.clone(), rate, now);
             let limit = self.get(&key);
             changes.push(Change { key, limit });
         }
         changes
     }
 
-    /// A life of a server that has begun since a request was sent to the former one may have answered it.
-    fn hold_next_life(&mut self, server: &Server, rate: Rate, now: Instant) {
-        if let Some(key) = self.next_life(server) {
-            self.note_limit(key, rate, now);
+    /// Applies a limit to the newer incarnation of a server too, which may have answered a request to the older one.
+    fn limit_newer_incarnation(&mut self, server: &Server, rate: Rate, now: Instant) {
+        if let Some(key) = self.newer_incarnation(server) {
+            self.report_limit(key, rate, now);
         }
     }
 
-    /// Another life of a server, which was named since.
-    fn next_life(&self, server: &Server) -> Option<Key> {
+    /// The incarnation of a server that was seen last, if it is another one.
+    fn newer_incarnation(&self, server: &Server) -> Option<Key> {
         let name = (server.service.clone(), Arc::clone(&server.name));
-        let next = self.met.get(&name);
-        let next = next.filter(|key| key.incarnation != server.incarnation);
-        next.cloned()
+        let latest = self.latest.get(&name);
+        let latest = latest.filter(|key| key.incarnation != server.incarnation);
+        latest.cloned()
     }
 
-    /// The least that was heard lately under the name of another life of a server.
-    fn of_another_life(&self, key: &Key, now: Instant) -> Option<Rate> {
-        let is_it = |other: &Key| other.service == key.service && other.name == key.name;
-        let others = self.named.iter().filter(|(other, _)| is_it(other));
-        let lately = others.filter(|(other, (_, at))| {
-            other.incarnation != key.incarnation && now.since(*at) < NAMED_LATE
+    /// The lowest rate announced recently under other incarnations of a server.
+    fn recent_rate_of_others(&self, key: &Key, now: Instant) -> Option<Rate> {
+        let is_same_server = |other: &Key| other.service == key.service && other.name == key.name;
+        let others = self
+            .announced
+            .iter()
+            .filter(|(other, _)| is_same_server(other));
+        let recent = others.filter(|(other, (_, at))| {
+            other.incarnation != key.incarnation && now.since(*at) < MAX_LIST_DELAY
         });
-        let rates = lately.map(|(_, (rate, _))| *rate);
+        let rates = recent.map(|(_, (rate, _))| *rate);
         rates.reduce(|a, b| if a < b { a } else { b })
     }
 
-    fn odd(&mut self, key: Key) -> bool {
-        if self.odd.len() >= MOST_ODD {
-            self.odd.clear();
+    /// Notes that a server has announced an invalid limit; returns whether it is the first time.
+    fn add_invalid(&mut self, key: Key) -> bool {
+        if self.invalid.len() >= MAX_INVALID_SERVERS {
+            self.invalid.clear();
         }
-        self.odd.insert(key)
+        self.invalid.insert(key)
     }
 
-    /// Keeps a limit to be told, of which nothing says how new it is.
-    fn note_limit(&mut self, key: Key, rate: Rate, now: Instant) {
-        let word = Report {
+    /// Adds a report of a limit of unknown age.
+    fn report_limit(&mut self, key: Key, rate: Rate, now: Instant) {
+        let report = Report {
             number: 0,
             key,
             rate: Some(rate),
             grant_id: Mark::default(),
         };
-        self.note(word, Instant::default(), now);
+        self.add_report(report, Instant::default(), now);
     }
 
-    /// Keeps a word to be told, with what of a former one still counts.
-    fn note(&mut self, mut word: Report, sent: Instant, now: Instant) {
-        let former = self.untold.get(&word.key);
-        // Of two that may have been said in either order the one that allows less counts.
-        let unordered = former.filter(|former| sent < former.heard);
-        if let Some(former) = unordered {
-            let former = &former.word;
-            if former.rate.is_some() || word.rate.is_some() {
-                word.grant_id = Mark::default();
+    /// Adds a report to be sent, merged with a pending one about the same server.
+    fn add_report(&mut self, mut report: Report, sent: Instant, now: Instant) {
+        let pending = self.pending.get(&report.key);
+        // If the two responses may have been given in either order, the lower rate applies.
+        let unordered = pending.filter(|pending| sent < pending.received);
+        if let Some(pending) = unordered {
+            let pending = &pending.report;
+            if pending.rate.is_some() || report.rate.is_some() {
+                report.grant_id = Mark::default();
             }
-            word.rate = match (former.rate, word.rate) {
+            report.rate = match (pending.rate, report.rate) {
                 (Some(a), Some(b)) if a <= b => Some(a),
                 (a, b) => b.or(a),
             };
         }
-        self.last += 1;
-        word.number = self.last;
-        let untold = Untold { word, heard: now };
-        self.untold.insert(untold.word.key.clone(), untold);
+        self.last_number += 1;
+        report.number = self.last_number;
+        let pending = Pending {
+            report,
+            received: now,
+        };
+        self.pending.insert(pending.report.key.clone(), pending);
     }
 
-    /// The limit of a server, as far as it is known here.
+    /// Returns the limit of a server, as far as this gateway knows.
     #[must_use]
     pub fn get(&self, key: &Key) -> Option<Limit> {
-        let untold = self.untold.get(key);
-        let heard = untold.and_then(|untold| untold.word.rate);
-        let told = self.table.get(key);
-        let Some(rate) = heard else {
-            return told.cloned();
+        let pending = self.pending.get(key);
+        let pending_rate = pending.and_then(|pending| pending.report.rate);
+        let in_table = self.table.get(key);
+        let Some(rate) = pending_rate else {
+            return in_table.cloned();
         };
-        let least = told.map(|told| told.rate).filter(|told| *told < rate);
+        let lower_rate = in_table
+            .map(|limit| limit.rate)
+            .filter(|in_table| *in_table < rate);
         Some(Limit {
-            rate: least.unwrap_or(rate),
+            rate: lower_rate.unwrap_or(rate),
             last_unaware_grant: u64::MAX,
             confirmed: false,
         })
     }
 
-    /// Whether a request with a place by the grant `mark`, which was not drawn from its server's limit, is not to be
-    /// sent: who gave the place did not know of the limit.
+    /// Returns whether a request must not be sent with a slot that was granted without a token of its server's rate
+    /// limit, because the hub did not know of the limit.
     #[must_use]
-    pub fn blocks(&self, server: &Server, mark: Mark) -> bool {
+    pub fn blocks(&self, server: &Server, grant_id: Mark) -> bool {
         let key = Key::from_server(server);
-        // A life that has begun since may answer to the same name.
-        let next = self.next_life(server);
-        let lives = next.iter().chain([&key]);
-        let mut limits = lives.filter_map(|key| self.get(key));
-        // A later grant of the same hub was given once it had heard that the limit is lifted.
-        limits.any(|limit| mark.hub != self.held.0 || mark.number <= limit.last_unaware_grant)
+        // A newer incarnation may respond under the same name.
+        let newer = self.newer_incarnation(server);
+        let incarnations = newer.iter().chain([&key]);
+        let mut limits = incarnations.filter_map(|key| self.get(key));
+        // The same hub gave a later grant without a token only after it had learned that the limit was lifted.
+        limits.any(|limit| {
+            grant_id.hub != self.table_version.0 || grant_id.number <= limit.last_unaware_grant
+        })
     }
 
-    /// The version of the table that it holds, and whose.
+    /// Returns the hub whose table is stored here, and the table's version.
     #[must_use]
     pub fn get_table_version(&self) -> (u64, u64) {
-        self.held
+        self.table_version
     }
 
-    /// What the hub has not acknowledged.
+    /// Returns the reports that the hub has not acknowledged.
     #[must_use]
     pub fn pending_reports(&self) -> Reports {
-        let words = self.untold.values().map(|untold| untold.word.clone());
+        let reports = self.pending.values().map(|pending| pending.report.clone());
         Reports {
-            incarnation: self.life,
-            reports: words.collect(),
+            incarnation: self.incarnation,
+            reports: reports.collect(),
         }
     }
 
-    /// Up to which word that is.
+    /// Returns the number of the last report.
     #[must_use]
     pub fn get_last_number(&self) -> u64 {
-        self.last
+        self.last_number
     }
 
-    /// The hub `hub` has answered, was told all up to the word `upto`, and has `news`; gives the servers of which
-    /// something may have changed here.
+    /// Applies a reply of the hub `hub` that acknowledges all reports up to number `acknowledged` and may contain an
+    /// update of its table; returns the limits that may have changed here.
     pub fn apply_reply(
         &mut self,
         hub: u64,
-        upto: u64,
-        news: Option<&Update>,
+        acknowledged: u64,
+        update: Option<&Update>,
         now: Instant,
     ) -> Vec<Change> {
-        let is_other = hub != self.held.0;
-        let former = if is_other {
+        let is_other = hub != self.table_version.0;
+        let previous = if is_other {
             std::mem::take(&mut self.table)
         } else {
             BTreeMap::new()
         };
-        let mut changed = self.acknowledge(upto);
+        let mut changed = self.acknowledge(acknowledged);
         if is_other {
-            self.inherit(former, now);
-            self.held = (hub, 0);
+            self.report_to_new_hub(previous, now);
+            self.table_version = (hub, 0);
         }
-        if let Some(news) = news {
-            changed.extend(self.take(news));
+        if let Some(update) = update {
+            changed.extend(self.apply_update(update));
         }
         let changed = changed.into_iter();
         let changed = changed.map(|key| Change {
@@ -278,14 +293,15 @@
         changed.collect()
     }
 
-    /// The hub has been told all up to the word `upto`.
-    fn acknowledge(&mut self, upto: u64) -> BTreeSet<Key> {
-        let told = |_: &Key, untold: &mut Untold| untold.word.number <= upto;
-        let told: Vec<_> = self.untold.extract_if(.., told).collect();
+    /// Drops the reports up to number `acknowledged`, which the hub has received; returns their servers.
+    fn acknowledge(&mut self, acknowledged: u64) -> BTreeSet<Key> {
+        let is_acknowledged =
+            |_: &Key, pending: &mut Pending| pending.report.number <= acknowledged;
+        let received: Vec<_> = self.pending.extract_if(.., is_acknowledged).collect();
         let mut changed = BTreeSet::new();
-        for (key, Untold { word, .. }) in told {
-            // Until it comes with the hub's news.
-            if let Some(rate) = word.rate {
+        for (key, Pending { report, .. }) in received {
+            // Keeps the limit until the hub's update contains it.
+            if let Some(rate) = report.rate {
                 let limit = self.table.entry(key.clone());
                 limit.or_insert(Limit {
                     rate,
@@ -298,37 +314,38 @@
         changed
     }
 
-    /// Another hub knows nothing of what the former one did.
-    fn inherit(&mut self, former: BTreeMap<Key, Limit>, now: Instant) {
-        // What might lift a limit says nothing to it.
-        self.untold.retain(|_, untold| untold.word.rate.is_some());
-        for (key, limit) in former {
-            self.note_limit(key, limit.rate, now);
+    /// Reports the limits of the previous hub to a new one, which does not know them.
+    fn report_to_new_hub(&mut self, previous: BTreeMap<Key, Limit>, now: Instant) {
+        // A response without a limit can only lift one that the hub knows of, and a new hub knows none.
+        self.pending
+            .retain(|_, pending| pending.report.rate.is_some());
+        for (key, limit) in previous {
+            self.report_limit(key, limit.rate, now);
         }
     }
 
-    /// Takes up what is new of the hub's table; news that start from another version than is held change nothing.
-    fn take(&mut self, news: &Update) -> BTreeSet<Key> {
+    /// Applies an update of the hub's table; one that starts from another version than the stored one is ignored.
+    fn apply_update(&mut self, update: &Update) -> BTreeSet<Key> {
         let mut changed = BTreeSet::new();
-        match news.base_version {
-            Some(former) if former != self.held.1 => return changed,
+        match update.base_version {
+            Some(base_version) if base_version != self.table_version.1 => return changed,
             Some(_) => {}
             None => changed.extend(std::mem::take(&mut self.table).into_keys()),
         }
-        for change in &news.changes {
+        for change in &update.changes {
             changed.insert(change.key.clone());
             match &change.limit {
                 Some(limit) => self.table.insert(change.key.clone(), limit.clone()),
                 None => self.table.remove(&change.key),
             };
         }
-        self.held.1 = news.version;
+        self.table_version.1 = update.version;
         changed
     }
 
-    /// All limits that are known here.
+    /// Returns all limits that this gateway knows.
     pub fn all_limits(&self) -> impl Iterator<Item = Change> {
-        let keys: BTreeSet<_> = self.table.keys().chain(self.untold.keys()).collect();
+        let keys: BTreeSet<_> = self.table.keys().chain(self.pending.keys()).collect();
         let limits = keys.into_iter().map(|key| Change {
             key: key.clone(),
             limit: self.get(key),
@@ -336,7 +353,7 @@
         limits.filter(|change| change.limit.is_some())
     }
 
-    /// The rate that a server named last, as far as it is known here.
+    /// Returns the last announced rate of a server, as far as this gateway knows.
     #[must_use]
     pub fn rate(&self, server: &Server) -> Option<Rate> {
         self.get(&Key::from_server(server)).map(|limit| limit.rate)
--- a/crates/core/src/limit/table.rs
+++ b/crates/core/src/limit/table.rs
@@ -1,4 +1,4 @@
-//! What the hub knows of the limits that servers name.
+//! What the hub knows about the limits that servers announce.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,184 +16,194 @@
 use super::Report;
 use super::Reports;
 
-/// Between two times that changes go to the gateways: servers whose limits come and go from answer to answer must not
-/// have all of hundreds of gateways answered for each.
-const APART: Duration = Duration::from_millis(250);
+/// The shortest time between two versions sent to the gateways. Servers whose limits change with every response must
+/// not cause a reply to each of hundreds of gateways every time.
+const MIN_PUBLISH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// By what part a rate must have changed for gateways to be told: they need it for the next hub only, which is told
-/// the rate of now with the next answer.
-const CHANGED: f64 = 0.1;
+/// By what fraction a rate must change before gateways are sent an update. Gateways need the rate only to report it to
+/// the next hub, and that one gets the current rate with the next response.
+const PUBLISHED_RATE_CHANGE: f64 = 0.1;
 
-/// How many changes are kept for gateways that are a little behind; others are told the whole.
-const RECENT: usize = 64;
+/// How many changes are kept for gateways that are a little behind; those further behind get the whole table.
+const MAX_RECENT_CHANGES: usize = 64;
 
-/// The most servers that are remembered, some 100 bytes each; what was heard of longest ago goes first.
-const MOST: usize = 4_096;
+/// How many servers are remembered, at some 100 bytes each; the one reported longest ago is dropped first.
+const MAX_SERVERS: usize = 4_096;
 
 /// The limit of a server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Limit {
-    /// The requests a second that it takes.
+    /// How many requests per second the server accepts.
     pub rate: Rate,
-    /// The number of the hub's last grant that was given without regard to it.
+    /// The number of the last grant that the hub gave without knowing of the limit.
     pub last_unaware_grant: u64,
-    /// Whether an answer to a grant of this hub has named it; what a former hub knew may have changed since.
+    /// Whether a response to a grant of this hub has announced it; a limit known from a former hub may be out of date.
     pub confirmed: bool,
 }
 
-/// A server that has named a limit, or names none any more.
+/// A server whose limit was announced, changed or lifted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
     /// The server.
     pub key: Key,
-    /// Its limit now.
+    /// Its current limit; `None` if it has none.
     pub limit: Option<Limit>,
 }
 
-/// What is new of a table.
+/// An update of a gateway's copy of the table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Update {
-    /// The version that they lead to.
+    /// The version after the update.
     pub version: u64,
-    /// The version that they start from; none where they are the whole table.
+    /// The version that the update applies to; `None` if it contains the whole table.
     pub base_version: Option<u64>,
-    /// The changes between.
+    /// The changed limits.
     pub changes: Vec<Change>,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
     limit: Limit,
-    /// The number of the hub's last grant when the limit was last named.
-    since: u64,
-    heard: Instant,
-    /// The rate that gateways were last told.
-    told: Rate,
+    /// The number of the hub's last grant when the limit was last reported. A response to a later grant is newer.
+    newer_after_grant: u64,
+    reported: Instant,
+    /// The rate that was last published to gateways.
+    published_rate: Rate,
 }
 
-/// Up to which word a gateway was heard.
+/// The reports of a gateway that have been received.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
-    life: u64,
-    upto: u64,
+struct Received {
+    incarnation: u64,
+    last_number: u64,
 }
 
-/// What the hub knows of the limits that servers name.
+/// What the hub knows about the limits that servers announce.
 #[derive(Clone, Debug)]
 pub struct Table {
-    /// The number that the hub drew.
+    /// The random number that identifies the hub.
     hub: u64,
     entries: BTreeMap<Key, Entry>,
-    heard: BTreeMap<id::Host, Heard>,
-    /// Rises with each change that gateways are told.
+    received: BTreeMap<id::Host, Received>,
+    /// Increases with each published change.
     version: u64,
-    /// Which servers changed last. What is told of them is what is known then: who has told a word since must not hear
-    /// from before it.
+    /// The servers that changed last. An update contains their current limits rather than those of its version: a
+    /// gateway that has sent a report since must not get an older limit back.
     recent: VecDeque<Key>,
-    /// Of which servers gateways are still to be told.
-    fresh: BTreeSet<Key>,
-    /// When gateways were last told something.
+    /// The servers whose changes are not published yet.
+    unpublished: BTreeSet<Key>,
+    /// When changes were last published.
     published: Option<Instant>,
 }
 
 impl Table {
-    /// An empty table of the hub that drew the number `hub`.
+    /// Creates an empty table of the hub identified by the random number `hub`.
     #[must_use]
     pub fn new(hub: u64) -> Self {
         Self {
             hub,
             entries: BTreeMap::new(),
-            heard: BTreeMap::new(),
+            received: BTreeMap::new(),
             version: 0,
             recent: VecDeque::new(),
-            fresh: BTreeSet::new(),
+            unpublished: BTreeSet::new(),
             published: None,
         }
     }
 
-    /// Takes note of what a gateway tells, `last` being the number of the hub's last grant; gives the servers of which
-    /// something was heard.
+    /// Records a gateway's reports, where `last_grant` is the number of the hub's last grant; returns the limits of the
+    /// servers that the reports concern.
     pub fn record(
         &mut self,
         host: &id::Host,
-        words: &Reports,
-        last: u64,
+        reports: &Reports,
+        last_grant: u64,
         now: Instant,
     ) -> Vec<Change> {
         let mut touched = BTreeSet::new();
-        let heard = self.heard.get(host);
-        let upto = heard.filter(|heard| heard.life == words.incarnation);
-        // What is told again until it is acknowledged would undo what was heard in between.
-        let upto = upto.map_or(0, |heard| heard.upto);
-        let news = words.reports.iter().filter(|word| word.number > upto);
-        for word in news.clone() {
-            touched.extend(self.make_room(word));
-            if self.take(word, last, now) {
-                touched.insert(word.key.clone());
+        let received = self.received.get(host);
+        let last_number = received.filter(|received| received.incarnation == reports.incarnation);
+        // Reports are resent until they are acknowledged. Applied twice, one would undo reports received in between.
+        let last_number = last_number.map_or(0, |received| received.last_number);
+        let new = reports
+            .reports
+            .iter()
+            .filter(|report| report.number > last_number);
+        for report in new.clone() {
+            touched.extend(self.make_room(report));
+            if self.apply_report(report, last_grant, now) {
+                touched.insert(report.key.clone());
             }
         }
-        let upto = news.map(|word| word.number).fold(upto, u64::max);
-        let life = words.incarnation;
-        self.heard.insert(host.clone(), Heard { life, upto });
+        let last_number = new.map(|report| report.number).fold(last_number, u64::max);
+        let incarnation = reports.incarnation;
+        self.received.insert(
+            host.clone(),
+            Received {
+                incarnation,
+                last_number,
+            },
+        );
         touched.iter().map(|key| self.change(key)).collect()
     }
 
-    /// Takes one word; whether it says something of a limit.
-    fn take(&mut self, word: &Report, last: u64, now: Instant) -> bool {
-        let entry = self.entries.get_mut(&word.key);
-        let is_newer =
-            |entry: &Entry| word.grant_id.hub == self.hub && word.grant_id.number > entry.since;
-        let Some(rate) = word.rate else {
-            // An answer that may be older than the word says nothing.
-            let lifts = entry.is_some_and(|entry| is_newer(entry));
-            if lifts {
-                self.entries.remove(&word.key);
-                self.fresh.insert(word.key.clone());
+    /// Applies one report; returns whether it concerns a limit.
+    fn apply_report(&mut self, report: &Report, last_grant: u64, now: Instant) -> bool {
+        let entry = self.entries.get_mut(&report.key);
+        let is_newer = |entry: &Entry| {
+            report.grant_id.hub == self.hub && report.grant_id.number > entry.newer_after_grant
+        };
+        let Some(rate) = report.rate else {
+            // A response that may be older than the limit does not lift it.
+            let is_lifted = entry.is_some_and(|entry| is_newer(entry));
+            if is_lifted {
+                self.entries.remove(&report.key);
+                self.unpublished.insert(report.key.clone());
             }
-            return lifts;
+            return is_lifted;
         };
-        let confirmed = word.grant_id.hub == self.hub;
+        let confirmed = report.grant_id.hub == self.hub;
         if let Some(entry) = entry {
             entry.limit.confirmed |= confirmed;
-            // Of two that may have been named in either order the one that allows less counts.
+            // If the two rates may have been announced in either order, the lower one applies.
             if is_newer(entry) || rate < entry.limit.rate {
                 entry.limit.rate = rate;
             }
             let rate = entry.limit.rate;
-            entry.since = last;
-            entry.heard = now;
-            let told = entry.told.as_f64();
-            if (rate.as_f64() - told).abs() > told * CHANGED {
-                entry.told = rate;
-                self.fresh.insert(word.key.clone());
+            entry.newer_after_grant = last_grant;
+            entry.reported = now;
+            let published = entry.published_rate.as_f64();
+            if (rate.as_f64() - published).abs() > published * PUBLISHED_RATE_CHANGE {
+                entry.published_rate = rate;
+                self.unpublished.insert(report.key.clone());
             }
             return true;
         }
         let limit = Limit {
             rate,
-            last_unaware_grant: last,
+            last_unaware_grant: last_grant,
             confirmed,
         };
         let entry = Entry {
             limit,
-            since: last,
-            heard: now,
-            told: rate,
+            newer_after_grant: last_grant,
+            reported: now,
+            published_rate: rate,
         };
-        self.entries.insert(word.key.clone(), entry);
-        self.fresh.insert(word.key.clone());
+        self.entries.insert(report.key.clone(), entry);
+        self.unpublished.insert(report.key.clone());
         true
     }
 
-    /// Forgets the server that was heard of longest ago, where there is no room for that of `word`.
-    fn make_room(&mut self, word: &Report) -> Option<Key> {
-        if self.entries.len() < MOST || self.entries.contains_key(&word.key) {
+    /// Drops the server reported longest ago if the table has no room for that of `report`; returns the dropped one.
+    fn make_room(&mut self, report: &Report) -> Option<Key> {
+        if self.entries.len() < MAX_SERVERS || self.entries.contains_key(&report.key) {
             return None;
         }
-        let oldest = self.entries.iter().min_by_key(|(_, entry)| entry.heard);
+        let oldest = self.entries.iter().min_by_key(|(_, entry)| entry.reported);
         let oldest = oldest.map(|(key, _)| key.clone())?;
         self.entries.remove(&oldest);
-        self.fresh.insert(oldest.clone());
+        self.unpublished.insert(oldest.clone());
         Some(oldest)
     }
 
@@ -205,40 +215,41 @@
         }
     }
 
-    /// The limits of a service's servers, and when each was last heard of.
+    /// Returns the limits of a service's servers, and when each was last reported.
     pub fn service_limits<'a>(
         &'a self,
         service: &'a id::Service,
     ) -> impl Iterator<Item = (&'a Key, &'a Limit, Instant)> {
         let entries = self.entries.iter();
         let entries = entries.filter(move |(key, _)| key.service == *service);
-        entries.map(|(key, entry)| (key, &entry.limit, entry.heard))
+        entries.map(|(key, entry)| (key, &entry.limit, entry.reported))
     }
 
-    /// Makes a version of what has changed, where it is time to; whether there is a new one.
+    /// Publishes the changes as a new version if the publish interval has passed; returns whether there is a new
+    /// version.
     pub fn publish(&mut self, now: Instant) -> bool {
-        let is_soon = |at: Instant| now.since(at) < APART;
-        if self.fresh.is_empty() || self.published.is_some_and(is_soon) {
+        let is_recent = |at: Instant| now.since(at) < MIN_PUBLISH_INTERVAL;
+        if self.unpublished.is_empty() || self.published.is_some_and(is_recent) {
             return false;
         }
         self.published = Some(now);
-        for key in std::mem::take(&mut self.fresh) {
+        for key in std::mem::take(&mut self.unpublished) {
             self.version += 1;
             self.recent.push_back(key);
-            if self.recent.len() > RECENT {
+            if self.recent.len() > MAX_RECENT_CHANGES {
                 self.recent.pop_front();
             }
         }
         true
     }
 
-    /// Whether a gateway that holds `version` of the table of the hub `hub` is behind.
+    /// Returns whether a gateway with `version` of the table of the hub `hub` needs an update.
     #[must_use]
     pub fn is_outdated(&self, (hub, version): (u64, u64)) -> bool {
         hub != self.hub || version != self.version
     }
 
-    /// What leads from what a gateway holds to this table; none where it is this one.
+    /// Returns the update from a gateway's version to the current one; `None` if it has the current one.
     #[must_use]
     pub fn update_since(&self, (hub, version): (u64, u64)) -> Option<Update> {
         if !self.is_outdated((hub, version)) {
@@ -262,8 +273,8 @@
         })
     }
 
-    /// Forgets what was heard of gateways that are not among `hosts`.
+    /// Forgets the received report numbers of gateways that are no longer known.
     pub fn retain_gateways(&mut self, is_known: impl Fn(&id::Host) -> bool) {
-        self.heard.retain(|host, _| is_known(host));
+        self.received.retain(|host, _| is_known(host));
     }
 }
