--- a/crates/core/src/quota/bucket.rs
+++ b/crates/core/src/quota/bucket.rs
@@ -1,46 +1,51 @@
-//! A bucket that fills at a rate.
+//! A token bucket.
 
 use crate::clock::Instant;
 
-/// A bucket of tokens; it may be drawn below zero, and is paid back before anything more is let in.
+/// A bucket of tokens that fills at a rate.
+///
+/// Its level may become negative; that is made up for before anything more is admitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bucket {
     level: f64,
-    at: Instant,
+    updated_at: Instant,
 }
 
 impl Bucket {
-    /// A bucket that holds `level` at `now`.
+    /// Creates a bucket that holds `level` tokens at `now`.
     #[must_use]
     pub fn new(level: f64, now: Instant) -> Self {
-        Self { level, at: now }
+        Self {
+            level,
+            updated_at: now,
+        }
     }
 
-    /// What it holds at `now`, filled at `rate` a second up to `most`.
-    pub fn fill(&mut self, rate: f64, most: f64, now: Instant) -> f64 {
-        let gained = rate * now.since(self.at).as_secs_f64();
-        self.level = (self.level + gained).min(most);
-        self.at = now;
+    /// Fills the bucket at `rate` tokens per second up to `burst`, and returns its level at `now`.
+    pub fn fill(&mut self, rate: f64, burst: f64, now: Instant) -> f64 {
+        let gained = rate * now.since(self.updated_at).as_secs_f64();
+        self.level = (self.level + gained).min(burst);
+        self.updated_at = now;
         self.level
     }
 
-    /// Says that it is filled from `since` on, and was not before.
-    pub fn start_at(&mut self, since: Instant) {
-        self.at = self.at.max(since);
+    /// Makes the bucket gain nothing before `start`.
+    pub fn start_at(&mut self, start: Instant) {
+        self.updated_at = self.updated_at.max(start);
     }
 
-    /// What it held when it was last filled or drawn from.
+    /// Returns the level after the last fill or charge.
     #[must_use]
     pub fn level(&self) -> f64 {
         self.level
     }
 
-    /// Takes `amount` out.
+    /// Removes `amount` tokens.
     pub fn charge(&mut self, amount: f64) {
         self.level -= amount;
     }
 
-    /// Lowers the level to `level`, where it is higher.
+    /// Reduces the level to `level` if it is higher.
     pub fn cap(&mut self, level: f64) {
         self.level = self.level.min(level);
     }
--- a/crates/core/src/quota/limiter.rs
+++ b/crates/core/src/quota/limiter.rs
@@ -1,4 +1,4 @@
-//! The desk: one bucket a customer, at the hub.
+//! The hub's limiter: one token bucket per customer.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,145 +10,151 @@
 use super::Bucket;
 use super::Charge;
 use super::Tolerance;
-use super::amount;
+use super::to_f64;
 
-/// When to come back where nothing is filled at present: a gateway that is set aside is heard again, or
-/// counts as gone, within some such times.
-const NOTHING_FILLS: Duration = Duration::from_secs(1);
+/// When a rejected request may be retried while the buckets do not fill: within about this time an unreachable gateway
+/// reports again or its share expires, and the hub has a share of the quotas again.
+const EMPTY_SHARE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What is kept for one customer.
+/// The quota and bucket of one customer.
 #[derive(Clone, Copy, Debug)]
-struct Held {
-    allowance: Allowance,
+struct CustomerBucket {
+    quota: Allowance,
     bucket: Bucket,
-    /// Drawn, and neither spent nor given back yet.
-    waiting: f64,
+    /// Charged for waiting requests; not committed or refunded yet.
+    reserved: f64,
 }
 
-impl Held {
-    /// What the bucket holds at the most, where `present` of the allowance is the desk's: with what
-    /// waits, no more than the allowance gives at once.
-    fn depth(&self, present: f64) -> f64 {
-        self.allowance.burst * present - self.waiting
+impl CustomerBucket {
+    /// The highest level of the bucket, where `hub_share` of the quota is the hub's. Together with what is reserved
+    /// it is no more than the quota's burst.
+    fn burst(&self, hub_share: f64) -> f64 {
+        self.quota.burst * hub_share - self.reserved
     }
 
-    fn fill(&mut self, tolerance: &Tolerance, present: f64, now: Instant) {
-        let depth = self.depth(present);
-        let rate = tolerance.fill_rate(&self.allowance) * present;
-        self.bucket.fill(rate, depth, now);
+    fn fill(&mut self, tolerance: &Tolerance, hub_share: f64, now: Instant) {
+        let burst = self.burst(hub_share);
+        let rate = tolerance.fill_rate(&self.quota) * hub_share;
+        self.bucket.fill(rate, burst, now);
     }
 }
 
-/// One bucket a customer, of which each request that the hub hears of is drawn before it is sent.
+/// Limits the requests of each customer to its quota. The hub charges each request before it is sent.
 ///
-/// What it lets through in any time is at most what it held and what has been filled since. A part is
-/// set aside for gateways that may be letting in by themselves ([`super::LocalLimiter`]). It begins empty, as
-/// what the desk before it let through is not known; so all desks and gateways together let in no more
-/// than one bucket would. Filled up at any later time it would let in a burst twice.
+/// In any period it admits at most what a bucket held and what it has gained since. A share of the quotas is reserved
+/// for gateways that may be admitting requests without the hub ([`super::LocalLimiter`]). Buckets start empty, because
+/// what the previous hub admitted is not known; so all hubs and gateways together admit no more than a single bucket
+/// would. A bucket that was filled up at any later time would admit a burst twice.
 #[derive(Clone, Debug)]
 pub struct Limiter {
     tolerance: Tolerance,
-    present: f64,
-    held: BTreeMap<id::Customer, Held>,
+    hub_share: f64,
+    customers: BTreeMap<id::Customer, CustomerBucket>,
 }
 
 impl Limiter {
-    /// A desk with nothing in its buckets, where so much more than an allowance may be let in.
+    /// Creates a limiter with empty buckets that admits requests beyond a quota up to `tolerance`.
     ///
-    /// It fills nothing before [`Limiter::set_hub_share`] was told who is there.
+    /// The buckets gain nothing until [`Limiter::set_hub_share`] is called.
     #[must_use]
     pub fn new(tolerance: Tolerance) -> Self {
         Self {
             tolerance,
-            present: 0.0,
-            held: BTreeMap::new(),
+            hub_share: 0.0,
+            customers: BTreeMap::new(),
         }
     }
 
-    /// Takes up the allowances of a table; a bucket never holds more than its burst.
+    /// Replaces the quotas; a bucket never holds more than its quota's burst.
     pub fn set_quotas<'a>(
         &mut self,
-        accounts: impl Iterator<Item = (&'a id::Customer, Allowance)>,
+        quotas: impl Iterator<Item = (&'a id::Customer, Allowance)>,
         now: Instant,
     ) {
         self.fill(now);
-        let limited = accounts.filter(|(_, allowance)| allowance.is_limited());
-        let next = limited.map(|(customer, allowance)| {
-            let mut held = self.held.get(customer).copied().unwrap_or(Held {
-                allowance,
-                bucket: Bucket::new(0.0, now),
-                waiting: 0.0,
-            });
-            held.allowance = allowance;
-            held.bucket.cap(held.depth(self.present));
-            (customer.clone(), held)
+        let limited = quotas.filter(|(_, quota)| quota.is_limited());
+        let next = limited.map(|(customer, quota)| {
+            let mut state = self
+                .customers
+                .get(customer)
+                .copied()
+                .unwrap_or(CustomerBucket {
+                    quota,
+                    bucket: Bucket::new(0.0, now),
+                    reserved: 0.0,
+                });
+            state.quota = quota;
+            state.bucket.cap(state.burst(self.hub_share));
+            (customer.clone(), state)
         });
-        self.held = next.collect();
+        self.customers = next.collect();
     }
 
-    /// Says that nobody can have let anything in before `now`.
+    /// Fills all buckets; correct only if nothing can have been admitted before `now`.
     pub fn fill_all(&mut self, now: Instant) {
-        for held in self.held.values_mut() {
-            let depth = held.depth(self.present);
-            held.bucket = Bucket::new(depth, now);
+        for state in self.customers.values_mut() {
+            let burst = state.burst(self.hub_share);
+            state.bucket = Bucket::new(burst, now);
         }
     }
 
-    /// Says which part (0 to 1) of the allowances is the desk's own at `now`; the rest is set aside.
-    pub fn set_hub_share(&mut self, present: f64, now: Instant) {
-        if (present - self.present).abs() < f64::EPSILON {
+    /// Sets the share (0 to 1) of the quotas that is the hub's from `now` on; the rest is reserved for gateways.
+    pub fn set_hub_share(&mut self, hub_share: f64, now: Instant) {
+        if (hub_share - self.hub_share).abs() < f64::EPSILON {
             return;
         }
-        // Of the time since it was last told the smaller part is meant.
-        self.present = self.present.min(present);
+        // For the time since the last call the smaller share applies.
+        self.hub_share = self.hub_share.min(hub_share);
         self.fill(now);
-        self.present = present;
+        self.hub_share = hub_share;
     }
 
-    /// Draws what a request counts; whether that is spent is told later.
+    /// Charges a request; the charge must be committed or refunded later.
     ///
     /// # Errors
     ///
-    /// After how long there is enough, if nobody else draws.
+    /// Returns after how long the bucket holds enough if nothing else is charged.
     pub fn acquire(&mut self, charge: &Charge, now: Instant) -> Result<(), Duration> {
-        let Some(held) = self.held.get_mut(&charge.customer) else {
+        let Some(state) = self.customers.get_mut(&charge.customer) else {
             return Ok(());
         };
-        held.fill(&self.tolerance, self.present, now);
-        let cost = amount(charge.cost);
-        // A request that counts more than a bucket holds needs a full one.
-        let missing = cost.min(held.allowance.burst) - held.bucket.level();
+        state.fill(&self.tolerance, self.hub_share, now);
+        let cost = to_f64(charge.cost);
+        // A request that costs more than the burst needs a full bucket.
+        let missing = cost.min(state.quota.burst) - state.bucket.level();
         if missing > 0.0 {
-            let rate = self.tolerance.fill_rate(&held.allowance) * self.present;
+            let rate = self.tolerance.fill_rate(&state.quota) * self.hub_share;
             let wait = Duration::try_from_secs_f64(missing / rate);
-            return Err(wait.unwrap_or(NOTHING_FILLS).min(NOTHING_FILLS));
+            return Err(wait
+                .unwrap_or(EMPTY_SHARE_RETRY_DELAY)
+                .min(EMPTY_SHARE_RETRY_DELAY));
         }
-        held.bucket.charge(cost);
-        held.waiting += cost;
+        state.bucket.charge(cost);
+        state.reserved += cost;
         Ok(())
     }
 
-    /// Takes note that a request is sent whose count was drawn here.
+    /// Commits the charge of a request that is sent.
     pub fn commit(&mut self, charge: &Charge, now: Instant) {
-        if let Some(held) = self.held.get_mut(&charge.customer) {
-            held.fill(&self.tolerance, self.present, now);
-            held.waiting = (held.waiting - amount(charge.cost)).max(0.0);
+        if let Some(state) = self.customers.get_mut(&charge.customer) {
+            state.fill(&self.tolerance, self.hub_share, now);
+            state.reserved = (state.reserved - to_f64(charge.cost)).max(0.0);
         }
     }
 
-    /// Gives back what a request counted that was drawn here and surely is not sent.
+    /// Refunds the charge of a request that was certainly not sent.
     pub fn refund(&mut self, charge: &Charge, now: Instant) {
-        if let Some(held) = self.held.get_mut(&charge.customer) {
-            held.fill(&self.tolerance, self.present, now);
-            held.waiting = (held.waiting - amount(charge.cost)).max(0.0);
-            held.bucket.charge(-amount(charge.cost));
-            held.bucket.cap(held.depth(self.present));
+        if let Some(state) = self.customers.get_mut(&charge.customer) {
+            state.fill(&self.tolerance, self.hub_share, now);
+            state.reserved = (state.reserved - to_f64(charge.cost)).max(0.0);
+            state.bucket.charge(-to_f64(charge.cost));
+            state.bucket.cap(state.burst(self.hub_share));
         }
     }
 
     fn fill(&mut self, now: Instant) {
-        for held in self.held.values_mut() {
-            held.fill(&self.tolerance, self.present, now);
+        for state in self.customers.values_mut() {
+            state.fill(&self.tolerance, self.hub_share, now);
         }
     }
 }
--- a/crates/core/src/quota/local.rs
+++ b/crates/core/src/quota/local.rs
@@ -1,4 +1,4 @@
-//! What a gateway may let in by itself.
+//! A gateway's limiter for requests that the hub does not decide on.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,64 +11,71 @@
 use super::Charge;
 use super::Share;
 use super::Tolerance;
-use super::amount;
+use super::to_f64;
 
-/// After how long without the hub's word a gateway lets in by its part of the allowances themselves.
+/// How long a gateway must be without a response from the hub before it admits requests by its share of the quotas
+/// themselves.
 ///
-/// The hub sets that part aside once it has had no sign for [`SHARE_RESERVE_DELAY`] that a word of its has come; the
-/// question for that word was sent 0.6 s before at the most. What is left is for clocks that differ.
+/// The hub reserves that share once [`SHARE_RESERVE_DELAY`] has passed without a sign that one of its responses has
+/// arrived; the request for that response was sent at most 0.6 s earlier. The rest is for clocks that differ.
 pub const LOCAL_QUOTA_DELAY: Duration = Duration::from_millis(1_400);
 
-/// After how long without a sign that a word of its has come the hub sets a gateway's part aside: two
-/// rounds of questions, and a busy host's delay.
+/// How long the hub waits for a sign that one of its responses has arrived at a gateway before it reserves that
+/// gateway's share: two rounds of polls, and the delay of a busy host.
 pub const SHARE_RESERVE_DELAY: Duration = Duration::from_millis(700);
 
-/// For how long a gateway holds a part that the hub's word gave it; the hub counts it as gone after as
-/// long.
+/// How long a share is valid at a gateway after the request for it was sent. The hub considers it expired after the
+/// same time.
 ///
-/// Longer, and a host that is gone for good takes more from those that are left; shorter, and a gateway
-/// that is cut off turns customers away sooner.
+/// If it is longer, a host that is gone for good takes more from the remaining ones; if it is shorter, a gateway that
+/// is cut off rejects customers sooner.
 pub const SHARE_LIFETIME: Duration = Duration::from_secs(10);
 
-/// A customer's two buckets.
+/// The two buckets of a customer.
 #[derive(Clone, Copy, Debug)]
-struct Own {
-    allowance: Allowance,
-    /// Of the tolerance, which is never the hub's.
-    spare: Bucket,
-    /// Of the allowance, while the hub sets it aside.
-    alone: Bucket,
+struct LocalBuckets {
+    quota: Allowance,
+    /// The gateway's share of the tolerance, which the hub never uses.
+    tolerance_bucket: Bucket,
+    /// The gateway's share of the quota, while the hub reserves it.
+    quota_bucket: Bucket,
 }
 
-impl Own {
-    /// Fills both for a gateway that holds `part`; `alone` tells since when the other one is filled too.
-    fn fill(&mut self, tolerance: &Tolerance, part: f64, alone: Option<Instant>, now: Instant) {
-        let (rate, depth) = tolerance.local_reserve(&self.allowance);
-        self.spare.fill(rate * part, depth * part, now);
-        if let Some(since) = alone {
-            self.alone.start_at(since);
-            let (rate, depth) = (self.allowance.rate, self.allowance.burst);
-            self.alone.fill(rate * part, depth * part, now);
+impl LocalBuckets {
+    /// Fills both buckets for a gateway that holds `share`; the quota's only if `quota_since` says since when.
+    fn fill(
+        &mut self,
+        tolerance: &Tolerance,
+        share: f64,
+        quota_since: Option<Instant>,
+        now: Instant,
+    ) {
+        let (rate, burst) = tolerance.local_reserve(&self.quota);
+        self.tolerance_bucket.fill(rate * share, burst * share, now);
+        if let Some(since) = quota_since {
+            self.quota_bucket.start_at(since);
+            let (rate, burst) = (self.quota.rate, self.quota.burst);
+            self.quota_bucket.fill(rate * share, burst * share, now);
         }
     }
 }
 
-/// What a gateway may let in by itself, where the hub gives no word on a request.
+/// Limits what a gateway admits by itself when the hub does not decide on a request.
 ///
-/// It has a part of the tolerance at all times, and once the hub has been silent for [`LOCAL_QUOTA_DELAY`], a part
-/// of the allowances too. Parts of all gateways together are never more than one
-/// ([`crate::gateway::Parts`]). All buckets begin empty, so that a start anew gives nobody more.
+/// The gateway has a share of the tolerance at all times and, once the hub has been unresponsive for
+/// [`LOCAL_QUOTA_DELAY`], a share of the quotas too. The shares of all gateways never add up to more than one
+/// ([`crate::gateway::Parts`]). All buckets start empty, so that a restart admits nothing twice.
 #[derive(Clone, Debug, Default)]
 pub struct LocalLimiter {
     tolerance: Tolerance,
-    part: Share,
-    /// Since when it holds a part.
-    since: Instant,
-    own: BTreeMap<id::Customer, Own>,
+    share: Share,
+    /// Since when the gateway has held a share without interruption.
+    held_since: Instant,
+    customers: BTreeMap<id::Customer, LocalBuckets>,
 }
 
 impl LocalLimiter {
-    /// A reserve without a part, where so much more than an allowance may be let in.
+    /// Creates a limiter without a share that admits requests beyond a quota up to `tolerance`.
     #[must_use]
     pub fn new(tolerance: Tolerance) -> Self {
         Self {
@@ -77,60 +84,60 @@
         }
     }
 
-    /// Takes up the hub's answer to a question that was sent at `asked`: the gateway has this part (0 to
-    /// 1) from now on, and what it held of the allowances themselves is the hub's again.
-    pub fn set_share(&mut self, part: f64, asked: Instant, now: Instant) {
-        let former = self.get_share(now);
-        if former <= 0.0 {
-            self.since = now;
-            self.own.clear();
-        } else if (part - former).abs() > f64::EPSILON {
-            for own in self.own.values_mut() {
-                own.fill(&self.tolerance, former, None, now);
+    /// Sets the share (0 to 1) from the hub's response to a request that was sent at `requested_at`; the share of the
+    /// quotas themselves goes back to the hub.
+    pub fn set_share(&mut self, share: f64, requested_at: Instant, now: Instant) {
+        let previous = self.get_share(now);
+        if previous <= 0.0 {
+            self.held_since = now;
+            self.customers.clear();
+        } else if (share - previous).abs() > f64::EPSILON {
+            for buckets in self.customers.values_mut() {
+                buckets.fill(&self.tolerance, previous, None, now);
             }
         }
-        if self.alone(now).is_some() {
-            for own in self.own.values_mut() {
-                own.alone = Bucket::new(0.0, now);
+        if self.quota_since(now).is_some() {
+            for buckets in self.customers.values_mut() {
+                buckets.quota_bucket = Bucket::new(0.0, now);
             }
         }
-        self.part.set(part, asked);
+        self.share.set(share, requested_at);
     }
 
-    /// The part that it holds at `now`; 0 where it holds none any more.
+    /// Returns the share at `now`; 0 if the gateway has none or it has expired.
     #[must_use]
     pub fn get_share(&self, now: Instant) -> f64 {
-        self.part.get(now)
+        self.share.get(now)
     }
 
-    /// Since when it lets in by its part of the allowances themselves.
-    fn alone(&self, now: Instant) -> Option<Instant> {
-        let asked = self.part.get_requested_at()?;
-        (now.since(asked) >= LOCAL_QUOTA_DELAY).then(|| asked + LOCAL_QUOTA_DELAY)
+    /// Since when the gateway has admitted requests by its share of the quotas; `None` while the hub is responsive.
+    fn quota_since(&self, now: Instant) -> Option<Instant> {
+        let requested_at = self.share.get_requested_at()?;
+        (now.since(requested_at) >= LOCAL_QUOTA_DELAY).then(|| requested_at + LOCAL_QUOTA_DELAY)
     }
 
-    /// Whether a request is let in; if so it is counted.
-    pub fn acquire(&mut self, charge: &Charge, allowance: &Allowance, now: Instant) -> bool {
-        let part = self.get_share(now);
-        if part <= 0.0 {
+    /// Charges a request and returns whether it is admitted; a rejected one costs nothing.
+    pub fn acquire(&mut self, charge: &Charge, quota: &Allowance, now: Instant) -> bool {
+        let share = self.get_share(now);
+        if share <= 0.0 {
             return false;
         }
-        let (alone, since) = (self.alone(now), self.since);
-        let own = self.own.entry(charge.customer.clone());
-        let own = own.or_insert_with(|| Own {
-            allowance: *allowance,
-            spare: Bucket::new(0.0, since),
-            alone: Bucket::new(0.0, since),
+        let (quota_since, held_since) = (self.quota_since(now), self.held_since);
+        let buckets = self.customers.entry(charge.customer.clone());
+        let buckets = buckets.or_insert_with(|| LocalBuckets {
+            quota: *quota,
+            tolerance_bucket: Bucket::new(0.0, held_since),
+            quota_bucket: Bucket::new(0.0, held_since),
         });
-        own.allowance = *allowance;
-        own.fill(&self.tolerance, part, alone, now);
-        let cost = amount(charge.cost);
-        let spare = own.spare.level().max(0.0);
-        if spare + own.alone.level().max(0.0) < cost {
+        buckets.quota = *quota;
+        buckets.fill(&self.tolerance, share, quota_since, now);
+        let cost = to_f64(charge.cost);
+        let tolerated = buckets.tolerance_bucket.level().max(0.0);
+        if tolerated + buckets.quota_bucket.level().max(0.0) < cost {
             return false;
         }
-        own.spare.charge(cost.min(spare));
-        own.alone.charge((cost - spare).max(0.0));
+        buckets.tolerance_bucket.charge(cost.min(tolerated));
+        buckets.quota_bucket.charge((cost - tolerated).max(0.0));
         true
     }
 }
--- a/crates/core/src/quota/mod.rs
+++ b/crates/core/src/quota/mod.rs
@@ -1,17 +1,19 @@
-//! Allowances over all gateways together: a desk at the hub that draws each request, and reserves at the
-//! gateways for when the hub gives no word.
+//! Customers' quotas over all gateways together.
+//!
+//! The hub charges each request ([`Limiter`]). Each gateway has a limiter of its own ([`LocalLimiter`]) for the time in
+//! which the hub does not answer.
 
-mod amount;
 mod bucket;
 mod charge;
+mod convert;
 mod limiter;
 mod local;
 mod share;
 mod tolerance;
 
-pub use amount::amount;
 pub use bucket::Bucket;
 pub use charge::Charge;
+pub use convert::to_f64;
 pub use limiter::Limiter;
 pub use local::LOCAL_QUOTA_DELAY;
 pub use local::LocalLimiter;
--- a/crates/core/src/quota/share.rs
+++ b/crates/core/src/quota/share.rs
@@ -1,10 +1,10 @@
-//! The part of what all gateways share that one of them holds.
+//! The share of what all gateways have together that one of them holds.
 
 use crate::clock::Instant;
 
 use super::SHARE_LIFETIME;
 
-/// The part (0 to 1) of what all gateways share that one of them holds, by the hub's last word.
+/// A gateway's share (0 to 1) of what all gateways have together, as the hub last announced it.
 ///
 /// # Examples
 ///
@@ -12,38 +12,38 @@
 /// use curlewlift_core::clock::Instant;
 /// use curlewlift_core::quota::SHARE_LIFETIME;
 /// use curlewlift_core::quota::Share;
-/// let asked = Instant::default();
+/// let requested_at = Instant::default();
 /// let mut share = Share::default();
-/// share.set(0.25, asked);
-/// assert!(share.get(asked) > 0.2);
-/// assert!(share.get(asked + SHARE_LIFETIME) <= 0.0);
+/// share.set(0.25, requested_at);
+/// assert!(share.get(requested_at) > 0.2);
+/// assert!(share.get(requested_at + SHARE_LIFETIME) <= 0.0);
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Share {
-    part: f64,
-    /// When the question was sent that the hub answered last.
-    asked: Option<Instant>,
+    share: f64,
+    /// When the request was sent that the hub answered last.
+    requested_at: Option<Instant>,
 }
 
 impl Share {
-    /// Takes up the hub's answer to a question that was sent at `asked`.
-    pub fn set(&mut self, part: f64, asked: Instant) {
-        self.part = part;
-        self.asked = Some(asked);
+    /// Sets the share from the hub's response to a request that was sent at `requested_at`.
+    pub fn set(&mut self, share: f64, requested_at: Instant) {
+        self.share = share;
+        self.requested_at = Some(requested_at);
     }
 
-    /// When the question was sent that the hub answered last.
+    /// Returns when the request was sent that the hub answered last.
     #[must_use]
     pub fn get_requested_at(&self) -> Option<Instant> {
-        self.asked
+        self.requested_at
     }
 
-    /// What is held at `now`; 0 where nothing is any more.
+    /// Returns the share at `now`; 0 if it has expired.
     #[must_use]
     pub fn get(&self, now: Instant) -> f64 {
-        let held = self
-            .asked
-            .is_some_and(|asked| now.since(asked) < SHARE_LIFETIME);
-        if held { self.part } else { 0.0 }
+        let is_valid = self
+            .requested_at
+            .is_some_and(|requested_at| now.since(requested_at) < SHARE_LIFETIME);
+        if is_valid { self.share } else { 0.0 }
     }
 }
--- a/crates/core/src/quota/tolerance.rs
+++ b/crates/core/src/quota/tolerance.rs
@@ -1,34 +1,36 @@
-//! How much more than an allowance a deployment bears.
+//! By how much a quota may be exceeded.
 
 use std::time::Duration;
 
 use crate::route::Allowance;
 
-/// The part of the tolerance that the hub gives out, evenly over time.
-const GIVEN_OUT: f64 = 0.65;
+/// The share of the tolerance that the hub adds to the quotas, evenly over time.
+const HUB_TOLERANCE_SHARE: f64 = 0.65;
 
-/// The part that gateways hold, for the time in which the hub gives no word. What is left is for what is
-/// let in at one moment and runs at a later one.
-const SPARE: f64 = 0.25;
+/// The share of the tolerance that gateways hold for the time in which the hub does not answer. The remainder covers
+/// requests that are admitted at one moment and run at a later one.
+const LOCAL_TOLERANCE_SHARE: f64 = 0.25;
 
-/// The part of what gateways hold that they may let in at once: a leader's end leaves them some 1 s
-/// without a hub.
-const AT_ONCE: f64 = 0.75;
+/// The share of the gateways' part that they may admit at once: when a leader crashes, they are without a hub for
+/// about 1 s.
+const LOCAL_BURST_SHARE: f64 = 0.75;
 
-/// How much more than an allowance may be let in, in any window.
+/// By how much a quota may be exceeded in any window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tolerance {
-    /// The window's length.
+    /// The length of the window.
     pub window: Duration,
-    /// A part of what the allowance gives in a window.
+    /// The tolerated excess as a fraction of what the quota allows in a window.
     pub ratio: f64,
-    /// On top of it, in the allowance's unit.
+    /// The tolerated excess in addition to that, in the quota's unit.
     pub slack: f64,
 }
 
 impl Tolerance {
-    /// At what rate a customer's bucket fills at the hub: above its own rate, so that a part of a window's
-    /// tolerance is used evenly. The bucket holds its burst, no more.
+    /// Returns the rate at which a customer's bucket fills at the hub.
+    ///
+    /// It is higher than the quota's rate, so that the hub's share of a window's tolerance is used evenly. The bucket
+    /// holds the quota's burst, no more.
     ///
     /// # Examples
     ///
@@ -37,38 +39,40 @@
     /// use curlewlift_core::quota::Tolerance;
     /// use curlewlift_core::route::Allowance;
     /// use curlewlift_core::route::Unit;
-    /// let allowance = Allowance { unit: Unit::Requests, rate: 10.0, burst: 20.0 };
+    /// let quota = Allowance { unit: Unit::Requests, rate: 10.0, burst: 20.0 };
     /// let tolerance = Tolerance { window: Duration::from_secs(8), ratio: 0.1, slack: 0.0 };
-    /// assert!((tolerance.fill_rate(&allowance) - 10.8125).abs() < 1e-9);
-    /// assert!((Tolerance::default().fill_rate(&allowance) - 10.0).abs() < 1e-9);
+    /// assert!((tolerance.fill_rate(&quota) - 10.8125).abs() < 1e-9);
+    /// assert!((Tolerance::default().fill_rate(&quota) - 10.0).abs() < 1e-9);
     /// ```
     #[must_use]
-    pub fn fill_rate(&self, allowance: &Allowance) -> f64 {
+    pub fn fill_rate(&self, quota: &Allowance) -> f64 {
         let window = self.window.as_secs_f64();
         if window <= 0.0 {
-            return allowance.rate;
+            return quota.rate;
         }
-        allowance.rate + self.tolerated(allowance) * GIVEN_OUT / window
+        quota.rate + self.tolerated_excess(quota) * HUB_TOLERANCE_SHARE / window
     }
 
-    /// What all gateways together hold for the time in which the hub gives no word: at what rate it
-    /// fills, and how much it is at the most.
+    /// Returns the rate and the burst that all gateways together have for the time in which the hub does not answer.
     #[must_use]
-    pub fn local_reserve(&self, allowance: &Allowance) -> (f64, f64) {
+    pub fn local_reserve(&self, quota: &Allowance) -> (f64, f64) {
         let window = self.window.as_secs_f64();
         if window <= 0.0 {
             return (0.0, 0.0);
         }
-        let spare = self.tolerated(allowance) * SPARE;
-        (spare * (1.0 - AT_ONCE) / window, spare * AT_ONCE)
+        let reserve = self.tolerated_excess(quota) * LOCAL_TOLERANCE_SHARE;
+        (
+            reserve * (1.0 - LOCAL_BURST_SHARE) / window,
+            reserve * LOCAL_BURST_SHARE,
+        )
     }
 
-    /// What the allowance itself gives in a window.
-    fn gives(&self, allowance: &Allowance) -> f64 {
-        allowance.rate * self.window.as_secs_f64() + allowance.burst
+    /// What the quota itself allows in a window.
+    fn window_quota(&self, quota: &Allowance) -> f64 {
+        quota.rate * self.window.as_secs_f64() + quota.burst
     }
 
-    fn tolerated(&self, allowance: &Allowance) -> f64 {
-        self.ratio * self.gives(allowance) + self.slack
+    fn tolerated_excess(&self, quota: &Allowance) -> f64 {
+        self.ratio * self.window_quota(quota) + self.slack
     }
 }
