--- a/crates/core/tests/limit_words.rs
+++ b/crates/core/tests/limit_words.rs
@@ -1,4 +1,8 @@
-//! Which of two words about a limit counts, who is told of it, and what is remembered.
+//! Limits that servers announce: which of two reports applies, what gateways and hubs report to each other, and how
+//! many requests a limited server gets.
+//!
+//! Responses of different gateways reach the hub in any order, and hubs change. If an old report counted as new, a
+//! limit would be lifted or raised too early and the server overloaded.
 
 mod support;
 
@@ -27,122 +31,142 @@
 }
 
 fn rate(text: &str) -> Rate {
-    text.parse().expect("a rate")
+    text.parse().expect("a valid rate")
 }
 
-fn named(text: &str) -> Announcement {
+fn limited(text: &str) -> Announcement {
     Announcement::Limited(rate(text))
 }
 
-fn mark(number: u64) -> Mark {
+fn grant_id(number: u64) -> Mark {
     Mark { hub: HUB, number }
 }
 
 fn host() -> id::Host {
-    "g".parse().expect("a name")
+    "g".parse().expect("a valid name")
 }
 
-/// A hub's table, and what gateways have told it.
+/// A hub's table and the reports of one gateway.
 struct Hub {
     table: Table,
-    number: u64,
+    report_number: u64,
 }
 
 impl Hub {
     fn new() -> Self {
         let table = Table::new(HUB);
-        Self { table, number: 0 }
+        Self {
+            table,
+            report_number: 0,
+        }
     }
 
-    /// An answer to what the grant `by` sent names this limit; the hub's last grant is `last`.
-    fn hear(&mut self, name: &str, limit: Option<&str>, by: u64, last: u64) {
-        self.number += 1;
+    /// Reports that a response to the request of grant `granted` announced `limit`, when `last_grant` is the hub's last
+    /// grant.
+    fn report(&mut self, name: &str, limit: Option<&str>, granted: u64, last_grant: u64) {
+        self.report_number += 1;
         let server = life(name, 1);
-        let word = Report {
-            number: self.number,
+        let report = Report {
+            number: self.report_number,
             key: Key::from_server(&server),
             rate: limit.map(rate),
-            grant_id: mark(by),
+            grant_id: grant_id(granted),
         };
-        self.tell(vec![word], last);
+        self.receive(vec![report], last_grant);
     }
 
-    fn tell(&mut self, words: Vec<Report>, last: u64) {
-        let words = Reports {
+    fn receive(&mut self, reports: Vec<Report>, last_grant: u64) {
+        let reports = Reports {
             incarnation: 1,
-            reports: words,
+            reports,
         };
-        self.table.record(&host(), &words, last, at(0));
+        self.table.record(&host(), &reports, last_grant, at(0));
     }
 
     fn limit(&self, name: &str) -> Option<String> {
-        let service = "chat".parse().expect("a name");
+        let service = "chat".parse().expect("a valid name");
         let mut limits = self.table.service_limits(&service);
         let limit = limits.find(|(key, ..)| *key.name == *name);
         limit.map(|(_, limit, _)| limit.rate.to_string())
     }
 }
 
-/// Only an answer to what was granted after the limit had been heard lifts it, or raises it.
+/// A limit is lifted or raised only by a response to a grant that the hub gave after the limit was reported.
 #[test]
-fn newer_counts() {
+fn newer_report_applies() {
     let mut hub = Hub::new();
-    hub.hear("s", Some("3"), 5, 10);
-    hub.hear("s", None, 10, 11);
-    assert_eq!(hub.limit("s").as_deref(), Some("3"), "it may be older");
-    hub.hear("s", Some("8"), 9, 11);
-    assert_eq!(hub.limit("s").as_deref(), Some("3"), "the least of both");
-    hub.hear("s", Some("2"), 9, 12);
-    assert_eq!(hub.limit("s").as_deref(), Some("2"), "the least of both");
-    hub.hear("s", Some("8"), 13, 14);
-    assert_eq!(hub.limit("s").as_deref(), Some("8"), "it is newer");
-    hub.hear("s", None, 14, 15);
-    assert!(hub.limit("s").is_some(), "named again since");
-    hub.hear("s", None, 15, 16);
+    hub.report("s", Some("3"), 5, 10);
+    hub.report("s", None, 10, 11);
+    assert_eq!(
+        hub.limit("s").as_deref(),
+        Some("3"),
+        "the response may be older than the limit"
+    );
+    hub.report("s", Some("8"), 9, 11);
+    assert_eq!(
+        hub.limit("s").as_deref(),
+        Some("3"),
+        "the lower of the two rates"
+    );
+    hub.report("s", Some("2"), 9, 12);
+    assert_eq!(
+        hub.limit("s").as_deref(),
+        Some("2"),
+        "the lower of the two rates"
+    );
+    hub.report("s", Some("8"), 13, 14);
+    assert_eq!(
+        hub.limit("s").as_deref(),
+        Some("8"),
+        "the response is newer"
+    );
+    hub.report("s", None, 14, 15);
+    assert!(hub.limit("s").is_some(), "announced again since");
+    hub.report("s", None, 15, 16);
     assert_eq!(hub.limit("s"), None);
 }
 
-/// By the marks of another hub nothing is newer, and what was sent without one neither.
+/// A response to a grant of another hub, or to a request without a grant, does not count as newer.
 #[test]
 fn other_hubs_grants() {
     let mut hub = Hub::new();
-    hub.hear("s", Some("3"), 5, 10);
+    hub.report("s", Some("3"), 5, 10);
     let server = life("s", 1);
-    for (number, mark) in [(2, Mark { hub: 1, number: 99 }), (3, Mark::default())] {
-        let word = Report {
+    for (number, grant_id) in [(2, Mark { hub: 1, number: 99 }), (3, Mark::default())] {
+        let report = Report {
             number,
             key: Key::from_server(&server),
             rate: None,
-            grant_id: mark,
+            grant_id,
         };
-        hub.tell(vec![word], 100);
+        hub.receive(vec![report], 100);
     }
     assert!(hub.limit("s").is_some());
 }
 
-/// What is told again until it is acknowledged does not undo what was heard in between.
+/// A report that is resent until it is acknowledged does not undo a later one.
 #[test]
-fn told_again() {
+fn resent_reports() {
     let mut hub = Hub::new();
     let mut local = LocalReports::new(1);
-    local.record_response(&life("s", 1), &named("3"), mark(1), at(0), at(1));
-    let words = local.pending_reports();
-    hub.tell(words.reports.clone(), 1);
+    local.record_response(&life("s", 1), &limited("3"), grant_id(1), at(0), at(1));
+    let pending = local.pending_reports();
+    hub.receive(pending.reports.clone(), 1);
     assert!(hub.limit("s").is_some());
-    hub.number = 1;
-    hub.hear("s", None, 2, 2);
-    hub.tell(words.reports, 3);
+    hub.report_number = 1;
+    hub.report("s", None, 2, 2);
+    hub.receive(pending.reports, 3);
     assert_eq!(hub.limit("s"), None);
 }
 
-/// A gateway is held to what it has heard until the hub has lifted it, through a change of the hub.
+/// A gateway applies a limit until the hub lifts it, also through a change of the hub.
 #[test]
 fn kept_until_lifted() {
     let server = life("s", 1);
-    let (mut local, mut first) = (LocalReports::new(1), Table::new(1));
-    local.record_response(&server, &named("3"), Mark::default(), at(0), at(1));
-    assert!(local.blocks(&server, mark(1)));
-    // Neither its own answers lift it, whatever their order, nor that the hub knows of it.
+    let (mut local, mut first_hub) = (LocalReports::new(1), Table::new(1));
+    local.record_response(&server, &limited("3"), Mark::default(), at(0), at(1));
+    assert!(local.blocks(&server, grant_id(1)));
+    // It is lifted neither by responses to this gateway, whatever their order, nor by the hub's acknowledgement.
     local.record_response(
         &server,
         &Announcement::NoLimit,
@@ -150,65 +174,74 @@
         at(0),
         at(2),
     );
-    assert!(local.blocks(&server, mark(1)));
-    let upto = local.get_last_number();
-    first.record(&host(), &local.pending_reports(), 9, at(3));
-    let _ = local.apply_reply(1, upto, None, at(4));
+    assert!(local.blocks(&server, grant_id(1)));
+    let last_number = local.get_last_number();
+    first_hub.record(&host(), &local.pending_reports(), 9, at(3));
+    let _ = local.apply_reply(1, last_number, None, at(4));
     assert!(local.pending_reports().reports.is_empty());
     assert!(local.blocks(&server, Mark { hub: 1, number: 9 }));
-    first.publish(at(5));
-    let news = first.update_since(local.get_table_version());
-    let _ = local.apply_reply(1, upto, news.as_ref(), at(6));
+    first_hub.publish(at(5));
+    let update = first_hub.update_since(local.get_table_version());
+    let _ = local.apply_reply(1, last_number, update.as_ref(), at(6));
     assert!(local.blocks(&server, Mark { hub: 1, number: 9 }));
     let later = Mark { hub: 1, number: 10 };
-    assert!(!local.blocks(&server, later), "given once it was known");
-    // The next hub is told.
-    let news = Table::new(2).update_since(local.get_table_version());
-    let _ = local.apply_reply(2, upto, news.as_ref(), at(7));
+    assert!(
+        !local.blocks(&server, later),
+        "granted after the hub knew of the limit"
+    );
+    // The limit is reported to the next hub.
+    let update = Table::new(2).update_since(local.get_table_version());
+    let _ = local.apply_reply(2, last_number, update.as_ref(), at(7));
     assert!(local.blocks(&server, later));
     assert_eq!(local.pending_reports().reports.len(), 1);
 }
 
-/// Gateways are told changes, and those that are behind too far the whole; not more often than four times a second,
-/// and not of a rate that is nearly the same.
+/// Gateways get the changes since their version, or the whole table if they are too far behind. New versions are
+/// published at most four times a second, and not for a rate that is nearly the same.
 #[test]
-fn told_changes() {
+fn published_changes() {
     let mut hub = Hub::new();
-    hub.hear("s", Some("3"), 1, 1);
+    hub.report("s", Some("3"), 1, 1);
     assert!(hub.table.publish(at(0)));
-    hub.hear("t", Some("3"), 2, 2);
+    hub.report("t", Some("3"), 2, 2);
     assert!(!hub.table.publish(at(249)));
     assert!(hub.table.publish(at(250)));
-    let news = hub.table.update_since((HUB, 1)).expect("it is behind");
-    assert_eq!((news.base_version, news.changes.len()), (Some(1), 1));
-    let whole = hub.table.update_since((1, 1)).expect("of another hub");
+    let update = hub
+        .table
+        .update_since((HUB, 1))
+        .expect("an update, as the gateway is behind");
+    assert_eq!((update.base_version, update.changes.len()), (Some(1), 1));
+    let whole = hub
+        .table
+        .update_since((1, 1))
+        .expect("the whole table, as the version is of another hub");
     assert_eq!((whole.base_version, whole.changes.len()), (None, 2));
-    hub.hear("t", Some("3.1"), 3, 3);
+    hub.report("t", Some("3.1"), 3, 3);
     assert!(!hub.table.publish(at(900)));
     assert_eq!(hub.table.update_since((HUB, 2)), None);
-    hub.hear("t", Some("4"), 4, 4);
+    hub.report("t", Some("4"), 4, 4);
     assert!(hub.table.publish(at(900)));
 }
 
-/// What is remembered is bounded, and who is forgotten is told of; an odd limit is said once, and limits nothing.
+/// The hub remembers a bounded number of servers. An invalid limit is returned once, and limits nothing.
 #[test]
-fn bounded() {
+fn bounded_memory() {
     let mut hub = Hub::new();
     for number in 0..5_000 {
-        hub.hear(&format!("s{number}"), Some("3"), number, number);
+        hub.report(&format!("s{number}"), Some("3"), number, number);
     }
-    let service = "chat".parse().expect("a name");
+    let service = "chat".parse().expect("a valid name");
     assert_eq!(hub.table.service_limits(&service).count(), 4_096);
     let mut local = LocalReports::new(1);
-    let odd = Announcement::Invalid("few".to_owned());
+    let invalid = Announcement::Invalid("few".to_owned());
     let server = life("s", 1);
-    let said = local.record_response(&server, &odd, mark(1), at(0), at(1));
-    assert_eq!(said, Some(odd.clone()));
+    let announcement = local.record_response(&server, &invalid, grant_id(1), at(0), at(1));
+    assert_eq!(announcement, Some(invalid.clone()));
     assert_eq!(
-        local.record_response(&server, &odd, mark(2), at(1), at(2)),
+        local.record_response(&server, &invalid, grant_id(2), at(1), at(2)),
         None
     );
-    assert!(!local.blocks(&server, mark(1)) && local.pending_reports().reports.is_empty());
+    assert!(!local.blocks(&server, grant_id(1)) && local.pending_reports().reports.is_empty());
 }
 
 fn limit(text: &str) -> Limit {
@@ -219,69 +252,77 @@
     }
 }
 
-/// How many places a server gets within so many seconds, looked for every 10 ms.
-fn gets(ledger: &mut RateLimiter, server: &Server, from: u64, seconds: u64) -> usize {
+/// How many slots are granted at a server within some seconds, where one is requested every 10 ms.
+fn granted_slots(limiter: &mut RateLimiter, server: &Server, from: u64, seconds: u64) -> usize {
     let times = (0..seconds * 100).map(|step| at(from + step * 10));
-    let got = times.filter(|now| {
-        let admits = ledger.admits(server, *now);
-        admits && ledger.acquire(server, *now)
+    let granted = times.filter(|now| {
+        let admits = limiter.admits(server, *now);
+        admits && limiter.acquire(server, *now)
     });
-    got.count()
+    granted.count()
 }
 
-/// A server gets what it names, no more at the beginning, and one in 5 s at the least: it says in its answers only that
-/// it has no limit any more.
+/// A server gets requests at the announced rate, without a burst at the start, and at least one in 5 s: only a response
+/// can tell that the limit is gone.
 #[test]
-fn gets_what_it_names() {
+fn announced_rate() {
     let server = life("s", 1);
-    for (named, got) in [("0", 2), ("0.2", 2), ("3", 30), ("40", 400)] {
-        let mut ledger = RateLimiter::granting();
-        ledger.set_limit(&Key::from_server(&server), Some(&limit(named)), at(0));
-        let got_of = gets(&mut ledger, &server, 0, 10);
-        assert!(got_of <= got && got_of + 2 >= got, "{named}: {got_of}");
+    for (rate, expected) in [("0", 2), ("0.2", 2), ("3", 30), ("40", 400)] {
+        let mut limiter = RateLimiter::granting();
+        limiter.set_limit(&Key::from_server(&server), Some(&limit(rate)), at(0));
+        let granted = granted_slots(&mut limiter, &server, 0, 10);
+        assert!(
+            granted <= expected && granted + 2 >= expected,
+            "a limit of {rate} gave {granted}"
+        );
     }
     let mut closed = RateLimiter::closed();
     closed.set_limit(&Key::from_server(&server), Some(&limit("40")), at(0));
-    assert_eq!(gets(&mut closed, &server, 0, 10), 0);
+    assert_eq!(granted_slots(&mut closed, &server, 0, 10), 0);
 }
 
-/// Another life owes nothing to the former one, but for what was heard lately and may have been its own word.
+/// The limit of an earlier incarnation does not apply to the next one, unless it was received so recently that it may
+/// have come from the next one.
 #[test]
-fn another_life() {
+fn another_incarnation() {
     let (former, next) = (life("s", 1), life("s", 2));
-    for (met, is_held) in [(4_999, true), (5_000, false)] {
+    for (seen_at, is_blocked) in [(4_999, true), (5_000, false)] {
         let mut local = LocalReports::new(1);
-        local.record_response(&former, &named("3"), mark(1), at(0), at(0));
-        local.observe_servers([&next].into_iter(), at(met));
-        assert_eq!(local.blocks(&next, mark(2)), is_held, "{met}");
+        local.record_response(&former, &limited("3"), grant_id(1), at(0), at(0));
+        local.observe_servers([&next].into_iter(), at(seen_at));
+        assert_eq!(
+            local.blocks(&next, grant_id(2)),
+            is_blocked,
+            "seen after {seen_at} ms"
+        );
     }
-    // What is told late of the former one says nothing of the next, and both together get what one does.
-    let mut ledger = RateLimiter::granting();
+    // A late report about the former one does not concern the next, and both together get no more than one alone.
+    let mut limiter = RateLimiter::granting();
     for server in [&former, &next] {
-        ledger.set_limit(&Key::from_server(server), Some(&limit("3")), at(0));
+        limiter.set_limit(&Key::from_server(server), Some(&limit("3")), at(0));
     }
     let times = (0..1_000).map(|step| (step, at(step * 10)));
-    let got = times.filter(|(step, now)| {
+    let granted = times.filter(|(step, now)| {
         let server = if step % 2 == 0 { &former } else { &next };
-        ledger.admits(server, *now) && ledger.acquire(server, *now)
+        limiter.admits(server, *now) && limiter.acquire(server, *now)
     });
-    assert!(got.count() <= 30);
-    ledger.set_limit(&Key::from_server(&former), None, at(10_000));
-    assert!(ledger.admits(&former, at(10_000)) && ledger.rate(&next).is_some());
+    assert!(granted.count() <= 30);
+    limiter.set_limit(&Key::from_server(&former), None, at(10_000));
+    assert!(limiter.admits(&former, at(10_000)) && limiter.rate(&next).is_some());
 }
 
-/// What a new hub is told of a limit may be out of date: it gives one place by it, and more once an answer to that has
-/// named it.
+/// A limit that a new hub knows from a report of an earlier one may be out of date: the hub grants one slot, and more
+/// once the response has confirmed the limit.
 #[test]
-fn unconfirmed() {
+fn unconfirmed_limit() {
     let server = life("s", 1);
-    let mut ledger = RateLimiter::granting();
-    let told = Limit {
+    let mut limiter = RateLimiter::granting();
+    let unconfirmed = Limit {
         confirmed: false,
         ..limit("40")
     };
-    ledger.set_limit(&Key::from_server(&server), Some(&told), at(0));
-    assert_eq!(gets(&mut ledger, &server, 0, 4), 1);
-    ledger.set_limit(&Key::from_server(&server), Some(&limit("40")), at(4_000));
-    assert!(gets(&mut ledger, &server, 4_000, 1) >= 38);
+    limiter.set_limit(&Key::from_server(&server), Some(&unconfirmed), at(0));
+    assert_eq!(granted_slots(&mut limiter, &server, 0, 4), 1);
+    limiter.set_limit(&Key::from_server(&server), Some(&limit("40")), at(4_000));
+    assert!(granted_slots(&mut limiter, &server, 4_000, 1) >= 38);
 }
