--- a/crates/core/tests/server_limits.rs
+++ b/crates/core/tests/server_limits.rs
@@ -1,5 +1,7 @@
-//! Limits that servers name: kept over all gateways together, whoever gives the places and whoever leads, used in
-//! full, and lifted by newer answers only.
+//! Rate limits that servers announce, in random histories of gateways, hubs and servers.
+//!
+//! A server must get no more requests than it announces over all gateways together, whoever grants the slots and
+//! whichever hub leads. The limit is used in full, and lifted only by newer responses.
 
 mod support;
 
@@ -13,12 +15,13 @@
     Duration::from_secs(seconds)
 }
 
-fn histories(usual: u64) -> u64 {
-    let set = std::env::var("HISTORIES");
-    set.map_or(usual, |set| set.parse().expect("a number"))
+/// How many random histories to run: the value of `HISTORIES`, or `default_count`.
+fn histories(default_count: u64) -> u64 {
+    let count = std::env::var("HISTORIES");
+    count.map_or(default_count, |count| count.parse().expect("a number"))
 }
 
-/// A history of half a minute with something happening every 100 to 1,200 ms.
+/// Runs a history of half a minute with a disturbance every 100 to 1,200 ms.
 fn history(seed: u64, flaw: Option<Flaw>) -> World {
     let mut world = World::new(seed, flaw);
     world.go_on(s(1), 1);
@@ -35,31 +38,42 @@
     let mut limited = 0;
     for seed in 0..histories(40) {
         let world = history(seed, None);
-        assert!(world.beyond <= 0.0, "seed {seed}: {}", world.beyond);
-        assert_eq!(world.undrawn, 0, "seed {seed}");
-        assert!(world.served > 0, "seed {seed}");
+        assert!(
+            world.beyond <= 0.0,
+            "seed {seed}: limit exceeded by {}",
+            world.beyond
+        );
+        assert_eq!(world.undrawn, 0, "seed {seed}: sent without a token");
+        assert!(world.served > 0, "seed {seed}: nothing was served");
         limited += world.limited;
     }
-    assert!(limited > 1_000, "{limited}");
+    assert!(
+        limited > 1_000,
+        "only {limited} requests to limited servers"
+    );
 }
 
+/// If a part of the design is left out, some history detects it.
 #[test]
-fn flaws_found() {
+fn flaws_detected() {
     for flaw in [
         Flaw::NoLookAtPlace,
         Flaw::NoLastLook,
         Flaw::Alone,
         Flaw::AnyLifts,
     ] {
-        let is_found = |seed| {
+        let is_detected = |seed| {
             let world = history(seed, Some(flaw));
             world.beyond > 0.0 || world.undrawn > 0
         };
-        assert!((0..histories(200)).any(is_found), "{flaw:?}");
+        assert!(
+            (0..histories(200)).any(is_detected),
+            "not detected: {flaw:?}"
+        );
     }
 }
 
-/// While work waits all is used that servers take, and no more.
+/// While requests wait, servers get all that they accept, and no more.
 #[test]
 fn used_in_full() {
     for seed in 0..10 {
@@ -69,31 +83,37 @@
         world.go_on(s(5), 1);
         let before = world.limited;
         world.go_on(s(20), 1);
-        let took = f64::from(world.limited - before);
-        let takes = 3.0 * 9.0 * 20.0;
-        assert!(took >= 0.95 * takes, "seed {seed}: {took} of {takes}");
-        assert!(took <= 1.05 * takes, "seed {seed}: {took} of {takes}");
+        let served = f64::from(world.limited - before);
+        let accepted = 3.0 * 9.0 * 20.0;
+        assert!(
+            served >= 0.95 * accepted,
+            "seed {seed}: {served} of {accepted} requests"
+        );
+        assert!(
+            served <= 1.05 * accepted,
+            "seed {seed}: {served} of {accepted} requests"
+        );
     }
 }
 
-/// A limit that a server names no more is soon lifted everywhere, the least one too.
+/// A limit that servers no longer announce is lifted everywhere within seconds, even the lowest one.
 #[test]
-fn soon_lifted() {
+fn lifted_soon() {
     for (seed, limit) in ["0", "0.2", "1", "3"].into_iter().enumerate() {
         let mut world = World::new(seed as u64, None);
         world.go_on(s(1), 1);
         world.name(SERVERS, Some(limit));
         world.go_on(s(6), 1);
-        assert!(world.is_limited_anywhere(), "{limit}");
+        assert!(world.is_limited_anywhere(), "limit {limit} is unknown");
         world.name(SERVERS, None);
         world.go_on(s(12), 1);
-        assert!(!world.is_limited_anywhere(), "{limit}");
+        assert!(!world.is_limited_anywhere(), "limit {limit} stays");
     }
 }
 
-/// What no server takes is not kept waiting for as long as it would, but told so.
+/// Requests that no server can accept in time are rejected early instead of waiting until they expire.
 #[test]
-fn told_early() {
+fn rejected_early() {
     let mut world = World::new(1, None);
     world.go_on(s(1), 1);
     world.name(SERVERS, Some("0.2"));
