--- a/crates/core/tests/cold_servers.rs
+++ b/crates/core/tests/cold_servers.rs
@@ -1,4 +1,5 @@
-//! Servers that may be cold: whoever leads and whenever they turn cold, no second has more requests than they bear.
+//! Servers with cold caches: whichever hub leads and whenever servers turn cold, in no second do they get more requests
+//! than they tolerate.
 
 mod support;
 
@@ -38,16 +39,17 @@
     extra_requests: 5.0,
 };
 
-/// What a server with a rate of 10 bears in a second.
-const BORNE: usize = 20;
+/// How many requests a server with a rate of 10 tolerates in a second: 10 * 1.5 + 5.
+const MAX_PER_SECOND: usize = 20;
 
 fn rate() -> Rate {
-    "10".parse().expect("a rate")
+    "10".parse().expect("a valid rate")
 }
 
-fn histories(usual: u64) -> u64 {
-    let set = std::env::var("HISTORIES");
-    set.map_or(usual, |set| set.parse().expect("a number"))
+/// How many random histories to run: the value of `HISTORIES`, or `default_count`.
+fn histories(default_count: u64) -> u64 {
+    let count = std::env::var("HISTORIES");
+    count.map_or(default_count, |count| count.parse().expect("a number"))
 }
 
 fn server(name: &str, cold: bool) -> Server {
@@ -67,14 +69,14 @@
     let table = Table::new(Parts {
         number: 1,
         rules: Vec::new(),
-        services: [("chat".parse().expect("a name"), provider)].into(),
+        services: [("chat".parse().expect("a valid name"), provider)].into(),
         limits: Limits::default(),
         accounts: None,
     });
-    table.expect("a table")
+    table.expect("a valid table")
 }
 
-/// A hub that has only begun, with its first table and list.
+/// A hub that has just started, with its first table and server list.
 fn hub(number: u64, servers: &[Server], now: Instant) -> Hub {
     let tuning = Tuning {
         cold: SLACK,
@@ -86,7 +88,8 @@
     hub
 }
 
-/// Servers that turn cold and warm, crowds that come and go, and hubs that follow each other.
+/// Runs a history in which servers turn cold and warm, the load changes, and hubs replace each other; returns the
+/// highest number of requests that a server got in any second.
 fn history(seed: u64) -> usize {
     let mut random = SmallRng::seed_from_u64(seed);
     let names = ["s1", "s2", "s3"];
@@ -94,22 +97,22 @@
     let mut now = Instant::default();
     let mut leader = hub(1, &servers, now);
     let mut sent: HashMap<Arc<str>, VecDeque<Instant>> = HashMap::new();
-    let mut most = 0;
-    let mut crowd = 1;
+    let mut highest = 0;
+    let mut load = 1;
     for step in 0..2_000 {
         now = now + STEP;
         match random.random_range(0..100) {
             0 => {
-                let place = random.random_range(0..servers.len());
-                servers[place].cold = random.random();
+                let index = random.random_range(0..servers.len());
+                servers[index].cold = random.random();
                 leader.list(Arc::new(Listing::new(servers.to_vec())));
             }
             1 => leader = hub(step + 2, &servers, now),
-            2 => crowd = random.random_range(0..20),
+            2 => load = random.random_range(0..20),
             _ => {}
         }
-        for _ in 0..crowd {
-            leader.want(messages::want(&"g".parse().expect("a name")), now);
+        for _ in 0..load {
+            leader.want(messages::want(&"g".parse().expect("a valid name")), now);
         }
         for (_, grant) in leader.serve(now) {
             let sent = sent.entry(grant.server.incarnation).or_default();
@@ -117,45 +120,54 @@
             while now.since(sent[0]) >= SECOND {
                 sent.pop_front();
             }
-            most = most.max(sent.len());
+            highest = highest.max(sent.len());
         }
         leader.give_up(now);
     }
-    most
+    highest
 }
 
 #[test]
 fn any_history() {
-    let mut most = 0;
+    let mut highest = 0;
     for seed in 0..histories(100) {
-        let of_seed = history(seed);
-        assert!(of_seed <= BORNE, "seed {seed}: {of_seed}");
-        most = most.max(of_seed);
+        let in_history = history(seed);
+        assert!(
+            in_history <= MAX_PER_SECOND,
+            "seed {seed}: {in_history} requests in a second"
+        );
+        highest = highest.max(in_history);
     }
-    assert!(most > BORNE / 2, "crowds came: {most}");
+    assert!(
+        highest > MAX_PER_SECOND / 2,
+        "too little load: {highest} requests in a second"
+    );
 }
 
-/// While all servers are cold they get what cold ones take, and when they are warm half as much again.
+/// Cold servers get requests at the cold rate, and warm ones at one and a half times that rate.
 #[test]
 fn used_in_full() {
-    for (cold, usual) in [(true, 10.0), (false, 15.0)] {
+    for (cold, expected) in [(true, 10.0), (false, 15.0)] {
         let mut now = Instant::default();
         let mut hub = hub(1, &[server("s1", cold)], now);
-        let mut given = 0;
+        let mut granted = 0;
         for _ in 0..1_000 {
             now = now + STEP;
-            hub.want(messages::want(&"g".parse().expect("a name")), now);
-            given += hub.serve(now).len();
+            hub.want(messages::want(&"g".parse().expect("a valid name")), now);
+            granted += hub.serve(now).len();
             hub.give_up(now);
         }
-        let a_second = f64::from(u32::try_from(given).expect("few")) / 10.0;
-        assert!((a_second - usual).abs() < 1.0, "{cold}: {a_second}");
+        let per_second = f64::from(u32::try_from(granted).expect("a small number")) / 10.0;
+        assert!(
+            (per_second - expected).abs() < 1.0,
+            "cold: {cold}, requests per second: {per_second}"
+        );
     }
 }
 
-/// A gateway that chooses by itself knows nothing of the others, and sends nothing to a cold server.
+/// A gateway without the hub knows nothing of other gateways' requests, and sends nothing to a cold server.
 #[test]
-fn alone_only_warm() {
+fn cold_avoided_locally() {
     let mut pool = Pool::new(pool::Tuning::default(), 1);
     pool.set_warmup(Some(Warmup::new(rate(), SLACK)), Instant::default());
     pool.adopt(vec![
