--- a/crates/core/tests/quarantine_bounds.rs
+++ b/crates/core/tests/quarantine_bounds.rs
@@ -1,5 +1,8 @@
-//! Requests that end the servers that run them: how often they are sent, over all gateways, and who else is
-//! turned away.
+//! Requests that crash the servers that run them: how often they are sent over all gateways, and how many other
+//! requests are rejected.
+//!
+//! Such a request is retried at any gateway and crashes one server after the other, unless gateways and hubs together
+//! stop it after the third crash. Requests that happened to run on the crashed servers must still be served.
 
 mod support;
 
@@ -21,78 +24,81 @@
 use support::ending::Play;
 use support::ending::World;
 
-/// How often a request may be sent once three servers have ended under it.
-const PAST: usize = 3;
+/// How often gateways in contact with the hub may send a request after three servers have crashed under it.
+const MAX_SENT_AFTER_QUARANTINE: usize = 3;
 
 fn identity(customer: &str, body: &str) -> Identity {
-    let customer = customer.parse().expect("a name");
+    let customer = customer.parse().expect("a valid name");
     Identity::new(Some(customer), "shop.example", "/stream/1", body.as_bytes())
 }
 
-fn bad() -> Identity {
+/// The request that crashes servers.
+fn crashing_request() -> Identity {
     identity("ann", "bad")
 }
 
-/// The bad request comes at any gateway, with others beside it that come once more when they break off.
-fn come(world: &mut World, time: Duration, each: Duration) {
+/// Sends the crashing request to random gateways for `time`, every `interval`, with other requests that are retried
+/// once when their server crashes.
+fn send_requests(world: &mut World, time: Duration, interval: Duration) {
     let until = world.now + time;
     let mut number = world.now.0;
     while world.now < until {
-        let place = world.draw(12);
-        world.ask(place, &bad(), Play::End);
+        let gateway = world.draw(12);
+        world.ask(gateway, &crashing_request(), Play::End);
         for _ in 0..3 {
             number += 1;
-            let place = world.draw(12);
-            let beside = identity("ben", &number.to_string());
-            world.ask(place, &beside, Play::Answer);
+            let gateway = world.draw(12);
+            let other = identity("ben", &number.to_string());
+            world.ask(gateway, &other, Play::Answer);
         }
-        for again in std::mem::take(&mut world.broken) {
-            let place = world.draw(12);
-            world.ask(place, &again, Play::Answer);
+        for retried in std::mem::take(&mut world.broken) {
+            let gateway = world.draw(12);
+            world.ask(gateway, &retried, Play::Answer);
         }
-        world.go_on(each);
+        world.go_on(interval);
     }
 }
 
-/// One every 200 ms for 20 s, as in the incident, where nothing else is wrong.
+/// The request arrives every 200 ms for 20 s, as in the incident, and nothing else is wrong.
 #[test]
-fn calm() {
+fn no_other_faults() {
     for seed in 0..100 {
         let mut world = World::new(seed);
-        come(
+        send_requests(
             &mut world,
             Duration::from_secs(20),
             Duration::from_millis(200),
         );
-        let ended = world.ended[&bad()].len();
+        let crashed = world.ended[&crashing_request()].len();
         assert!(
-            (CRASHES_TO_QUARANTINE..=CRASHES_TO_QUARANTINE + 2).contains(&ended),
-            "seed {seed}: {ended}"
+            (CRASHES_TO_QUARANTINE..=CRASHES_TO_QUARANTINE + 2).contains(&crashed),
+            "seed {seed}: {crashed} servers crashed"
         );
-        let past = world.sent_past(&bad(), Duration::ZERO);
-        assert_eq!(past, 0, "seed {seed}");
+        let sent = world.sent_past(&crashing_request(), Duration::ZERO);
+        assert_eq!(sent, 0, "seed {seed}: sent after the third crash");
     }
 }
 
-/// Many at the same instant: nobody knows yet, and those that still wait in line are taken out.
+/// The request arrives at all gateways at once, when nothing is known of it; those that are still queued are removed.
 #[test]
-fn at_once() {
+fn simultaneous_requests() {
     let mut world = World::new(3);
-    for place in 0..12 {
-        world.ask(place, &bad(), Play::End);
+    for gateway in 0..12 {
+        world.ask(gateway, &crashing_request(), Play::End);
     }
     world.go_on(Duration::from_secs(2));
-    let before = world.ended[&bad()].len();
-    come(
+    let before = world.ended[&crashing_request()].len();
+    send_requests(
         &mut world,
         Duration::from_secs(10),
         Duration::from_millis(50),
     );
-    assert_eq!(world.ended[&bad()].len(), before);
+    assert_eq!(world.ended[&crashing_request()].len(), before);
 }
 
-/// Hubs change, words are lost, gateways are cut off, suspended and started anew, and all processes end, in
-/// any order: of what is bound no more than three are sent past the third end.
+/// Hubs change, messages are lost, gateways are cut off, suspended and restarted, and all processes crash, in any
+/// order: after the third crash, gateways that have been in contact with the hub for [`CONTACT`] send the request no
+/// more than three times.
 #[test]
 fn any_history() {
     for seed in 0..400 {
@@ -102,30 +108,34 @@
                 world.disturb();
             }
             let time = Duration::from_millis(200 + world.draw(2_000) as u64);
-            come(&mut world, time, Duration::from_millis(150));
+            send_requests(&mut world, time, Duration::from_millis(150));
         }
         world.heal();
-        come(
+        send_requests(
             &mut world,
             Duration::from_secs(8),
             Duration::from_millis(150),
         );
-        let past = world.sent_past(&bad(), CONTACT);
-        assert!(past <= PAST, "seed {seed}: {past}");
+        let sent = world.sent_past(&crashing_request(), CONTACT);
+        assert!(
+            sent <= MAX_SENT_AFTER_QUARANTINE,
+            "seed {seed}: sent {sent} times"
+        );
     }
 }
 
-/// Right after the third end: whatever is lost then, no more than the allowed few follow.
+/// Whatever is lost right after the third crash, gateways in contact with the hub send the request no more than three
+/// times after it.
 #[test]
-fn after_third() {
+fn faults_after_third() {
     for seed in 0..200 {
         let mut world = World::new(seed);
         while world
             .ended
-            .get(&bad())
-            .is_none_or(|ends| ends.len() < CRASHES_TO_QUARANTINE)
+            .get(&crashing_request())
+            .is_none_or(|crashes| crashes.len() < CRASHES_TO_QUARANTINE)
         {
-            come(
+            send_requests(
                 &mut world,
                 Duration::from_millis(10),
                 Duration::from_millis(10),
@@ -136,169 +146,198 @@
             1 => world.change_hub(),
             _ => (0..3).for_each(|_| world.disturb()),
         }
-        come(
+        send_requests(
             &mut world,
             Duration::from_secs(3),
             Duration::from_millis(100),
         );
         world.heal();
-        come(
+        send_requests(
             &mut world,
             Duration::from_secs(12),
             Duration::from_millis(100),
         );
-        let past = world.sent_past(&bad(), CONTACT);
-        assert!(past <= PAST, "seed {seed}: {past}");
+        let sent = world.sent_past(&crashing_request(), CONTACT);
+        assert!(
+            sent <= MAX_SENT_AFTER_QUARANTINE,
+            "seed {seed}: sent {sent} times"
+        );
     }
 }
 
-/// What runs beside it is sent again; of one that comes at every gateway, and so is beside each end, a few are
-/// turned away until one is answered.
+/// Other requests on the crashed servers are sent again. Of one that arrives at every gateway, and so runs on each
+/// crashed server, a few are rejected until one is answered.
 #[test]
-fn beside_served() {
+fn others_served() {
     for seed in 0..50 {
         let mut world = World::new(seed);
-        let hot = identity("ben", "hot");
-        let mut came = Vec::new();
+        let frequent = identity("ben", "hot");
+        let mut outcomes = Vec::new();
         for _ in 0..100 {
-            let place = world.draw(12);
-            world.ask(place, &bad(), Play::End);
-            came.push(world.ask(place, &hot, Play::Answer));
-            for again in std::mem::take(&mut world.broken) {
-                if again != hot {
-                    came.push(world.ask(place, &again, Play::Answer));
+            let gateway = world.draw(12);
+            world.ask(gateway, &crashing_request(), Play::End);
+            outcomes.push(world.ask(gateway, &frequent, Play::Answer));
+            for retried in std::mem::take(&mut world.broken) {
+                if retried != frequent {
+                    outcomes.push(world.ask(gateway, &retried, Play::Answer));
                 }
             }
             world.go_on(Duration::from_millis(100));
         }
         let quarantined = Came::Withheld(Rejection::Quarantined);
-        let count = came.iter().filter(|came| **came == quarantined).count();
-        assert!(count <= 5, "seed {seed}: {count}");
-        let sent = came.iter().filter(|came| **came == Came::Sent).count();
+        let rejected = outcomes
+            .iter()
+            .filter(|outcome| **outcome == quarantined)
+            .count();
+        assert!(rejected <= 5, "seed {seed}: rejected {rejected}");
+        let sent = outcomes
+            .iter()
+            .filter(|outcome| **outcome == Came::Sent)
+            .count();
         assert!(
-            sent * 10 >= came.len() * 8,
-            "seed {seed}: {sent} of {}",
-            came.len()
+            sent * 10 >= outcomes.len() * 8,
+            "seed {seed}: sent {sent} of {}",
+            outcomes.len()
         );
     }
 }
 
-fn observation(identity: &Identity, seen: Effect) -> Observation {
+fn observation(identity: &Identity, effect: Effect) -> Observation {
     Observation {
         identity: identity.clone(),
         permit: None,
-        effect: seen,
+        effect,
     }
 }
 
-fn end(desk: &mut Tracker, identity: &Identity, server: &str, now: Instant) {
-    desk.record(&observation(identity, Effect::Crashed(server.into())), now);
+fn record_crash(tracker: &mut Tracker, identity: &Identity, server: &str, now: Instant) {
+    tracker.record(&observation(identity, Effect::Crashed(server.into())), now);
 }
 
-/// Three servers end for reasons of their own under a request that comes again: it is kept away for a while,
-/// tried once, and free when it is answered.
+/// Three servers crash for other reasons under a request that is retried: it is quarantined for a while, tried once,
+/// and cleared when it gets a complete response.
 #[test]
-fn free_again() {
-    let mut desk = Tracker::new(1);
+fn cleared_by_response() {
+    let mut tracker = Tracker::new(1);
     let mut now = Instant::default();
-    let one = bad();
+    let request = crashing_request();
     for server in ["s1", "s2", "s3"] {
-        end(&mut desk, &one, server, now);
+        record_crash(&mut tracker, &request, server, now);
     }
-    let left = Duration::from_secs(5);
-    let withheld = Decision::Rejected(Rejection::Quarantined);
-    assert_eq!(desk.decide(&one, left, now), withheld);
+    let time_left = Duration::from_secs(5);
+    let rejected = Decision::Rejected(Rejection::Quarantined);
+    assert_eq!(tracker.decide(&request, time_left, now), rejected);
     now = now + Duration::from_secs(30);
-    let Decision::Permitted(permit) = desk.decide(&one, left, now) else {
-        panic!("one trial");
+    let Decision::Permitted(permit) = tracker.decide(&request, time_left, now) else {
+        panic!("the request is not tried");
     };
-    assert_eq!(desk.decide(&one, left, now), withheld, "one at a time");
-    let whole = Observation {
+    assert_eq!(
+        tracker.decide(&request, time_left, now),
+        rejected,
+        "more than one trial at a time"
+    );
+    let completed = Observation {
         permit: Some(permit.number),
-        ..observation(&one, Effect::Completed)
+        ..observation(&request, Effect::Completed)
     };
-    desk.record(&whole, now);
-    assert_eq!(desk.decide(&one, left, now), Decision::Allowed);
+    tracker.record(&completed, now);
+    assert_eq!(tracker.decide(&request, time_left, now), Decision::Allowed);
 }
 
-/// Each trial that ends a server puts off the next one.
+/// Each trial that crashes a server delays the next one.
 #[test]
-fn trials_apart() {
-    let mut desk = Tracker::new(1);
+fn trials_delayed() {
+    let mut tracker = Tracker::new(1);
     let mut now = Instant::default();
-    let left = Duration::from_secs(5);
-    let mut ended = 0;
+    let time_left = Duration::from_secs(5);
+    let mut crashed = 0;
     for second in 0..3_600_u64 {
         now = Instant::default() + Duration::from_secs(second);
-        if !matches!(desk.decide(&bad(), left, now), Decision::Rejected(_)) {
-            ended += 1;
-            end(&mut desk, &bad(), &format!("s{second}"), now);
+        if !matches!(
+            tracker.decide(&crashing_request(), time_left, now),
+            Decision::Rejected(_)
+        ) {
+            crashed += 1;
+            record_crash(
+                &mut tracker,
+                &crashing_request(),
+                &format!("s{second}"),
+                now,
+            );
         }
     }
-    assert_eq!(ended, CRASHES_TO_QUARANTINE + 3, "within an hour, by {now}");
+    assert_eq!(
+        crashed,
+        CRASHES_TO_QUARANTINE + 3,
+        "servers crashed within an hour, until {now}"
+    );
 }
 
-/// One customer's bad requests are its own matter: the same path and body of another, and the other's own
-/// bad request, are kept apart, and memory is bounded.
+/// A customer's crashing requests affect nobody else: the same request of another customer and that customer's own
+/// crashing request are tracked separately, and memory is bounded.
 #[test]
-fn customers_apart() {
-    let mut desk = Tracker::new(1);
+fn separate_customers() {
+    let mut tracker = Tracker::new(1);
     let mut list = List::default();
     let mut now = Instant::default();
     let other = identity("ben", "bad");
     for server in ["s1", "s2", "s3"] {
-        end(&mut desk, &other, server, now);
+        record_crash(&mut tracker, &other, server, now);
     }
     for number in 0..5_000 {
         now = now + Duration::from_millis(1);
-        let one = identity("ann", &number.to_string());
+        let request = identity("ann", &number.to_string());
         for server in ["s1", "s2"] {
-            end(&mut desk, &one, server, now);
+            record_crash(&mut tracker, &request, server, now);
         }
-        for step in desk.propose_steps(now) {
+        for step in tracker.propose_steps(now) {
             list.apply(&step);
         }
-        desk.apply_list(&list, now);
+        tracker.apply_list(&list, now);
     }
-    let left = Duration::from_secs(5);
-    let withheld = Decision::Rejected(Rejection::Quarantined);
-    assert_eq!(desk.decide(&other, left, now), withheld);
-    assert_eq!(desk.decide(&bad(), left, now), Decision::Allowed);
-    assert!(list.cases().count() <= 33, "{}", list.cases().count());
+    let time_left = Duration::from_secs(5);
+    let rejected = Decision::Rejected(Rejection::Quarantined);
+    assert_eq!(tracker.decide(&other, time_left, now), rejected);
+    assert_eq!(
+        tracker.decide(&crashing_request(), time_left, now),
+        Decision::Allowed
+    );
+    assert!(list.cases().count() <= 33, "{} cases", list.cases().count());
 }
 
-/// A gateway that is behind by any number of steps comes to the same list, and an agreed one stays as it is.
+/// A gateway that is behind by any number of steps gets the same list, and once it is committed nothing is proposed.
 #[test]
-fn lists_alike() {
+fn lists_converge() {
     let mut list = List::default();
     let mut copies: Vec<List> = Vec::new();
-    let mut desk = Tracker::new(1);
+    let mut tracker = Tracker::new(1);
     for number in 0..400_u64 {
         let now = Instant::default() + Duration::from_secs(number);
-        let one = identity("ann", &(number * 7 % 40).to_string());
-        end(&mut desk, &one, &format!("s{number}"), now);
+        let request = identity("ann", &(number * 7 % 40).to_string());
+        record_crash(&mut tracker, &request, &format!("s{number}"), now);
         if number % 11 == 0 {
-            desk.record(&observation(&one, Effect::Completed), now);
+            tracker.record(&observation(&request, Effect::Completed), now);
         }
-        for step in desk.propose_steps(now) {
+        for step in tracker.propose_steps(now) {
             list.apply(&step);
         }
-        desk.apply_list(&list, now);
+        tracker.apply_list(&list, now);
         copies.push(list.clone());
     }
     assert!(
-        desk.propose_steps(Instant::default() + Duration::from_secs(400))
+        tracker
+            .propose_steps(Instant::default() + Duration::from_secs(400))
             .is_empty()
     );
     for mut copy in copies {
-        if let Some(news) = list.update_since(copy.get_version()) {
-            copy.apply_update(&news);
+        if let Some(update) = list.update_since(copy.get_version()) {
+            copy.apply_update(&update);
         }
-        let held = |list: &List| -> BTreeSet<_> {
+        let contents = |list: &List| -> BTreeSet<_> {
             list.cases()
                 .map(|case| (case.identity.clone(), case.crashed_servers.clone()))
                 .collect()
         };
-        assert_eq!(held(&copy), held(&list));
+        assert_eq!(contents(&copy), contents(&list));
     }
 }
