--- a/crates/core/src/quarantine/tracker.rs
+++ b/crates/core/src/quarantine/tracker.rs
@@ -32,10 +32,11 @@
 /// After how many trials the delay no longer grows.
 const MAX_TRIAL_DELAY_STEPS: usize = 3;
 
-/// How long one or two crashes are remembered. Callers that retry by themselves do so within seconds.
+/// How long a request with fewer crashes than put it into quarantine is remembered after the last one. Callers that
+/// retry by themselves do so within seconds.
 const SUSPECT_RETENTION: Duration = Duration::from_mins(10);
 
-/// How long a quarantined request is remembered that nobody asks for.
+/// How long a quarantined request is remembered after its last crash, trial or retry.
 const QUARANTINE_RETENTION: Duration = Duration::from_hours(24);
 
 /// How long a proposed change may take to be committed before it is proposed again.
@@ -82,7 +83,7 @@
     /// The numbers of the permits in use, and when each expires.
     permits: BTreeMap<u64, Instant>,
     /// When the last server crashed or the last trial began.
-    last_attempt: Instant,
+    last_crash_or_trial: Instant,
     /// When a decision was last requested.
     last_requested: Instant,
 }
@@ -93,7 +94,7 @@
             crashed_servers: BTreeSet::new(),
             committed_crashes: 0,
             permits: BTreeMap::new(),
-            last_attempt: now,
+            last_crash_or_trial: now,
             last_requested: now,
         }
     }
@@ -124,21 +125,21 @@
                 Err(Rejection::InFlight)
             };
         }
-        if !self.permits.is_empty() || now.since(self.last_attempt) < self.trial_delay() {
+        if !self.permits.is_empty() || now.since(self.last_crash_or_trial) < self.trial_delay() {
             return Err(Rejection::Quarantined);
         }
-        self.last_attempt = now;
+        self.last_crash_or_trial = now;
         Ok(())
     }
 
     fn is_expired(&self, now: Instant) -> bool {
         let (since, retention) = if self.is_quarantined() {
             (
-                self.last_attempt.max(self.last_requested),
+                self.last_crash_or_trial.max(self.last_requested),
                 QUARANTINE_RETENTION,
             )
         } else {
-            (self.last_attempt, SUSPECT_RETENTION)
+            (self.last_crash_or_trial, SUSPECT_RETENTION)
         };
         now.since(since) >= retention
     }
@@ -257,7 +258,7 @@
         if !case.crashed_servers.insert(Arc::clone(incarnation)) {
             return false;
         }
-        case.last_attempt = now;
+        case.last_crash_or_trial = now;
         self.is_dirty = true;
         true
     }
@@ -283,7 +284,8 @@
         }
         let cases = self.cases.iter();
         let cases = cases.filter(|(other, _)| !has_too_many || is_same_customer(other));
-        let least = cases.min_by_key(|(_, case)| (case.crashed_servers.len(), case.last_attempt));
+        let least =
+            cases.min_by_key(|(_, case)| (case.crashed_servers.len(), case.last_crash_or_trial));
         if let Some(least) = least.map(|(least, _)| least.clone()) {
             self.release(&least);
         }
