--- a/crates/core/src/quota/limiter.rs
+++ b/crates/core/src/quota/limiter.rs
@@ -12,9 +12,9 @@
 use super::Tolerance;
 use super::to_f64;
 
-/// When a rejected request may be retried while the buckets do not fill: within about this time an unreachable gateway
-/// reports again or its share expires, and the hub has a share of the quotas again.
-const EMPTY_SHARE_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// The longest delay after which a rejected request may be retried. It is also used while the buckets do not fill: within
+/// a few such delays an unreachable gateway reports again or its share expires, and the hub gets that share back.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// The quota and bucket of one customer.
 #[derive(Clone, Copy, Debug)]
@@ -125,9 +125,7 @@
         if missing > 0.0 {
             let rate = self.tolerance.fill_rate(&state.quota) * self.hub_share;
             let wait = Duration::try_from_secs_f64(missing / rate);
-            return Err(wait
-                .unwrap_or(EMPTY_SHARE_RETRY_DELAY)
-                .min(EMPTY_SHARE_RETRY_DELAY));
+            return Err(wait.unwrap_or(MAX_RETRY_DELAY).min(MAX_RETRY_DELAY));
         }
         state.bucket.charge(cost);
         state.reserved += cost;
