--- a/crates/core/src/quota/limiter.rs
+++ b/crates/core/src/quota/limiter.rs
@@ -13,7 +13,8 @@
 use super::to_f64;
 
 /// The longest delay after which a rejected request may be retried. It is also used while the buckets do not fill:
-/// within a few such delays an unreachable gateway reports again or its share expires, and the hub gets that share back.
+/// within a few such delays an unreachable gateway reports again or its share expires, and the hub gets that share
+/// back.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// The quota and bucket of one customer.
