--- a/crates/core/src/view/grantor.rs
+++ b/crates/core/src/view/grantor.rs
@@ -15,9 +15,9 @@
 use super::Grant;
 use super::Lease;
 use super::Member;
-use super::News;
 use super::Renewal;
 use super::Roster;
+use super::Update;
 
 /// After how many leases an entry that is not heard any more is forgotten.
 const FORGET: u32 = 10;
@@ -84,25 +84,25 @@
         let roster = machine.get_roster();
         let seen = Seen {
             member: asked.member.clone(),
-            held: asked.held,
-            acting: asked.acting,
-            whole: asked.whole,
+            held: asked.held_view,
+            acting: asked.active_view,
+            whole: asked.shards_complete,
             revision: asked.revision,
             heard: now,
-            gone: asked.gone,
+            gone: asked.stopped,
         };
         let lease = self.lease;
         self.seen
-            .retain(|_, seen| now.since(seen.heard) < (lease.length + lease.drift) * FORGET);
+            .retain(|_, seen| now.since(seen.heard) < (lease.duration + lease.max_drift) * FORGET);
         self.seen.insert(process(&asked.member), seen);
-        let newer = roster.number > asked.held;
+        let newer = roster.number > asked.held_view;
         Ok(Grant {
             roster: newer.then(|| roster.clone()),
             previous: newer.then(|| machine.get_previous().clone()),
-            number: roster.number,
+            view: roster.number,
             active: self.is_active(machine, now),
-            lease: (roster.has(&asked.member) && !asked.gone).then_some(self.lease.length),
-            news: news(machine, asked.revision),
+            lease: (roster.has(&asked.member) && !asked.stopped).then_some(self.lease.duration),
+            update: news(machine, asked.revision),
         })
     }
 
@@ -124,7 +124,7 @@
     }
 
     fn has_run_out(&self, granted: Instant, now: Instant) -> bool {
-        now.since(granted) > self.lease.length + self.lease.drift
+        now.since(granted) > self.lease.duration + self.lease.max_drift
     }
 
     /// The next view, where the present one is active and no longer fits, or has lasted so long
@@ -133,7 +133,7 @@
     /// A view stays until each of its members that lives has taken it up: a copy of a shard's claims
     /// is never passed over. And while a copy is not whole only a death makes the next view.
     #[must_use]
-    pub fn next(&mut self, machine: &Machine, now: Instant) -> Option<Roster> {
+    pub fn propose_roster(&mut self, machine: &Machine, now: Instant) -> Option<Roster> {
         let roster = machine.get_roster();
         if !self.is_active(machine, now) {
             return None;
@@ -156,7 +156,7 @@
         if !death && !live.iter().all(|member| self.is_whole(member)) {
             return None;
         }
-        let aged = !roster.members.is_empty() && now.since(since) >= self.lease.age;
+        let aged = !roster.members.is_empty() && now.since(since) >= self.lease.max_view_age;
         let mut members: Vec<_> = live.iter().map(|member| self.newest(member)).collect();
         for seen in self.seen.values() {
             let is_new = members
@@ -205,13 +205,13 @@
 }
 
 /// The steps where they are known, else the whole: a change costs a line an entry.
-fn news(machine: &Machine, held: id::Revision) -> News {
+fn news(machine: &Machine, held: id::Revision) -> Update {
     let snapshot = machine.get_snapshot();
     if snapshot.revision <= held {
-        return News::None;
+        return Update::None;
     }
     let steps = machine.steps_from(held).filter(|_| held > id::Revision(0));
-    steps.map_or_else(|| News::Whole(Arc::clone(snapshot)), News::Steps)
+    steps.map_or_else(|| Update::Snapshot(Arc::clone(snapshot)), Update::Steps)
 }
 
 fn process(member: &Member) -> Process {
--- a/crates/core/src/view/holder.rs
+++ b/crates/core/src/view/holder.rs
@@ -11,9 +11,9 @@
 
 use super::Grant;
 use super::Member;
-use super::News;
 use super::Renewal;
 use super::Roster;
+use super::Update;
 
 /// An entry's side: which view and which revision it holds, and whether it may act.
 #[derive(Clone, Debug)]
@@ -49,15 +49,15 @@
     pub fn renewal(&self) -> Renewal {
         Renewal {
             member: self.member.clone(),
-            held: self.roster.number,
-            acting: if self.active {
+            held_view: self.roster.number,
+            active_view: if self.active {
                 self.roster.number
             } else {
                 id::View::default()
             },
-            whole: self.whole,
+            shards_complete: self.whole,
             revision: self.snapshot.revision,
-            gone: self.gone,
+            stopped: self.gone,
         }
     }
 
@@ -65,13 +65,13 @@
     ///
     /// Answers may come in any order: an older view or revision never replaces a newer one, and
     /// the lease counts from the moment of asking.
-    pub fn granted(&mut self, grant: Grant, asked: Instant) {
-        match grant.news {
-            News::Whole(snapshot) if snapshot.revision > self.snapshot.revision => {
+    pub fn on_grant(&mut self, grant: Grant, asked: Instant) {
+        match grant.update {
+            Update::Snapshot(snapshot) if snapshot.revision > self.snapshot.revision => {
                 self.snapshot = snapshot;
             }
-            News::Steps(steps) => steps.iter().for_each(|step| self.take(step)),
-            News::Whole(_) | News::None => {}
+            Update::Steps(steps) => steps.iter().for_each(|step| self.take(step)),
+            Update::Snapshot(_) | Update::None => {}
         }
         if let Some(roster) = grant.roster
             && roster.number > self.roster.number
@@ -80,7 +80,7 @@
             self.previous = Arc::new(grant.previous.unwrap_or_default());
             self.active = false;
         }
-        if grant.number != self.roster.number {
+        if grant.view != self.roster.number {
             return;
         }
         self.active |= grant.active;
@@ -108,7 +108,7 @@
 
     /// The view to act under, if there is one at `now`.
     #[must_use]
-    pub fn acting(&self, now: Instant) -> Option<&Arc<Roster>> {
+    pub fn usable_roster(&self, now: Instant) -> Option<&Arc<Roster>> {
         let holds = self.active && !self.gone && now < self.until && self.roster.has(&self.member);
         holds.then_some(&self.roster)
     }
@@ -126,17 +126,17 @@
     }
 
     /// Whether every shard that this entry keeps is whole; the leader is told with each renewal.
-    pub fn whole(&mut self, whole: bool) {
+    pub fn set_shards_complete(&mut self, whole: bool) {
         self.whole = whole;
     }
 
     /// Tells the leader from now on that this entry is stopping.
-    pub fn leave(&mut self) {
+    pub fn start_leaving(&mut self) {
         self.member.leaving = true;
     }
 
     /// Acts no more, and tells the leader so: its lease need not be waited out.
-    pub fn end(&mut self) {
+    pub fn stop(&mut self) {
         self.gone = true;
     }
 
--- a/crates/core/src/view/lease.rs
+++ b/crates/core/src/view/lease.rs
@@ -17,23 +17,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
     /// From the moment when the entry asked.
-    pub length: Duration,
+    pub duration: Duration,
     /// What the leader waits beyond that: the most that two clocks may drift over it.
-    pub drift: Duration,
+    pub max_drift: Duration,
     /// Between two renewals.
-    pub renew: Duration,
+    pub renew_interval: Duration,
     /// After which a view is followed by another even if nothing changed: its number tells the
     /// age of the keys that were drawn under it.
-    pub age: Duration,
+    pub max_view_age: Duration,
 }
 
 impl Default for Lease {
     fn default() -> Self {
         Self {
-            length: Duration::from_secs(2),
-            drift: Duration::from_millis(100),
-            renew: Duration::from_millis(400),
-            age: Duration::from_hours(1),
+            duration: Duration::from_secs(2),
+            max_drift: Duration::from_millis(100),
+            renew_interval: Duration::from_millis(400),
+            max_view_age: Duration::from_hours(1),
         }
     }
 }
@@ -44,26 +44,26 @@
     /// Who asks.
     pub member: Member,
     /// The newest view that it has adopted: it acts under no older one any more.
-    pub held: id::View,
+    pub held_view: id::View,
     /// The newest view that it has taken up as active.
-    pub acting: id::View,
+    pub active_view: id::View,
     /// Whether every shard that it keeps is whole there.
-    pub whole: bool,
+    pub shards_complete: bool,
     /// The revision that is in force there.
     pub revision: id::Revision,
     /// Whether it has ended its work and acts no more.
-    pub gone: bool,
+    pub stopped: bool,
 }
 
 /// What an entry must do to have the newest configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum Update {
     /// Nothing.
     None,
     /// Apply these, in order.
     Steps(Vec<Step>),
     /// Take this.
-    Whole(Arc<Snapshot>),
+    Snapshot(Arc<Snapshot>),
 }
 
 /// The leader's answer.
@@ -74,11 +74,11 @@
     /// The view before the newest.
     pub previous: Option<Roster>,
     /// The newest view's number.
-    pub number: id::View,
+    pub view: id::View,
     /// Whether the newest view is active.
     pub active: bool,
     /// How long the lease lasts from the moment of asking; none is no lease.
     pub lease: Option<Duration>,
     /// What is newer in the configuration than what is in force there.
-    pub news: News,
+    pub update: Update,
 }
--- a/crates/core/src/view/roster.rs
+++ b/crates/core/src/view/roster.rs
@@ -9,7 +9,7 @@
 use crate::id;
 
 /// How many entries keep each shard.
-pub const REPLICAS: usize = 3;
+pub const REPLICAS_PER_SHARD: usize = 3;
 
 /// An entry of a view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -82,8 +82,8 @@
         let staying = self.members.iter().filter(|member| !member.leaving);
         let weigh = |member| (weight(member, &shard.0.to_be_bytes()), member);
         let ranked: Vec<(u64, &Member)> = staying.map(weigh).collect();
-        let mut chosen: Vec<&Member> = Vec::with_capacity(REPLICAS);
-        while chosen.len() < REPLICAS {
+        let mut chosen: Vec<&Member> = Vec::with_capacity(REPLICAS_PER_SHARD);
+        while chosen.len() < REPLICAS_PER_SHARD {
             let free = |member: &Member| chosen.iter().all(|other| other.host != member.host);
             let new_hall = |member: &Member| chosen.iter().all(|other| other.hall != member.hall);
             let best = |fits: &dyn Fn(&Member) -> bool| {
--- a/crates/core/tests/view_histories.rs
+++ b/crates/core/tests/view_histories.rs
@@ -16,9 +16,9 @@
 use curlewlift_core::view::Grantor;
 use curlewlift_core::view::Holder;
 use curlewlift_core::view::Lease;
-use curlewlift_core::view::News;
 use curlewlift_core::view::Renewal;
 use curlewlift_core::view::Roster;
+use curlewlift_core::view::Update;
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
 
@@ -158,7 +158,7 @@
             Mail::Grant(entry, incarnation, grant, asked) => {
                 let entry = &mut self.entries[entry];
                 if entry.alive && entry.holder.get_member().incarnation == incarnation {
-                    entry.holder.granted(grant, asked);
+                    entry.holder.on_grant(grant, asked);
                 }
             }
         }
@@ -174,7 +174,7 @@
 
     fn tend(&mut self) {
         let now = self.clock.at(self.time);
-        if let Some(roster) = self.grantor.next(&self.machine, now) {
+        if let Some(roster) = self.grantor.propose_roster(&self.machine, now) {
             self.machine
                 .apply(&Record::Roster(roster))
                 .expect("a view is taken");
@@ -186,7 +186,7 @@
             Flaw::None => entry.clock.at(self.time),
             Flaw::IgnoreLease => Instant::default(),
         };
-        entry.holder.acting(now).cloned()
+        entry.holder.usable_roster(now).cloned()
     }
 
     fn check(&mut self) -> Result<(), String> {
@@ -239,22 +239,24 @@
         members: vec![member(0, 1)],
     };
     let grant = Grant {
-        number: roster.number,
+        view: roster.number,
         roster: Some(roster),
         previous: None,
         active: true,
         lease: Some(Duration::from_secs(2)),
-        news: News::None,
+        update: Update::None,
     };
     let asked = Instant(1_000_000);
-    holder.granted(grant, asked);
+    holder.on_grant(grant, asked);
     assert!(
         holder
-            .acting(asked + Duration::from_millis(1_999))
+            .usable_roster(asked + Duration::from_millis(1_999))
             .is_some()
     );
     assert!(
-        holder.acting(asked + Duration::from_secs(2)).is_none(),
+        holder
+            .usable_roster(asked + Duration::from_secs(2))
+            .is_none(),
         "it counts from the asking"
     );
 }
@@ -276,12 +278,12 @@
         let grant = Grant {
             roster: None,
             previous: None,
-            number: curlewlift_core::id::View(0),
+            view: curlewlift_core::id::View(0),
             active: false,
             lease: None,
-            news: News::Whole(Arc::new(snapshot)),
+            update: Update::Snapshot(Arc::new(snapshot)),
         };
-        holder.granted(grant, Instant(1));
+        holder.on_grant(grant, Instant(1));
     }
     assert_eq!(
         holder.get_snapshot().as_ref(),
@@ -307,10 +309,10 @@
             let grant = grantor
                 .renew(&holder.renewal(), &machine, now)
                 .expect("it is known");
-            let whole = matches!(grant.news, News::Whole(_));
+            let whole = matches!(grant.update, Update::Snapshot(_));
             assert_eq!(whole, number == 0, "steps, but for the first time");
-            holder.granted(grant.clone(), now);
-            holder.granted(grant, now);
+            holder.on_grant(grant.clone(), now);
+            holder.on_grant(grant, now);
             assert_eq!(holder.get_snapshot(), machine.get_snapshot());
         }
     }
@@ -318,7 +320,7 @@
     let grant = grantor
         .renew(&late.renewal(), &machine, Instant(500))
         .expect("it is known");
-    late.granted(grant, Instant(500));
+    late.on_grant(grant, Instant(500));
     assert_eq!(late.get_snapshot(), machine.get_snapshot());
 }
 
@@ -329,10 +331,10 @@
     let mut holders: Vec<_> = (0..3).map(|place| Holder::new(member(place, 1))).collect();
     let renew = |grantor: &mut Grantor, holder: &mut Holder, machine: &Machine, now: u64| {
         let grant = grantor.renew(&holder.renewal(), machine, Instant(now));
-        holder.granted(grant.expect("it is known"), Instant(now));
+        holder.on_grant(grant.expect("it is known"), Instant(now));
     };
     let propose = |grantor: &mut Grantor, machine: &mut Machine, now: u64| {
-        let next = grantor.next(machine, Instant(now));
+        let next = grantor.propose_roster(machine, Instant(now));
         let some = next.is_some();
         if let Some(roster) = next {
             machine
@@ -359,7 +361,7 @@
         renew(&mut grantor, &mut holders[0], &machine, now);
         renew(&mut grantor, &mut holders[1], &machine, now);
     }
-    holders[1].whole(false);
+    holders[1].set_shards_complete(false);
     renew(&mut grantor, &mut holders[1], &machine, 20);
     renew(&mut grantor, &mut holders[2], &machine, 21);
     assert!(
--- a/crates/core/tests/view_maps.rs
+++ b/crates/core/tests/view_maps.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 use curlewlift_core::id;
-use curlewlift_core::view::REPLICAS;
+use curlewlift_core::view::REPLICAS_PER_SHARD;
 use curlewlift_core::view::Roster;
 
 use support::members::member;
@@ -27,7 +27,10 @@
     for shard in (0..256).map(id::Shard) {
         let replicas = roster.replicas(shard);
         let halls: BTreeSet<_> = replicas.iter().map(|member| &member.hall).collect();
-        assert_eq!((replicas.len(), halls.len()), (REPLICAS, REPLICAS));
+        assert_eq!(
+            (replicas.len(), halls.len()),
+            (REPLICAS_PER_SHARD, REPLICAS_PER_SHARD)
+        );
     }
 }
 
@@ -52,7 +55,7 @@
         .members
         .iter_mut()
         .for_each(|m| m.hall = "h".parse().expect("a name"));
-    assert_eq!(one_hall.replicas(id::Shard(1)).len(), REPLICAS);
+    assert_eq!(one_hall.replicas(id::Shard(1)).len(), REPLICAS_PER_SHARD);
 }
 
 #[test]
--- a/crates/curlewlift/src/control/replica.rs
+++ b/crates/curlewlift/src/control/replica.rs
@@ -359,7 +359,7 @@
         if self.proposed > self.machine.get_roster().number {
             return;
         }
-        let Some(roster) = grantor.next(&self.machine, now) else {
+        let Some(roster) = grantor.propose_roster(&self.machine, now) else {
             return;
         };
         let hosts: Vec<_> = roster.members.iter().map(|m| m.host.as_str()).collect();
--- a/crates/curlewlift/src/entry/node.rs
+++ b/crates/curlewlift/src/entry/node.rs
@@ -129,7 +129,7 @@
         let holder = lock(&self.holder);
         let why = "this entry has no lease; ask another address";
         holder
-            .acting(now)
+            .usable_roster(now)
             .cloned()
             .ok_or_else(|| Refusal::new(Code::NoLease, why))
     }
--- a/crates/curlewlift/src/entry/renew.rs
+++ b/crates/curlewlift/src/entry/renew.rs
@@ -46,7 +46,7 @@
             take_up(&node, acting);
         }
         let hurry = !renewed || lock(&node.holder).is_changing();
-        tokio::time::sleep(if hurry { HURRY } else { lease.renew }).await;
+        tokio::time::sleep(if hurry { HURRY } else { lease.renew_interval }).await;
     }
 }
 
@@ -57,7 +57,7 @@
     };
     let asked = node.now();
     let whole = lock(&node.table).wanted().is_empty();
-    lock(&node.holder).whole(whole);
+    lock(&node.holder).set_shards_complete(whole);
     let call = RenewCall::Entry(lock(&node.holder).renewal());
     let grant: Result<Grant, Refusal> = node.rpc.call(*address, Method::Renew, &call, CALL).await;
     match grant {
@@ -77,7 +77,7 @@
     let mut holder = lock(&node.holder);
     let revision = holder.get_snapshot().revision;
     let view = holder.get_roster().number;
-    holder.granted(grant, asked);
+    holder.on_grant(grant, asked);
     let new_revision = holder.get_snapshot().revision;
     let new_view = holder.get_roster().number;
     drop(holder);
--- a/crates/curlewlift/src/entry/stop.rs
+++ b/crates/curlewlift/src/entry/stop.rs
@@ -35,7 +35,7 @@
 /// Leaves, serves until the last kept address answer has run out, and finishes what is open.
 pub(super) async fn run(node: &Arc<Node>, keep: Duration) {
     node.timeline.note(Line::new(Kind::Stopping));
-    lock(&node.holder).leave();
+    lock(&node.holder).start_leaving();
     // First the view without this entry, so that no later answer names it; then as long as an
     // answer of before may be kept.
     while !has_left(node) {
@@ -46,7 +46,7 @@
     while node.open.load(Ordering::Relaxed) > 0 {
         tokio::time::sleep(LOOK).await;
     }
-    lock(&node.holder).end();
+    lock(&node.holder).stop();
     tokio::time::sleep(LAST).await;
     let finished = node.finished.load(Ordering::Relaxed);
     node.timeline
--- a/crates/curlewlift/src/settings/resolve.rs
+++ b/crates/curlewlift/src/settings/resolve.rs
@@ -142,9 +142,9 @@
     let setting = setting(flag, "lease-ms", LEASE);
     let length = setting.millis(environment, 500..=60_000, 2_000)?;
     Ok(Lease {
-        length,
-        drift: length / 20,
-        renew: length / RENEWALS,
+        duration: length,
+        max_drift: length / 20,
+        renew_interval: length / RENEWALS,
         ..Lease::default()
     })
 }
--- a/crates/lab/examples/slopes.rs
+++ b/crates/lab/examples/slopes.rs
@@ -320,11 +320,11 @@
             place = (place + 1) % entries;
             let renewal = Renewal {
                 member: member(place),
-                held: number,
-                acting: number,
-                whole: true,
+                held_view: number,
+                active_view: number,
+                shards_complete: true,
                 revision,
-                gone: false,
+                stopped: false,
             };
             let grant = grantor.renew(&renewal, &machine, Instant::default());
             assert!(grant.is_ok());
--- a/crates/lab/src/site/started.rs
+++ b/crates/lab/src/site/started.rs
@@ -38,9 +38,9 @@
 /// A lease that is short, so that tests need not wait long.
 fn quick_lease() -> Lease {
     Lease {
-        length: Duration::from_secs(1),
-        drift: Duration::from_millis(100),
-        renew: Duration::from_millis(150),
+        duration: Duration::from_secs(1),
+        max_drift: Duration::from_millis(100),
+        renew_interval: Duration::from_millis(150),
         ..Lease::default()
     }
 }
