--- a/crates/core/src/log/bytes.rs
+++ b/crates/core/src/log/bytes.rs
@@ -11,7 +11,7 @@
 /// Both forms.
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum Form {
+enum JsonForm {
     Text(String),
     Numbers(Vec<u8>),
 }
@@ -27,8 +27,8 @@
     if !deserializer.is_human_readable() {
         return Vec::deserialize(deserializer);
     }
-    Ok(match Form::deserialize(deserializer)? {
-        Form::Text(text) => text.into_bytes(),
-        Form::Numbers(bytes) => bytes,
+    Ok(match JsonForm::deserialize(deserializer)? {
+        JsonForm::Text(text) => text.into_bytes(),
+        JsonForm::Numbers(bytes) => bytes,
     })
 }
--- a/crates/core/src/log/election.rs
+++ b/crates/core/src/log/election.rs
@@ -6,79 +6,85 @@
 use crate::id::Index;
 use crate::id::Term;
 
-use super::Call;
 use super::Member;
+use super::Payload;
 use super::Replica;
 use super::Role;
 
 /// Term and place of a log's last entry.
-type Last = (Term, Index);
+type Position = (Term, Index);
 
 /// # Elections
 impl Replica {
     /// Asks whether an election would succeed; the term stays as it is.
-    pub(super) fn probe(&mut self, now: Instant) {
-        self.rest(now);
+    pub(super) fn start_pre_vote(&mut self, now: Instant) {
+        self.reset_election_deadline(now);
         self.leader = None;
-        if !self.members().is_voter(&self.host, self.hard.disk) {
+        if !self.members().is_voter(&self.host, self.hard_state.disk) {
             return;
         }
-        self.role = Role::Prober;
+        self.role = Role::PreCandidate;
         self.votes.clear();
         self.votes.insert(self.host.clone());
-        let (last_term, last_index) = self.last();
-        self.ask_voters(&Call::Probe {
+        let (last_term, last_index) = self.last_position();
+        self.send_to_voters(&Payload::PreVote {
             last_term,
             last_index,
         });
-        self.count_probes(now);
+        self.count_pre_votes(now);
     }
 
-    pub(super) fn on_probe(
+    pub(super) fn on_pre_vote(
         &mut self,
         from: &Host,
         disk: Disk,
         term: Term,
-        last: Last,
+        last: Position,
         now: Instant,
     ) {
-        let Some(sender) = self.sender(from, disk) else {
+        let Some(sender) = self.reply_target(from, disk) else {
             return;
         };
-        let granted = self.may_vote()
-            && term >= self.hard.term
-            && last >= self.last()
-            && !self.hears_leader(now);
-        self.send(&sender, Call::ProbeReply { granted });
+        let granted = self.is_admitted()
+            && term >= self.hard_state.term
+            && last >= self.last_position()
+            && !self.has_recent_leader(now);
+        self.send(&sender, Payload::PreVoteReply { granted });
     }
 
-    pub(super) fn on_probe_reply(&mut self, from: Host, disk: Disk, granted: bool, now: Instant) {
-        if self.role == Role::Prober && granted && self.members().is_voter(&from, disk) {
+    pub(super) fn on_pre_vote_reply(
+        &mut self,
+        from: Host,
+        disk: Disk,
+        granted: bool,
+        now: Instant,
+    ) {
+        if self.role == Role::PreCandidate && granted && self.members().is_voter(&from, disk) {
             self.votes.insert(from);
-            self.count_probes(now);
+            self.count_pre_votes(now);
         }
     }
 
-    fn count_probes(&mut self, now: Instant) {
+    fn count_pre_votes(&mut self, now: Instant) {
         if self.votes.len() >= self.members().majority() {
-            self.stand(now);
+            self.start_election(now);
         }
     }
 
     /// Enters the next term and votes for itself.
-    fn stand(&mut self, now: Instant) {
-        self.rest(now);
+    fn start_election(&mut self, now: Instant) {
+        self.reset_election_deadline(now);
         self.role = Role::Candidate;
-        self.hard.term = self.hard.term.next();
-        self.hard.vote = Some(self.host.clone());
-        self.write_hard();
+        self.hard_state.term = self.hard_state.term.next();
+        self.hard_state.vote = Some(self.host.clone());
+        self.write_hard_state();
         self.votes.clear();
-        let (last_term, last_index) = self.last();
-        let call = Call::Vote {
+        let (last_term, last_index) = self.last_position();
+        let call = Payload::Vote {
             last_term,
             last_index,
         };
-        for member in self.others() {
+        for member in self.other_members() {
             if member.voter {
                 self.send_after_sync(&member, call.clone());
             }
@@ -90,26 +96,30 @@
         from: &Host,
         disk: Disk,
         term: Term,
-        last: Last,
+        last: Position,
         now: Instant,
     ) {
-        let Some(sender) = self.sender(from, disk) else {
+        let Some(sender) = self.reply_target(from, disk) else {
             return;
         };
-        let free = self.hard.vote.as_ref().is_none_or(|vote| vote == from);
-        let granted = self.may_vote()
-            && term == self.hard.term
+        let free = self
+            .hard_state
+            .vote
+            .as_ref()
+            .is_none_or(|vote| vote == from);
+        let granted = self.is_admitted()
+            && term == self.hard_state.term
             && self.role == Role::Follower
             && free
-            && last >= self.last();
+            && last >= self.last_position();
         if granted {
-            if self.hard.vote.is_none() {
-                self.hard.vote = Some(from.clone());
-                self.write_hard();
+            if self.hard_state.vote.is_none() {
+                self.hard_state.vote = Some(from.clone());
+                self.write_hard_state();
             }
-            self.rest(now);
+            self.reset_election_deadline(now);
         }
-        self.send_after_sync(&sender, Call::VoteReply { granted });
+        self.send_after_sync(&sender, Payload::VoteReply { granted });
     }
 
     pub(super) fn on_vote_reply(
@@ -120,7 +130,8 @@
         granted: bool,
         now: Instant,
     ) {
-        let counts = granted && term == self.hard.term && self.members().is_voter(&from, disk);
+        let counts =
+            granted && term == self.hard_state.term && self.members().is_voter(&from, disk);
         if self.role == Role::Candidate && counts {
             self.votes.insert(from);
             self.count_votes(now);
@@ -133,30 +144,30 @@
             self.votes.insert(self.host.clone());
         }
         if self.votes.len() >= self.members().majority() {
-            self.take_lead(now);
+            self.become_leader(now);
         }
     }
 
-    fn ask_voters(&mut self, call: &Call) {
-        for member in self.others() {
+    fn send_to_voters(&mut self, call: &Payload) {
+        for member in self.other_members() {
             if member.voter {
                 self.send(&member, call.clone());
             }
         }
     }
 
-    pub(super) fn last(&self) -> Last {
+    pub(super) fn last_position(&self) -> Position {
         (self.last_term(), self.last_index())
     }
 
     /// Whether this replica's disk has been taken in: a blank one never votes.
-    fn may_vote(&self) -> bool {
-        self.members().has(&self.host, self.hard.disk)
+    fn is_admitted(&self) -> bool {
+        self.members().contains(&self.host, self.hard_state.disk)
     }
 
     /// Where to answer a replica that may not be in this one's log yet.
     #[allow(clippy::unnecessary_wraps)]
-    fn sender(&self, from: &Host, disk: Disk) -> Option<Member> {
+    fn reply_target(&self, from: &Host, disk: Disk) -> Option<Member> {
         match self.members().get(from) {
             Some(member) if member.disk != disk => None,
             Some(member) => Some(member.clone()),
--- a/crates/core/src/log/entry.rs
+++ b/crates/core/src/log/entry.rs
@@ -12,7 +12,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
     /// Nothing: the first entry of a leader's term.
-    Blank,
+    #[serde(rename = "Blank")]
+    Noop,
     /// A command of the machine above the log.
     Data(#[serde(with = "super::bytes")] Vec<u8>),
     /// A new set of replicas, in force as soon as it stands in the log.
--- a/crates/core/src/log/getters.rs
+++ b/crates/core/src/log/getters.rs
@@ -29,7 +29,7 @@
     /// The newest term that it has seen.
     #[must_use]
     pub fn get_term(&self) -> Term {
-        self.hard.term
+        self.hard_state.term
     }
 
     /// How far it knows the log to be committed.
@@ -53,7 +53,7 @@
     /// Its disk's identity.
     #[must_use]
     pub fn get_disk(&self) -> Disk {
-        self.hard.disk
+        self.hard_state.disk
     }
 
     /// The replicas as its log has them.
--- a/crates/core/src/log/upkeep.rs
+++ b/crates/core/src/log/maintainer.rs
@@ -16,17 +16,17 @@
 ///
 /// Longer than a restart of its process takes, as a replica that is taken out must ask to be taken
 /// in again.
-const SILENT: Duration = Duration::from_millis(1_500);
+const REMOVAL_DELAY: Duration = Duration::from_millis(1_500);
 
 /// A change of the replica set that was begun.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Kept {
+pub enum MemberChange {
     /// A replica was taken in as a learner.
     Admitted(Host),
     /// A learner counts from now on.
-    Counts(Host),
+    Promoted(Host),
     /// A replica was taken out.
-    Expelled(Host),
+    Removed(Host),
 }
 
 /// What a leader remembers to keep the replica set whole.
@@ -34,18 +34,18 @@
 /// A set that is larger than wanted is no safer: a replica in it that is gone for good still counts
 /// towards the majority that must agree.
 #[derive(Clone, Debug, Default)]
-pub struct Upkeep {
-    wanted: usize,
-    silent: BTreeMap<Host, Instant>,
-    out: BTreeSet<Host>,
+pub struct Maintainer {
+    target_voters: usize,
+    unreachable_since: BTreeMap<Host, Instant>,
+    to_remove: BTreeSet<Host>,
 }
 
-impl Upkeep {
+impl Maintainer {
     /// Upkeep of a set in which `wanted` replicas are to count at least.
     #[must_use]
     pub fn new(wanted: usize) -> Self {
         Self {
-            wanted,
+            target_voters: wanted,
             ..Self::default()
         }
     }
@@ -55,77 +55,80 @@
     ///
     /// # Errors
     ///
-    /// Those of [`Replica::admit`] and [`Replica::expel`].
+    /// Those of [`Replica::admit`] and [`Replica::remove`].
     pub fn admit(
         &mut self,
         replica: &mut Replica,
         host: &Host,
         disk: Disk,
         now: Instant,
-    ) -> Result<Option<Kept>, Refusal> {
+    ) -> Result<Option<MemberChange>, Refusal> {
         let members = replica.members();
-        if members.has(host, disk) {
+        if members.contains(host, disk) {
             return Ok(None);
         }
         if members.get(host).is_some() {
-            replica.expel(host, now)?;
-            return Ok(Some(Kept::Expelled(host.clone())));
+            replica.remove(host, now)?;
+            return Ok(Some(MemberChange::Removed(host.clone())));
         }
         replica.admit(host, disk, now)?;
-        Ok(Some(Kept::Admitted(host.clone())))
+        Ok(Some(MemberChange::Admitted(host.clone())))
     }
 
     /// Lets whole learners count, and takes out who is to go; to be called at every tick of a
     /// leader that surely leads.
-    pub fn tend(&mut self, replica: &mut Replica, now: Instant) -> Vec<Kept> {
-        self.listen(replica, now);
+    pub fn maintain(&mut self, replica: &mut Replica, now: Instant) -> Vec<MemberChange> {
+        self.update_unreachable(replica, now);
         let mut kept = Vec::new();
-        for host in replica.whole_learners() {
+        for host in replica.caught_up_learners() {
             if replica.promote(&host, now).is_ok() {
-                kept.push(Kept::Counts(host));
+                kept.push(MemberChange::Promoted(host));
                 // The new one takes the place of one that is silent, if one is.
-                self.out.extend(self.longest_silent().map(|(host, _)| host));
+                self.to_remove
+                    .extend(self.longest_unreachable().map(|(host, _)| host));
             }
         }
-        self.shrink(replica, now);
+        self.select_surplus(replica, now);
         let regressed: BTreeSet<_> = replica.regressed().cloned().collect();
-        for host in self.out.union(&regressed) {
-            if replica.expel(host, now).is_ok() {
-                kept.push(Kept::Expelled(host.clone()));
+        for host in self.to_remove.union(&regressed) {
+            if replica.remove(host, now).is_ok() {
+                kept.push(MemberChange::Removed(host.clone()));
             }
         }
         kept
     }
 
     /// Takes note of who is silent, and since when.
-    fn listen(&mut self, replica: &Replica, now: Instant) {
+    fn update_unreachable(&mut self, replica: &Replica, now: Instant) {
         let members = replica.members();
         let silent = members
             .voters()
-            .filter(|member| !replica.hears(&member.host, now));
+            .filter(|member| !replica.is_reachable(&member.host, now));
         let silent: BTreeSet<_> = silent.map(|member| member.host.clone()).collect();
-        self.silent.retain(|host, _| silent.contains(host));
+        self.unreachable_since
+            .retain(|host, _| silent.contains(host));
         for host in silent {
-            self.silent.entry(host).or_insert(now);
+            self.unreachable_since.entry(host).or_insert(now);
         }
         // Who is heard again may stay.
-        self.out.retain(|host| self.silent.contains_key(host));
+        self.to_remove
+            .retain(|host| self.unreachable_since.contains_key(host));
     }
 
     /// Picks one to go where more count than are wanted and one has been silent for long.
-    fn shrink(&mut self, replica: &Replica, now: Instant) {
-        if replica.members().voters().count() <= self.wanted {
+    fn select_surplus(&mut self, replica: &Replica, now: Instant) {
+        if replica.members().voters().count() <= self.target_voters {
             return;
         }
-        if let Some((host, since)) = self.longest_silent()
-            && now.since(since) >= SILENT
+        if let Some((host, since)) = self.longest_unreachable()
+            && now.since(since) >= REMOVAL_DELAY
         {
-            self.out.insert(host);
+            self.to_remove.insert(host);
         }
     }
 
-    fn longest_silent(&self) -> Option<(Host, Instant)> {
-        let silent = self.silent.iter();
+    fn longest_unreachable(&self) -> Option<(Host, Instant)> {
+        let silent = self.unreachable_since.iter();
         let longest = silent.min_by_key(|(_, since)| **since);
         longest.map(|(host, since)| (host.clone(), *since))
     }
--- a/crates/core/src/log/members.rs
+++ b/crates/core/src/log/members.rs
@@ -30,7 +30,7 @@
 
     /// Whether the replica on `host` with `disk` is one of these.
     #[must_use]
-    pub fn has(&self, host: &Host, disk: Disk) -> bool {
+    pub fn contains(&self, host: &Host, disk: Disk) -> bool {
         self.get(host).is_some_and(|member| member.disk == disk)
     }
 
--- a/crates/core/src/log/membership.rs
+++ b/crates/core/src/log/membership.rs
@@ -21,8 +21,8 @@
     /// [`Code::NotLeader`]; [`Code::InUse`] while another change is under way or where the host
     /// has a replica on another disk, which must be removed first.
     pub fn admit(&mut self, host: &Host, disk: Disk, now: Instant) -> Result<(), Refusal> {
-        self.may_change()?;
-        if self.members().has(host, disk) {
+        self.ensure_change_allowed()?;
+        if self.members().contains(host, disk) {
             return Ok(());
         }
         if self.members().get(host).is_some() {
@@ -35,7 +35,7 @@
             voter: false,
         };
         let next = self.members().with(member);
-        self.change(next, now);
+        self.change_members(next, now);
         Ok(())
     }
 
@@ -46,7 +46,7 @@
     /// [`Code::NotLeader`]; [`Code::InUse`] while another change is under way or the learner is
     /// not whole; [`Code::Unknown`] where there is none.
     pub fn promote(&mut self, host: &Host, now: Instant) -> Result<(), Refusal> {
-        self.may_change()?;
+        self.ensure_change_allowed()?;
         let Some(member) = self.members().get(host).cloned() else {
             return Err(Refusal::new(
                 Code::Unknown,
@@ -56,7 +56,7 @@
         if member.voter {
             return Ok(());
         }
-        if self.matched(host) < self.commit {
+        if self.match_index(host) < self.commit {
             return Err(Refusal::new(
                 Code::InUse,
                 format!("the replica on `{host}` is not whole"),
@@ -66,7 +66,7 @@
             voter: true,
             ..member
         });
-        self.change(next, now);
+        self.change_members(next, now);
         Ok(())
     }
 
@@ -76,8 +76,8 @@
     ///
     /// [`Code::NotLeader`]; [`Code::InUse`] while another change is under way; [`Code::Floor`]
     /// where it is the only one or this leader itself.
-    pub fn expel(&mut self, host: &Host, now: Instant) -> Result<(), Refusal> {
-        self.may_change()?;
+    pub fn remove(&mut self, host: &Host, now: Instant) -> Result<(), Refusal> {
+        self.ensure_change_allowed()?;
         if host == &self.host {
             let why = "a leader does not take itself out; stop it first".to_owned();
             return Err(Refusal::new(Code::Floor, why));
@@ -88,7 +88,7 @@
         }
         self.progress.remove(host);
         self.regressed.remove(host);
-        self.change(next, now);
+        self.change_members(next, now);
         Ok(())
     }
 
@@ -103,32 +103,32 @@
 
     /// The learners that are whole.
     #[must_use]
-    pub fn whole_learners(&self) -> Vec<Host> {
+    pub fn caught_up_learners(&self) -> Vec<Host> {
         let learners = self.members().0.iter().filter(|member| !member.voter);
         let whole = learners.filter(|member| {
-            let matched = self.matched(&member.host);
+            let matched = self.match_index(&member.host);
             matched > Index(0) && matched >= self.commit
         });
         whole.map(|member| member.host.clone()).collect()
     }
 
-    fn may_change(&self) -> Result<(), Refusal> {
-        self.leading()?;
+    fn ensure_change_allowed(&self) -> Result<(), Refusal> {
+        self.ensure_leader()?;
         let newest = self.entries.iter().rev();
         let mut changes = newest.filter(|entry| matches!(entry.body, Body::Members(_)));
         let under_way = changes
             .next()
             .is_some_and(|entry| entry.index > self.commit);
-        if under_way || !self.is_settled() {
+        if under_way || !self.has_committed_in_term() {
             let why = "another change of the replicas is under way";
             return Err(Refusal::new(Code::InUse, why));
         }
         Ok(())
     }
 
-    fn change(&mut self, members: Members, now: Instant) {
+    fn change_members(&mut self, members: Members, now: Instant) {
         self.append(Body::Members(members));
-        self.advance();
+        self.advance_commit();
         self.broadcast(now);
     }
 
--- a/crates/core/src/log/message.rs
+++ b/crates/core/src/log/message.rs
@@ -21,7 +21,7 @@
     /// How often the sender's disk was started: an older copy of it tells a smaller number.
     pub boot: u64,
     /// What the sender drew when it started.
-    pub mark: u64,
+    pub nonce: u64,
     /// The receiver's host.
     pub to: Host,
     /// The receiver's disk; a replica with another disk is not meant.
@@ -29,21 +29,21 @@
     /// The sender's term.
     pub term: Term,
     /// What it says.
-    pub call: Call,
+    pub payload: Payload,
 }
 
 /// What a message says.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Call {
+pub enum Payload {
     /// Would you vote for me in the next term?
-    Probe {
+    PreVote {
         /// Term of the sender's last entry.
         last_term: Term,
         /// Place of the sender's last entry.
         last_index: Index,
     },
     /// Answer to a probe, in the sender's own term.
-    ProbeReply {
+    PreVoteReply {
         /// Whether it would.
         granted: bool,
     },
@@ -73,7 +73,7 @@
         round: u64,
     },
     /// What the leader has dropped from its log, as a snapshot.
-    Install {
+    InstallSnapshot {
         /// The snapshot.
         snapshot: Snapshot,
         /// The leader's heartbeat round.
--- a/crates/core/src/log/output.rs
+++ b/crates/core/src/log/output.rs
@@ -14,7 +14,7 @@
 
 /// What must be on disk before a vote or a term counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hard {
+pub struct HardState {
     /// The disk's identity.
     pub disk: Disk,
     /// How often the disk was started.
@@ -24,7 +24,8 @@
     /// Whom it voted for in that term.
     pub vote: Option<Host>,
     /// The newest boot seen of each other disk.
-    pub seen: Vec<Boot>,
+    #[serde(rename = "seen")]
+    pub seen_boots: Vec<Boot>,
 }
 
 /// One start of a replica.
@@ -35,7 +36,8 @@
     /// How often that disk was started.
     pub number: u64,
     /// Drawn at the start: a copy of the disk that was started as often draws another.
-    pub mark: u64,
+    #[serde(rename = "mark")]
+    pub nonce: u64,
 }
 
 /// The state of the machine above the log, up to a place.
@@ -56,37 +58,39 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Write {
     /// Replaces the hard state.
-    Hard(Hard),
+    #[serde(rename = "Hard")]
+    HardState(HardState),
     /// Drops every entry after this place.
-    Cut(Index),
+    #[serde(rename = "Cut")]
+    Truncate(Index),
     /// Adds an entry at the end.
     Entry(Entry),
     /// Replaces the snapshot, and drops the entries that it covers.
     Snapshot(Snapshot),
 }
 
-/// The number of a batch of writes; give it back to [`super::Replica::synced`] once they are on
+/// The number of a batch of writes; give it back to [`super::Replica::on_synced`] once they are on
 /// disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Sync(pub u64);
+pub struct SyncId(pub u64);
 
 /// What was read back from a disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Saved {
+pub struct SavedState {
     /// The hard state.
-    pub hard: Hard,
+    pub hard_state: HardState,
     /// The newest snapshot.
     pub snapshot: Snapshot,
     /// The entries after it.
     pub entries: Vec<Entry>,
 }
 
-impl Saved {
+impl SavedState {
     /// Takes in one write, as the disk does.
-    pub fn write(&mut self, write: Write) {
+    pub fn apply(&mut self, write: Write) {
         match write {
-            Write::Hard(hard) => self.hard = hard,
-            Write::Cut(after) => self.entries.retain(|entry| entry.index <= after),
+            Write::HardState(hard) => self.hard_state = hard,
+            Write::Truncate(after) => self.entries.retain(|entry| entry.index <= after),
             Write::Entry(entry) => self.entries.push(entry),
             Write::Snapshot(snapshot) => {
                 self.entries.retain(|entry| entry.index > snapshot.index);
@@ -101,8 +105,8 @@
 pub struct Output {
     /// Write these.
     pub writes: Vec<Write>,
-    /// Sync, then call [`super::Replica::synced`] with this.
-    pub sync: Option<Sync>,
+    /// Sync, then call [`super::Replica::on_synced`] with this.
+    pub sync: Option<SyncId>,
     /// Send these now.
     pub sends: Vec<Message>,
     /// Replace the state above the log by this one, before applying `commits`.
--- a/crates/core/src/log/replica.rs
+++ b/crates/core/src/log/replica.rs
@@ -17,16 +17,16 @@
 
 use super::Body;
 use super::Boot;
-use super::Call;
 use super::Entry;
-use super::Hard;
+use super::HardState;
 use super::Member;
 use super::Members;
 use super::Message;
 use super::Output;
-use super::Saved;
+use super::Payload;
+use super::SavedState;
 use super::Snapshot;
-use super::Sync;
+use super::SyncId;
 use super::Write;
 
 /// What a replica does at present.
@@ -35,7 +35,7 @@
     /// Listens to a leader.
     Follower,
     /// Asks whether an election would succeed.
-    Prober,
+    PreCandidate,
     /// Asks for votes.
     Candidate,
     /// Leads.
@@ -62,17 +62,17 @@
 
 /// The part of an election's time after which a replica that starts asks for one, at least; at most
 /// twice this.
-const FIRST_PART: u32 = 4;
+const STARTUP_ELECTION_DIVISOR: u32 = 4;
 
 /// How far a follower has come, as its leader knows.
 #[derive(Clone, Debug)]
 pub(super) struct Progress {
-    pub(super) matched: Index,
-    pub(super) next: Index,
+    pub(super) match_index: Index,
+    pub(super) next_index: Index,
     /// When the newest round that it answered was sent.
-    pub(super) heard: Instant,
+    pub(super) last_seen: Instant,
     /// Answers in a row that say that it lacks what it had acknowledged.
-    pub(super) lacking: u32,
+    pub(super) regressed_replies: u32,
 }
 
 /// One replica of the log.
@@ -82,8 +82,8 @@
 #[derive(Debug)]
 pub struct Replica {
     pub(super) host: Host,
-    pub(super) mark: u64,
-    pub(super) hard: Hard,
+    pub(super) nonce: u64,
+    pub(super) hard_state: HardState,
     pub(super) snapshot: Snapshot,
     pub(super) entries: Vec<Entry>,
     pub(super) timing: Timing,
@@ -93,18 +93,18 @@
     pub(super) commit: Index,
     pub(super) applied: Index,
     pub(super) synced: Index,
-    pub(super) deadline: Instant,
-    pub(super) heard: Option<Instant>,
+    pub(super) election_deadline: Instant,
+    pub(super) leader_seen: Option<Instant>,
     pub(super) votes: BTreeSet<Host>,
     pub(super) progress: BTreeMap<Host, Progress>,
     pub(super) regressed: BTreeSet<Host>,
     pub(super) round: u64,
-    pub(super) beat: Instant,
-    pub(super) rounds: VecDeque<(u64, Instant)>,
-    pub(super) led_since: Instant,
-    pub(super) writing: Sync,
-    pub(super) waiting: Vec<(Sync, Message)>,
-    pub(super) unsynced: Vec<(Sync, Index)>,
+    pub(super) last_broadcast: Instant,
+    pub(super) recent_rounds: VecDeque<(u64, Instant)>,
+    pub(super) leader_since: Instant,
+    pub(super) next_sync: SyncId,
+    pub(super) pending_sends: Vec<(SyncId, Message)>,
+    pub(super) unsynced: Vec<(SyncId, Index)>,
     pub(super) output: Output,
 }
 
@@ -114,7 +114,7 @@
     ///
     /// The first output raises the boot number; nothing counts before that is synced.
     #[must_use]
-    pub fn new(host: Host, saved: Saved, timing: Timing, seed: u64, now: Instant) -> Self {
+    pub fn new(host: Host, saved: SavedState, timing: Timing, seed: u64, now: Instant) -> Self {
         let last = saved
             .entries
             .last()
@@ -123,8 +123,8 @@
         let mut random = SmallRng::seed_from_u64(seed);
         let mut replica = Self {
             host,
-            mark: random.random(),
-            hard: saved.hard,
+            nonce: random.random(),
+            hard_state: saved.hard_state,
             snapshot: saved.snapshot,
             entries: saved.entries,
             timing,
@@ -134,33 +134,33 @@
             commit: applied,
             applied,
             synced: last,
-            deadline: now,
-            heard: None,
+            election_deadline: now,
+            leader_seen: None,
             votes: BTreeSet::new(),
             progress: BTreeMap::new(),
             regressed: BTreeSet::new(),
             round: 0,
-            beat: now,
-            rounds: VecDeque::new(),
-            led_since: now,
-            writing: Sync(0),
-            waiting: Vec::new(),
+            last_broadcast: now,
+            recent_rounds: VecDeque::new(),
+            leader_since: now,
+            next_sync: SyncId(0),
+            pending_sends: Vec::new(),
             unsynced: Vec::new(),
             output: Output::default(),
         };
-        replica.hard.boot += 1;
-        replica.write_hard();
-        replica.rest(now);
+        replica.hard_state.boot += 1;
+        replica.write_hard_state();
+        replica.reset_election_deadline(now);
         // One that starts asks soon whether an election would succeed: after all have lost power
         // nobody leads, and where somebody does, the others say no and nothing changes.
-        let first = replica.timing.election / FIRST_PART;
-        replica.deadline = now + first + first.mul_f64(replica.random.random());
+        let first = replica.timing.election / STARTUP_ELECTION_DIVISOR;
+        replica.election_deadline = now + first + first.mul_f64(replica.random.random());
         replica
     }
 
     /// What a disk holds on which `host` founds a log of its own.
     #[must_use]
-    pub fn found(host: &Host, disk: Disk) -> Saved {
+    pub fn founding_state(host: &Host, disk: Disk) -> SavedState {
         let member = Member {
             host: host.clone(),
             disk,
@@ -171,10 +171,10 @@
             index: Index(1),
             body: Body::Members(Members(vec![member])),
         };
-        Saved {
-            hard: Hard {
+        SavedState {
+            hard_state: HardState {
                 disk,
-                ..Hard::default()
+                ..HardState::default()
             },
             snapshot: Snapshot::default(),
             entries: vec![first],
@@ -183,31 +183,31 @@
 
     /// What a blank disk holds, before a leader takes it in.
     #[must_use]
-    pub fn blank(disk: Disk) -> Saved {
-        Saved {
-            hard: Hard {
+    pub fn blank_state(disk: Disk) -> SavedState {
+        SavedState {
+            hard_state: HardState {
                 disk,
-                ..Hard::default()
+                ..HardState::default()
             },
-            ..Saved::default()
+            ..SavedState::default()
         }
     }
 
     /// Takes what there is to do since the last call.
     #[must_use = "writes and messages that are dropped are lost"]
-    pub fn output(&mut self) -> Output {
+    pub fn take_output(&mut self) -> Output {
         let mut output = std::mem::take(&mut self.output);
         if !output.writes.is_empty() {
-            output.sync = Some(self.writing);
-            self.unsynced.push((self.writing, self.last_index()));
-            self.writing = Sync(self.writing.0 + 1);
+            output.sync = Some(self.next_sync);
+            self.unsynced.push((self.next_sync, self.last_index()));
+            self.next_sync = SyncId(self.next_sync.0 + 1);
         }
         output.commits = self.take_commits();
         output
     }
 
     /// The writes up to `sync` are on disk.
-    pub fn synced(&mut self, sync: Sync, now: Instant) {
+    pub fn on_synced(&mut self, sync: SyncId, now: Instant) {
         let done: Vec<_> = self
             .unsynced
             .iter()
@@ -222,10 +222,12 @@
                 .min(later_low.unwrap_or(*index))
                 .min(self.last_index());
         }
-        let (ready, waiting): (Vec<_>, Vec<_>) =
-            self.waiting.drain(..).partition(|pair| pair.0 <= sync);
-        self.waiting = waiting;
-        let own_term = self.hard.term;
+        let (ready, waiting): (Vec<_>, Vec<_>) = self
+            .pending_sends
+            .drain(..)
+            .partition(|pair| pair.0 <= sync);
+        self.pending_sends = waiting;
+        let own_term = self.hard_state.term;
         let ready = ready.into_iter().map(|pair| pair.1);
         self.output
             .sends
@@ -234,51 +236,51 @@
             self.count_votes(now);
         }
         if self.role == Role::Leader {
-            self.advance();
+            self.advance_commit();
         }
     }
 
     /// Time has passed.
     pub fn tick(&mut self, now: Instant) {
         if self.role == Role::Leader {
-            self.lead(now);
-        } else if now >= self.deadline {
-            self.probe(now);
+            self.tick_leader(now);
+        } else if now >= self.election_deadline {
+            self.start_pre_vote(now);
         }
     }
 
     /// A message has come.
     pub fn receive(&mut self, message: Message, now: Instant) {
-        if message.to != self.host || message.to_disk != self.hard.disk {
+        if message.to != self.host || message.to_disk != self.hard_state.disk {
             return;
         }
-        if !self.is_current(&message) {
+        if !self.accept_boot(&message) {
             return;
         }
-        self.meet_term(&message, now);
+        self.observe_term(&message, now);
         let Message {
             from,
             disk,
             term,
-            call,
+            payload: call,
             ..
         } = message;
         match call {
-            Call::Probe {
+            Payload::PreVote {
                 last_term,
                 last_index,
             } => {
-                self.on_probe(&from, disk, term, (last_term, last_index), now);
+                self.on_pre_vote(&from, disk, term, (last_term, last_index), now);
             }
-            Call::ProbeReply { granted } => self.on_probe_reply(from, disk, granted, now),
-            Call::Vote {
+            Payload::PreVoteReply { granted } => self.on_pre_vote_reply(from, disk, granted, now),
+            Payload::Vote {
                 last_term,
                 last_index,
             } => {
                 self.on_vote(&from, disk, term, (last_term, last_index), now);
             }
-            Call::VoteReply { granted } => self.on_vote_reply(from, disk, term, granted, now),
-            Call::Append {
+            Payload::VoteReply { granted } => self.on_vote_reply(from, disk, term, granted, now),
+            Payload::Append {
                 prev_index,
                 prev_term,
                 entries,
@@ -296,10 +298,10 @@
                     now,
                 );
             }
-            Call::Install { snapshot, round } => {
+            Payload::InstallSnapshot { snapshot, round } => {
                 self.on_install(&from, disk, term, snapshot, round, now);
             }
-            Call::AppendReply {
+            Payload::AppendReply {
                 matched,
                 index,
                 round,
@@ -312,48 +314,50 @@
 
 /// # What events share
 impl Replica {
-    pub(super) fn write_hard(&mut self) {
-        self.output.writes.push(Write::Hard(self.hard.clone()));
+    pub(super) fn write_hard_state(&mut self) {
+        self.output
+            .writes
+            .push(Write::HardState(self.hard_state.clone()));
     }
 
-    pub(super) fn send(&mut self, to: &Member, call: Call) {
+    pub(super) fn send(&mut self, to: &Member, call: Payload) {
         let message = self.message(to, call);
         self.output.sends.push(message);
     }
 
     /// Sends once everything that is written up to now is on disk.
-    pub(super) fn send_after_sync(&mut self, to: &Member, call: Call) {
+    pub(super) fn send_after_sync(&mut self, to: &Member, call: Payload) {
         let message = self.message(to, call);
         if self.output.writes.is_empty() && self.unsynced.is_empty() {
             self.output.sends.push(message);
         } else {
-            self.waiting.push((self.newest_write(), message));
+            self.pending_sends.push((self.newest_sync(), message));
         }
     }
 
     /// The number that the newest write has or will have.
-    fn newest_write(&self) -> Sync {
+    fn newest_sync(&self) -> SyncId {
         if self.output.writes.is_empty() {
-            Sync(self.writing.0.saturating_sub(1))
+            SyncId(self.next_sync.0.saturating_sub(1))
         } else {
-            self.writing
+            self.next_sync
         }
     }
 
-    fn message(&self, to: &Member, call: Call) -> Message {
+    fn message(&self, to: &Member, call: Payload) -> Message {
         Message {
             from: self.host.clone(),
-            disk: self.hard.disk,
-            boot: self.hard.boot,
-            mark: self.mark,
+            disk: self.hard_state.disk,
+            boot: self.hard_state.boot,
+            nonce: self.nonce,
             to: to.host.clone(),
             to_disk: to.disk,
-            term: self.hard.term,
-            call,
+            term: self.hard_state.term,
+            payload: call,
         }
     }
 
-    pub(super) fn others(&self) -> Vec<Member> {
+    pub(super) fn other_members(&self) -> Vec<Member> {
         let others = self
             .members()
             .0
@@ -363,52 +367,54 @@
     }
 
     /// Draws the moment of the next election.
-    pub(super) fn rest(&mut self, now: Instant) {
+    pub(super) fn reset_election_deadline(&mut self, now: Instant) {
         let spread = self.random.random_range(0.0..1.0);
-        self.deadline = now + self.timing.election + self.timing.election.mul_f64(spread);
+        self.election_deadline = now + self.timing.election + self.timing.election.mul_f64(spread);
     }
 
     /// Whether the sender's disk is not an older copy of itself.
-    fn is_current(&mut self, message: &Message) -> bool {
+    fn accept_boot(&mut self, message: &Message) -> bool {
         let seen = self
-            .hard
-            .seen
+            .hard_state
+            .seen_boots
             .iter_mut()
             .find(|seen| seen.disk == message.disk);
         let boot = Boot {
             disk: message.disk,
             number: message.boot,
-            mark: message.mark,
+            nonce: message.nonce,
         };
         match seen {
             Some(seen) if *seen == boot => return true,
             Some(seen) if seen.number >= boot.number => return false,
             Some(seen) => *seen = boot,
-            None => self.hard.seen.push(boot),
+            None => self.hard_state.seen_boots.push(boot),
         }
-        self.write_hard();
+        self.write_hard_state();
         true
     }
 
     /// Follows a newer term; a probe names no term that anyone has entered.
-    fn meet_term(&mut self, message: &Message, now: Instant) {
-        if message.term <= self.hard.term || matches!(message.call, Call::Probe { .. }) {
+    fn observe_term(&mut self, message: &Message, now: Instant) {
+        if message.term <= self.hard_state.term
+            || matches!(message.payload, Payload::PreVote { .. })
+        {
             return;
         }
-        if matches!(message.call, Call::Vote { .. }) && self.hears_leader(now) {
+        if matches!(message.payload, Payload::Vote { .. }) && self.has_recent_leader(now) {
             return;
         }
         self.follow(message.term, None, now);
     }
 
     pub(super) fn follow(&mut self, term: Term, leader: Option<Host>, now: Instant) {
-        if term > self.hard.term {
-            self.hard.term = term;
-            self.hard.vote = None;
-            self.write_hard();
+        if term > self.hard_state.term {
+            self.hard_state.term = term;
+            self.hard_state.vote = None;
+            self.write_hard_state();
         }
         if self.role != Role::Follower {
-            self.rest(now);
+            self.reset_election_deadline(now);
         }
         self.role = Role::Follower;
         self.leader = leader;
@@ -416,11 +422,11 @@
     }
 
     /// Whether a leader was heard so lately that an election would only disturb it.
-    pub(super) fn hears_leader(&self, now: Instant) -> bool {
+    pub(super) fn has_recent_leader(&self, now: Instant) -> bool {
         match self.role {
             Role::Leader => true,
             _ => self
-                .heard
+                .leader_seen
                 .is_some_and(|heard| now.since(heard) < self.timing.election),
         }
     }
--- a/crates/core/src/log/replicate.rs
+++ b/crates/core/src/log/replicate.rs
@@ -9,9 +9,9 @@
 use crate::id::Term;
 
 use super::Body;
-use super::Call;
 use super::Entry;
 use super::Member;
+use super::Payload;
 use super::Replica;
 use super::Role;
 use super::Snapshot;
@@ -19,45 +19,45 @@
 use super::replica::Progress;
 
 /// The most entries in one message.
-const BATCH: usize = 256;
+const MAX_ENTRIES_PER_MESSAGE: usize = 256;
 
 /// After how many answers in a row that it lacks what it acknowledged a replica counts as regressed.
-const LACKING: u32 = 5;
+const MAX_REGRESSED_REPLIES: u32 = 5;
 
 /// How many rounds of heartbeats are remembered with the moment when they were sent.
-const ROUNDS: usize = 64;
+const MAX_RECENT_ROUNDS: usize = 64;
 
 /// # Leading
 impl Replica {
-    pub(super) fn take_lead(&mut self, now: Instant) {
+    pub(super) fn become_leader(&mut self, now: Instant) {
         self.role = Role::Leader;
         self.leader = Some(self.host.clone());
-        self.led_since = now;
+        self.leader_since = now;
         self.progress.clear();
         self.regressed.clear();
-        self.rounds.clear();
+        self.recent_rounds.clear();
         let next = self.last_index().next();
-        for member in self.others() {
+        for member in self.other_members() {
             let progress = Progress {
-                matched: Index(0),
-                next,
-                heard: now,
-                lacking: 0,
+                match_index: Index(0),
+                next_index: next,
+                last_seen: now,
+                regressed_replies: 0,
             };
             self.progress.insert(member.host, progress);
         }
-        self.append(Body::Blank);
+        self.append(Body::Noop);
         self.broadcast(now);
     }
 
     /// Sends heartbeats, and steps down where no majority answers any more.
-    pub(super) fn lead(&mut self, now: Instant) {
-        if !self.hears_majority(now) {
-            let term = self.hard.term;
+    pub(super) fn tick_leader(&mut self, now: Instant) {
+        if !self.reaches_majority(now) {
+            let term = self.hard_state.term;
             self.follow(term, None, now);
             return;
         }
-        if now.since(self.beat) >= self.timing.heartbeat {
+        if now.since(self.last_broadcast) >= self.timing.heartbeat {
             self.broadcast(now);
         }
     }
@@ -67,33 +67,33 @@
     /// While it holds no other replica can lead: each of that majority refuses its vote for as
     /// long after it heard this leader, and it heard it no earlier than this leader sent.
     #[must_use]
-    pub fn hears_majority(&self, now: Instant) -> bool {
+    pub fn reaches_majority(&self, now: Instant) -> bool {
         let voters = self.members().voters();
         let count = voters
-            .filter(|member| self.hears(&member.host, now))
+            .filter(|member| self.is_reachable(&member.host, now))
             .count();
         count >= self.members().majority()
     }
 
     /// Whether a majority has answered a round that this leader sent at `at` or later.
     ///
-    /// Unlike [`Replica::hears_majority`] it needs no faith in how long others keep from electing
+    /// Unlike [`Replica::reaches_majority`] it needs no faith in how long others keep from electing
     /// another leader: one that had been elected before `at` would have been heard of.
     #[must_use]
     pub fn is_confirmed_since(&self, at: Instant) -> bool {
         let voters = self.members().voters();
         let heard = |host: &Host| {
             let progress = self.progress.get(host);
-            host == &self.host || progress.is_some_and(|progress| progress.heard >= at)
+            host == &self.host || progress.is_some_and(|progress| progress.last_seen >= at)
         };
         let count = voters.filter(|member| heard(&member.host)).count();
-        self.is_settled() && count >= self.members().majority()
+        self.has_committed_in_term() && count >= self.members().majority()
     }
 
     /// Whether the replica on `host` has answered this leader within an election's time.
     #[must_use]
-    pub fn hears(&self, host: &Host, now: Instant) -> bool {
-        let heard = self.progress.get(host).map(|progress| progress.heard);
+    pub fn is_reachable(&self, host: &Host, now: Instant) -> bool {
+        let heard = self.progress.get(host).map(|progress| progress.last_seen);
         host == &self.host || heard.is_some_and(|heard| now.since(heard) < self.timing.election)
     }
 
@@ -103,13 +103,13 @@
     ///
     /// [`Code::NotLeader`] with the leader's name, where it is known.
     pub fn propose(&mut self, data: Vec<u8>, now: Instant) -> Result<Index, Refusal> {
-        self.leading()?;
+        self.ensure_leader()?;
         let index = self.append(Body::Data(data));
         self.broadcast(now);
         Ok(index)
     }
 
-    pub(super) fn leading(&self) -> Result<(), Refusal> {
+    pub(super) fn ensure_leader(&self) -> Result<(), Refusal> {
         if self.role == Role::Leader {
             return Ok(());
         }
@@ -122,14 +122,14 @@
 
     /// Whether an entry of this leader's own term is committed, so that all before it is known.
     #[must_use]
-    pub fn is_settled(&self) -> bool {
-        self.role == Role::Leader && self.term_at(self.commit) == Some(self.hard.term)
+    pub fn has_committed_in_term(&self) -> bool {
+        self.role == Role::Leader && self.term_at(self.commit) == Some(self.hard_state.term)
     }
 
     pub(super) fn append(&mut self, body: Body) -> Index {
         let index = self.last_index().next();
         let entry = Entry {
-            term: self.hard.term,
+            term: self.hard_state.term,
             index,
             body,
         };
@@ -139,13 +139,13 @@
     }
 
     pub(super) fn broadcast(&mut self, now: Instant) {
-        self.beat = now;
+        self.last_broadcast = now;
         self.round += 1;
-        self.rounds.push_back((self.round, now));
-        if self.rounds.len() > ROUNDS {
-            self.rounds.pop_front();
+        self.recent_rounds.push_back((self.round, now));
+        if self.recent_rounds.len() > MAX_RECENT_ROUNDS {
+            self.recent_rounds.pop_front();
         }
-        for member in self.others() {
+        for member in self.other_members() {
             self.send_entries(&member, now);
         }
     }
@@ -153,33 +153,33 @@
     fn send_entries(&mut self, member: &Member, now: Instant) {
         let next = self.last_index().next();
         let fresh = Progress {
-            matched: Index(0),
-            next,
-            heard: now,
-            lacking: 0,
+            match_index: Index(0),
+            next_index: next,
+            last_seen: now,
+            regressed_replies: 0,
         };
         let next = self
             .progress
             .entry(member.host.clone())
             .or_insert(fresh)
-            .next;
+            .next_index;
         let round = self.round;
         let prev_index = Index(next.0 - 1);
         let Some(prev_term) = self.term_at(prev_index) else {
             let snapshot = self.snapshot.clone();
-            self.sent_up_to(&member.host, snapshot.index);
-            self.send(member, Call::Install { snapshot, round });
+            self.mark_sent(&member.host, snapshot.index);
+            self.send(member, Payload::InstallSnapshot { snapshot, round });
             return;
         };
         let after = self.entries.iter().filter(|entry| entry.index >= next);
-        let entries: Vec<_> = after.take(BATCH).cloned().collect();
+        let entries: Vec<_> = after.take(MAX_ENTRIES_PER_MESSAGE).cloned().collect();
         if let Some(last) = entries.last() {
-            self.sent_up_to(&member.host, last.index);
+            self.mark_sent(&member.host, last.index);
         }
         let commit = self.commit;
         self.send(
             member,
-            Call::Append {
+            Payload::Append {
                 prev_index,
                 prev_term,
                 entries,
@@ -190,9 +190,9 @@
     }
 
     /// Counts on what was sent to arrive; a follower that lacks it says so, and it is sent again.
-    fn sent_up_to(&mut self, host: &Host, index: Index) {
+    fn mark_sent(&mut self, host: &Host, index: Index) {
         if let Some(progress) = self.progress.get_mut(host) {
-            progress.next = index.next();
+            progress.next_index = index.next();
         }
     }
 
@@ -207,61 +207,64 @@
         round: u64,
         now: Instant,
     ) {
-        if self.role != Role::Leader || term != self.hard.term || !self.members().has(from, disk) {
+        if self.role != Role::Leader
+            || term != self.hard_state.term
+            || !self.members().contains(from, disk)
+        {
             return;
         }
         let last = self.last_index();
         let Some(progress) = self.progress.get_mut(from) else {
             return;
         };
-        if let Some((_, sent)) = self.rounds.iter().find(|sent| sent.0 == round) {
-            progress.heard = progress.heard.max(*sent);
+        if let Some((_, sent)) = self.recent_rounds.iter().find(|sent| sent.0 == round) {
+            progress.last_seen = progress.last_seen.max(*sent);
         }
         if matched {
-            progress.matched = progress.matched.max(index);
-            progress.next = progress.next.max(progress.matched.next());
-            progress.lacking = 0;
+            progress.match_index = progress.match_index.max(index);
+            progress.next_index = progress.next_index.max(progress.match_index.next());
+            progress.regressed_replies = 0;
         } else {
             // Never before what it has acknowledged: a disk that lost that is not the same disk. One
             // such answer may only be late; several without an acknowledgement between are not.
-            progress.lacking += u32::from(index < progress.matched);
-            if progress.lacking >= LACKING {
+            progress.regressed_replies += u32::from(index < progress.match_index);
+            if progress.regressed_replies >= MAX_REGRESSED_REPLIES {
                 self.regressed.insert(from.clone());
             }
-            let back = Index(progress.next.0.saturating_sub(1)).min(index.next());
-            progress.next = back.max(progress.matched.next());
+            let back = Index(progress.next_index.0.saturating_sub(1)).min(index.next());
+            progress.next_index = back.max(progress.match_index.next());
         }
-        let behind = progress.next <= last;
-        self.advance();
+        let behind = progress.next_index <= last;
+        self.advance_commit();
         if behind && let Some(member) = self.members().get(from).cloned() {
             self.send_entries(&member, now);
         }
     }
 
     /// Commits what a majority has synced, if it is of this term.
-    pub(super) fn advance(&mut self) {
+    pub(super) fn advance_commit(&mut self) {
         let members = self.members();
         let mut matched: Vec<_> = members
             .voters()
-            .map(|member| self.matched(&member.host))
+            .map(|member| self.match_index(&member.host))
             .collect();
         matched.sort_unstable();
         let Some(place) = matched.len().checked_sub(members.majority()) else {
             return;
         };
         let index = matched[place];
-        if index > self.commit && self.term_at(index) == Some(self.hard.term) {
+        if index > self.commit && self.term_at(index) == Some(self.hard_state.term) {
             self.commit = index;
         }
     }
 
-    pub(super) fn matched(&self, host: &Host) -> Index {
+    pub(super) fn match_index(&self, host: &Host) -> Index {
         if host == &self.host {
             return self.synced;
         }
         self.progress
             .get(host)
-            .map_or(Index(0), |progress| progress.matched)
+            .map_or(Index(0), |progress| progress.match_index)
     }
 }
 
@@ -284,11 +287,11 @@
             disk,
             voter: true,
         };
-        if term < self.hard.term {
+        if term < self.hard_state.term {
             let index = self.last_index();
             self.send(
                 &leader,
-                Call::AppendReply {
+                Payload::AppendReply {
                     matched: false,
                     index,
                     round,
@@ -296,14 +299,14 @@
             );
             return;
         }
-        self.hear(from, term, now);
+        self.follow_leader(from, term, now);
         let (prev_index, prev_term) = prev;
         let known = prev_index < self.snapshot.index || self.term_at(prev_index) == Some(prev_term);
         if !known {
             let index = self.last_index().min(Index(prev_index.0.saturating_sub(1)));
             self.send(
                 &leader,
-                Call::AppendReply {
+                Payload::AppendReply {
                     matched: false,
                     index,
                     round,
@@ -313,12 +316,12 @@
         }
         let index = Index(prev_index.0 + entries.len() as u64).max(self.snapshot.index);
         for entry in entries {
-            self.take(entry);
+            self.store_entry(entry);
         }
         self.commit = self.commit.max(commit.min(index));
         self.send_after_sync(
             &leader,
-            Call::AppendReply {
+            Payload::AppendReply {
                 matched: true,
                 index,
                 round,
@@ -326,14 +329,14 @@
         );
     }
 
-    fn hear(&mut self, from: &Host, term: Term, now: Instant) {
+    fn follow_leader(&mut self, from: &Host, term: Term, now: Instant) {
         self.follow(term, Some(from.clone()), now);
-        self.heard = Some(now);
-        self.rest(now);
+        self.leader_seen = Some(now);
+        self.reset_election_deadline(now);
     }
 
     /// Puts one entry where the leader has it; what contradicts it goes.
-    fn take(&mut self, entry: Entry) {
+    fn store_entry(&mut self, entry: Entry) {
         if entry.index <= self.snapshot.index || self.term_at(entry.index) == Some(entry.term) {
             return;
         }
@@ -345,7 +348,7 @@
             for pair in &mut self.unsynced {
                 pair.1 = pair.1.min(before);
             }
-            self.output.writes.push(Write::Cut(before));
+            self.output.writes.push(Write::Truncate(before));
         }
         self.output.writes.push(Write::Entry(entry.clone()));
         self.entries.push(entry);
@@ -360,14 +363,14 @@
         round: u64,
         now: Instant,
     ) {
-        if term < self.hard.term {
+        if term < self.hard_state.term {
             return;
         }
-        self.hear(from, term, now);
+        self.follow_leader(from, term, now);
         let index = snapshot.index;
         if index > self.commit {
             self.entries.clear();
-            self.output.writes.push(Write::Cut(Index(0)));
+            self.output.writes.push(Write::Truncate(Index(0)));
             self.output.writes.push(Write::Snapshot(snapshot.clone()));
             self.snapshot = snapshot.clone();
             self.commit = index;
@@ -383,7 +386,7 @@
         };
         self.send_after_sync(
             &leader,
-            Call::AppendReply {
+            Payload::AppendReply {
                 matched: true,
                 index,
                 round,
--- a/crates/core/src/view/grantor.rs
+++ b/crates/core/src/view/grantor.rs
@@ -64,7 +64,7 @@
 
     /// Answers a renewal.
     ///
-    /// The caller must be sure that it leads at `now`; see [`crate::log::Replica::hears_majority`].
+    /// The caller must be sure that it leads at `now`; see [`crate::log::Replica::reaches_majority`].
     ///
     /// # Errors
     ///
--- a/crates/core/tests/old_disk.rs
+++ b/crates/core/tests/old_disk.rs
@@ -5,8 +5,8 @@
 use curlewlift_core::clock::Instant;
 use curlewlift_core::id::Disk;
 use curlewlift_core::id::Host;
-use curlewlift_core::log::Call;
 use curlewlift_core::log::Message;
+use curlewlift_core::log::Payload;
 use curlewlift_core::log::Replica;
 
 use support::replicas::Node;
@@ -16,9 +16,14 @@
 fn three() -> (Vec<Node>, Instant) {
     let mut now = Instant::default();
     let founder: Host = "c0".parse().expect("a name");
-    let mut nodes = vec![Node::new("c0", Replica::found(&founder, Disk(1)), 1, now)];
-    nodes.push(Node::new("c1", Replica::blank(Disk(2)), 2, now));
-    nodes.push(Node::new("c2", Replica::blank(Disk(3)), 3, now));
+    let mut nodes = vec![Node::new(
+        "c0",
+        Replica::founding_state(&founder, Disk(1)),
+        1,
+        now,
+    )];
+    nodes.push(Node::new("c1", Replica::blank_state(Disk(2)), 2, now));
+    nodes.push(Node::new("c2", Replica::blank_state(Disk(3)), 3, now));
     go_on(&mut nodes, &mut now, 100);
     for (place, disk) in [(1, 2), (2, 3)] {
         let host: Host = format!("c{place}").parse().expect("a name");
@@ -64,19 +69,19 @@
     let late = Message {
         from: "c2".parse().expect("a name"),
         disk: Disk(3),
-        boot: nodes[2].disk.hard.boot,
-        mark: nodes[0]
+        boot: nodes[2].disk.hard_state.boot,
+        nonce: nodes[0]
             .disk
-            .hard
-            .seen
+            .hard_state
+            .seen_boots
             .iter()
             .find(|seen| seen.disk == Disk(3))
             .expect("seen")
-            .mark,
+            .nonce,
         to: "c0".parse().expect("a name"),
         to_disk: Disk(1),
         term: nodes[0].replica.get_term(),
-        call: Call::AppendReply {
+        payload: Payload::AppendReply {
             matched: false,
             index: curlewlift_core::id::Index(1),
             round: 1,
@@ -104,13 +109,13 @@
     nodes[2] = Node::new("c2", copy.clone(), 9, now);
     go_on(&mut nodes, &mut now, 50);
     assert!(
-        nodes[0].replica.hears(&host, now),
+        nodes[0].replica.is_reachable(&host, now),
         "the disk itself is heard"
     );
     nodes[2] = Node::new("c2", copy, 10, now);
     go_on(&mut nodes, &mut now, 100);
     assert!(
-        !nodes[0].replica.hears(&host, now),
+        !nodes[0].replica.is_reachable(&host, now),
         "a copy that was started as often is not"
     );
 }
--- a/crates/core/tests/replica_upkeep.rs
+++ b/crates/core/tests/replica_upkeep.rs
@@ -7,10 +7,10 @@
 use curlewlift_core::clock::Instant;
 use curlewlift_core::id::Disk;
 use curlewlift_core::id::Host;
+use curlewlift_core::log::Maintainer;
 use curlewlift_core::log::Replica;
 use curlewlift_core::log::Role;
-use curlewlift_core::log::Saved;
-use curlewlift_core::log::Upkeep;
+use curlewlift_core::log::SavedState;
 
 use support::replicas::Node;
 use support::replicas::go_on;
@@ -21,7 +21,7 @@
 /// Replicas, the leader's upkeep, and the time.
 struct Set {
     nodes: Vec<Node>,
-    upkeep: Upkeep,
+    upkeep: Maintainer,
     leader: Option<Host>,
     now: Instant,
 }
@@ -31,10 +31,10 @@
     fn found() -> Self {
         let host: Host = "c0".parse().expect("a name");
         let now = Instant::default();
-        let founder = Node::new("c0", Replica::found(&host, Disk(100)), 1, now);
+        let founder = Node::new("c0", Replica::founding_state(&host, Disk(100)), 1, now);
         Self {
             nodes: vec![founder],
-            upkeep: Upkeep::new(WANTED),
+            upkeep: Maintainer::new(WANTED),
             leader: None,
             now,
         }
@@ -42,16 +42,16 @@
 
     /// A replica with a blank disk starts on `host`.
     fn join(&mut self, host: &str, disk: u64) {
-        self.start(host, Replica::blank(Disk(disk)));
+        self.start(host, Replica::blank_state(Disk(disk)));
     }
 
-    fn start(&mut self, host: &str, disk: Saved) {
+    fn start(&mut self, host: &str, disk: SavedState) {
         let seed = self.now.0 + self.nodes.len() as u64;
         self.nodes.push(Node::new(host, disk, seed, self.now));
     }
 
     /// A replica is gone; gives its disk.
-    fn stop(&mut self, host: &str) -> Saved {
+    fn stop(&mut self, host: &str) -> SavedState {
         let place = self
             .nodes
             .iter()
@@ -70,7 +70,9 @@
 
     fn tend(&mut self) {
         let now = self.now;
-        let leads = |node: &Node| node.replica.is_settled() && node.replica.hears_majority(now);
+        let leads = |node: &Node| {
+            node.replica.has_committed_in_term() && node.replica.reaches_majority(now)
+        };
         let Some(place) = self.nodes.iter().position(leads) else {
             return;
         };
@@ -81,19 +83,19 @@
         let replica = &mut self.nodes[place].replica;
         if self.leader.as_ref() != Some(replica.get_host()) {
             self.leader = Some(replica.get_host().clone());
-            self.upkeep = Upkeep::new(WANTED);
+            self.upkeep = Maintainer::new(WANTED);
         }
         for (host, disk) in asking {
             // One change at a time: who is put off asks again.
             let _ = self.upkeep.admit(replica, &host, disk, now);
         }
-        self.upkeep.tend(replica, now);
+        self.upkeep.maintain(replica, now);
     }
 
     /// The hosts that count, by the leader's word; none where nobody surely leads.
     fn voters(&self) -> Option<Vec<String>> {
         let leads = |node: &&Node| {
-            node.replica.get_role() == Role::Leader && node.replica.hears_majority(self.now)
+            node.replica.get_role() == Role::Leader && node.replica.reaches_majority(self.now)
         };
         let leader = self.nodes.iter().find(leads)?;
         let members = leader.replica.members();
--- a/crates/core/tests/support/history.rs
+++ b/crates/core/tests/support/history.rs
@@ -9,15 +9,15 @@
 use curlewlift_core::id::Index;
 use curlewlift_core::id::Term;
 use curlewlift_core::log::Body;
-use curlewlift_core::log::Call;
 use curlewlift_core::log::Entry;
 use curlewlift_core::log::Member;
 use curlewlift_core::log::Members;
 use curlewlift_core::log::Message;
+use curlewlift_core::log::Payload;
 use curlewlift_core::log::Replica;
 use curlewlift_core::log::Role;
-use curlewlift_core::log::Saved;
-use curlewlift_core::log::Sync;
+use curlewlift_core::log::SavedState;
+use curlewlift_core::log::SyncId;
 use curlewlift_core::log::Timing;
 use curlewlift_core::log::Write;
 use quickcheck::Arbitrary;
@@ -105,8 +105,8 @@
 /// A host: its disk, what was written but not synced, and the replica while it runs.
 struct Node {
     host: Host,
-    disk: Saved,
-    written: Vec<(Sync, Vec<Write>)>,
+    disk: SavedState,
+    written: Vec<(SyncId, Vec<Write>)>,
     replica: Option<Replica>,
     applied: Index,
 }
@@ -224,7 +224,7 @@
             Step::Expel(pick) => {
                 let host = self.nodes[pick % HOSTS].host.clone();
                 let now = self.now;
-                self.each(|replica| drop(replica.expel(&host, now)))
+                self.each(|replica| drop(replica.remove(&host, now)))
             }
             Step::Compact(pick) => self.at(pick % HOSTS, |replica| replica.compact(vec![1])),
         }
@@ -268,11 +268,11 @@
         let sync = *sync;
         for (_, writes) in std::mem::take(&mut node.written) {
             for write in writes {
-                node.disk.write(write);
+                node.disk.apply(write);
             }
         }
         let now = self.now;
-        self.at(place, |replica| replica.synced(sync, now))
+        self.at(place, |replica| replica.on_synced(sync, now))
     }
 
     /// What was written and not synced is gone.
@@ -290,7 +290,7 @@
             return Ok(());
         }
         if self.flaw == Flaw::DoubleVote {
-            node.disk.hard.vote = None;
+            node.disk.hard_state.vote = None;
         }
         let saved = node.disk.clone();
         node.applied = saved.snapshot.index;
@@ -303,7 +303,7 @@
     fn lose(&mut self, place: usize) {
         let fresh = Disk(self.draw());
         let node = &mut self.nodes[place];
-        let old = node.disk.hard.disk;
+        let old = node.disk.hard_state.disk;
         node.replica = None;
         node.written.clear();
         let disk = if self.flaw == Flaw::OldDisk {
@@ -311,11 +311,11 @@
         } else {
             fresh
         };
-        node.disk = Replica::blank(disk);
+        node.disk = Replica::blank_state(disk);
         if self.flaw == Flaw::OldDisk {
             // Such a disk would claim its place: it knows the members as they were.
-            node.disk.hard.boot = 1_000 + fresh.0;
-            node.disk.entries = Replica::found(&node.host, old).entries;
+            node.disk.hard_state.boot = 1_000 + fresh.0;
+            node.disk.entries = Replica::founding_state(&node.host, old).entries;
         }
     }
 
@@ -324,7 +324,7 @@
     fn join(&mut self, place: usize) -> Result<(), String> {
         let node = &self.nodes[place];
         let host = node.host.clone();
-        let disk = node.disk.hard.disk;
+        let disk = node.disk.hard_state.disk;
         let now = self.now;
         self.each(|replica| {
             let other = replica
@@ -332,7 +332,7 @@
                 .get(&host)
                 .is_some_and(|member| member.disk != disk);
             if other {
-                drop(replica.expel(&host, now));
+                drop(replica.remove(&host, now));
             } else {
                 drop(replica.admit(&host, disk, now));
             }
@@ -342,7 +342,7 @@
     fn promote(&mut self) -> Result<(), String> {
         let now = self.now;
         self.each(|replica| {
-            for host in replica.whole_learners() {
+            for host in replica.caught_up_learners() {
                 drop(replica.promote(&host, now));
             }
         })
@@ -353,7 +353,7 @@
         let Some(leader) = &self.nodes[to].replica else {
             return;
         };
-        if let Call::AppendReply { matched, index, .. } = &mut message.call
+        if let Payload::AppendReply { matched, index, .. } = &mut message.payload
             && !*matched
         {
             *matched = true;
@@ -373,11 +373,11 @@
             return Ok(());
         };
         event(replica);
-        let output = replica.output();
+        let output = replica.take_output();
         if let Some(sync) = output.sync {
             node.written.push((sync, output.writes));
             if self.flaw == Flaw::EarlyAnswer {
-                replica.synced(sync, now);
+                replica.on_synced(sync, now);
             }
         }
         self.bag.extend(output.sends);
@@ -432,13 +432,13 @@
 }
 
 /// What a disk holds at first: one replica founds and the others join, or all are there already.
-fn first_disk(hosts: &[Host], place: usize, all: bool) -> Saved {
+fn first_disk(hosts: &[Host], place: usize, all: bool) -> SavedState {
     let disk = |place: usize| Disk(place as u64 + 1);
     if !all && place > 0 {
-        return Replica::blank(disk(place));
+        return Replica::blank_state(disk(place));
     }
-    let mut saved = Replica::found(&hosts[0], disk(0));
-    saved.hard.disk = disk(place);
+    let mut saved = Replica::founding_state(&hosts[0], disk(0));
+    saved.hard_state.disk = disk(place);
     if all {
         let member = |place: usize| Member {
             host: hosts[place].clone(),
--- a/crates/core/tests/support/replicas.rs
+++ b/crates/core/tests/support/replicas.rs
@@ -7,17 +7,17 @@
 use curlewlift_core::log::Message;
 use curlewlift_core::log::Output;
 use curlewlift_core::log::Replica;
-use curlewlift_core::log::Saved;
+use curlewlift_core::log::SavedState;
 use curlewlift_core::log::Timing;
 
 /// A replica and its disk.
 pub(crate) struct Node {
     pub replica: Replica,
-    pub disk: Saved,
+    pub disk: SavedState,
 }
 
 impl Node {
-    pub(crate) fn new(host: &str, disk: Saved, seed: u64, now: Instant) -> Self {
+    pub(crate) fn new(host: &str, disk: SavedState, seed: u64, now: Instant) -> Self {
         let host: Host = host.parse().expect("a name");
         let replica = Replica::new(host, disk.clone(), Timing::default(), seed, now);
         Self { replica, disk }
@@ -27,16 +27,16 @@
     pub(crate) fn settle(&mut self, now: Instant) -> Vec<Message> {
         let mut sends = Vec::new();
         loop {
-            let output = self.replica.output();
+            let output = self.replica.take_output();
             if output == Output::default() {
                 return sends;
             }
             for write in output.writes {
-                self.disk.write(write);
+                self.disk.apply(write);
             }
             sends.extend(output.sends);
             if let Some(sync) = output.sync {
-                self.replica.synced(sync, now);
+                self.replica.on_synced(sync, now);
             }
         }
     }
--- a/crates/core/tests/sure_reads.rs
+++ b/crates/core/tests/sure_reads.rs
@@ -17,13 +17,18 @@
 fn three() -> (Vec<Node>, Instant) {
     let mut now = Instant::default();
     let founder: Host = "c0".parse().expect("a name");
-    let mut nodes = vec![Node::new("c0", Replica::found(&founder, Disk(1)), 1, now)];
+    let mut nodes = vec![Node::new(
+        "c0",
+        Replica::founding_state(&founder, Disk(1)),
+        1,
+        now,
+    )];
     for place in 1..3_u64 {
         let host: Host = format!("c{place}").parse().expect("a name");
         let disk = Disk(place + 1);
         nodes.push(Node::new(
             host.as_str(),
-            Replica::blank(disk),
+            Replica::blank_state(disk),
             place + 1,
             now,
         ));
--- a/crates/curlewlift/src/control/daemon.rs
+++ b/crates/curlewlift/src/control/daemon.rs
@@ -161,9 +161,9 @@
         }
         let disk = id::Disk(rand::rng().next_u64());
         let saved = if self.found {
-            Replica::found(&self.host, disk)
+            Replica::founding_state(&self.host, disk)
         } else {
-            Replica::blank(disk)
+            Replica::blank_state(disk)
         };
         Journal::create(&self.data, saved)
     }
--- a/crates/curlewlift/src/control/members.rs
+++ b/crates/curlewlift/src/control/members.rs
@@ -11,7 +11,7 @@
 use curlewlift_core::event::Kind;
 use curlewlift_core::event::Line;
 use curlewlift_core::id;
-use curlewlift_core::log::Kept;
+use curlewlift_core::log::MemberChange;
 
 use crate::rpc::Method;
 use crate::rpc::RenewCall;
@@ -34,12 +34,12 @@
     }
 
     /// Says on the time line what became of the set.
-    fn note_kept(&self, kept: impl IntoIterator<Item = Kept>) {
+    fn note_kept(&self, kept: impl IntoIterator<Item = MemberChange>) {
         for kept in kept {
             let (kind, host) = match kept {
-                Kept::Admitted(host) => (Kind::ReplicaAdmitted, host),
-                Kept::Counts(host) => (Kind::ReplicaCounts, host),
-                Kept::Expelled(host) => (Kind::ReplicaExpelled, host),
+                MemberChange::Admitted(host) => (Kind::ReplicaAdmitted, host),
+                MemberChange::Promoted(host) => (Kind::ReplicaCounts, host),
+                MemberChange::Removed(host) => (Kind::ReplicaExpelled, host),
             };
             self.timeline.note(Line::new(kind).detail(host));
         }
@@ -55,11 +55,11 @@
             let why = format!("the configuration has no control host `{host}`");
             return Err(Refusal::new(Code::Unknown, why));
         }
-        if self.replica.members().has(host, disk) {
+        if self.replica.members().contains(host, disk) {
             return Ok(());
         }
         self.replica.admit(host, disk, self.clock.now())?;
-        self.note_kept([Kept::Admitted(host.clone())]);
+        self.note_kept([MemberChange::Admitted(host.clone())]);
         self.settle();
         Ok(())
     }
@@ -67,9 +67,9 @@
     /// Lets whole learners count, and takes out who is to go.
     pub(super) fn tend_named(&mut self) {
         let now = self.clock.now();
-        for host in self.replica.whole_learners() {
+        for host in self.replica.caught_up_learners() {
             if self.replica.promote(&host, now).is_ok() {
-                self.note_kept([Kept::Counts(host)]);
+                self.note_kept([MemberChange::Promoted(host)]);
             }
         }
         let snapshot = self.machine.get_snapshot();
@@ -86,8 +86,8 @@
         let out: BTreeSet<_> = extra.chain(regressed).cloned().collect();
         for host in out {
             let own = self.replica.get_leader() == Some(&host);
-            if !own && self.replica.expel(&host, now).is_ok() {
-                self.note_kept([Kept::Expelled(host)]);
+            if !own && self.replica.remove(&host, now).is_ok() {
+                self.note_kept([MemberChange::Removed(host)]);
             }
         }
         self.settle();
@@ -108,7 +108,7 @@
     /// Lets whole learners count, and takes out who is to go.
     pub(super) fn tend_asking(&mut self) {
         let now = self.clock.now();
-        let kept = self.upkeep.tend(&mut self.replica, now);
+        let kept = self.upkeep.maintain(&mut self.replica, now);
         self.note_kept(kept);
         self.settle();
     }
@@ -120,7 +120,7 @@
     pub(super) fn join(&mut self) {
         let disk = self.replica.get_disk();
         let host = self.replica.get_host().clone();
-        if self.replica.members().has(&host, disk) && !self.is_left_out() {
+        if self.replica.members().contains(&host, disk) && !self.is_left_out() {
             return;
         }
         for (peer, address) in self.peers_known() {
--- a/crates/curlewlift/src/control/query.rs
+++ b/crates/curlewlift/src/control/query.rs
@@ -80,7 +80,7 @@
         let row = json!({
             "disk": format!("{:016x}", member.disk.0),
             "voter": member.voter,
-            "answers": state.replica.hears(&member.host, state.clock.now()),
+            "answers": state.replica.is_reachable(&member.host, state.clock.now()),
             "leads": leader == Some(&member.host),
         });
         table.push(&member.host, &row);
--- a/crates/curlewlift/src/control/replica.rs
+++ b/crates/curlewlift/src/control/replica.rs
@@ -19,11 +19,11 @@
 use curlewlift_core::id;
 use curlewlift_core::log::Body;
 use curlewlift_core::log::Entry;
+use curlewlift_core::log::Maintainer;
 use curlewlift_core::log::Message;
 use curlewlift_core::log::Replica;
 use curlewlift_core::log::Role;
-use curlewlift_core::log::Sync;
-use curlewlift_core::log::Upkeep;
+use curlewlift_core::log::SyncId;
 use curlewlift_core::state::Machine;
 use curlewlift_core::state::Record;
 use curlewlift_core::view::Grantor;
@@ -82,7 +82,7 @@
     /// Wakes who waits for a turn to be handed a table.
     pub(super) turn: Rc<Notify>,
     /// Keeps the replica set whole, where replicas are taken in as they ask.
-    pub(super) upkeep: Upkeep,
+    pub(super) upkeep: Maintainer,
     /// Since when no leader is heard.
     pub(super) alone: Option<Instant>,
 }
@@ -118,14 +118,14 @@
             places: HashMap::new(),
             news: Rc::new(Notify::new()),
             turn: Rc::new(Notify::new()),
-            upkeep: Upkeep::default(),
+            upkeep: Maintainer::default(),
             alone: None,
         })
     }
 
     pub(super) fn gateways(mut self, gateways: Option<Gateways>) -> Self {
         let wanted = gateways.as_ref().map_or(1, |gateways| gateways.replicas);
-        self.upkeep = Upkeep::new(wanted);
+        self.upkeep = Maintainer::new(wanted);
         self.gateways = gateways;
         self
     }
@@ -162,8 +162,8 @@
         self.writer.close();
     }
 
-    pub(super) fn synced(&mut self, sync: Sync) {
-        self.replica.synced(sync, self.clock.now());
+    pub(super) fn synced(&mut self, sync: SyncId) {
+        self.replica.on_synced(sync, self.clock.now());
         self.settle();
     }
 
@@ -189,7 +189,7 @@
 
     /// Whether this replica surely leads and knows all that was committed before.
     pub(super) fn leads(&self) -> Result<(), Refusal> {
-        if self.replica.is_settled() && self.replica.hears_majority(self.clock.now()) {
+        if self.replica.has_committed_in_term() && self.replica.reaches_majority(self.clock.now()) {
             return Ok(());
         }
         let leader = self
@@ -201,7 +201,7 @@
 
     /// Does what the machine asks for, until it asks for nothing.
     pub(super) fn settle(&mut self) {
-        let output = self.replica.output();
+        let output = self.replica.take_output();
         if let Some(sync) = output.sync {
             let writes = output.writes;
             self.writer.write(Batch { writes, sync });
@@ -228,7 +228,7 @@
                 self.removed.retain(|host| members.get(host).is_some());
                 Ok(self.machine.get_snapshot().revision)
             }
-            Body::Blank => Ok(self.machine.get_snapshot().revision),
+            Body::Noop => Ok(self.machine.get_snapshot().revision),
         };
         if let Some((term, waiting)) = self.waiting.remove(&entry.index)
             && term == entry.term
@@ -375,6 +375,6 @@
 fn size(entry: &Entry) -> usize {
     match &entry.body {
         Body::Data(data) => data.len(),
-        Body::Members(_) | Body::Blank => 0,
+        Body::Members(_) | Body::Noop => 0,
     }
 }
--- a/crates/curlewlift/src/disk/journal.rs
+++ b/crates/curlewlift/src/disk/journal.rs
@@ -14,7 +14,7 @@
 
 use curlewlift_core::code::Code;
 use curlewlift_core::code::Refusal;
-use curlewlift_core::log::Saved;
+use curlewlift_core::log::SavedState;
 use curlewlift_core::log::Write;
 
 /// The file's first bytes: the name and version 1.
@@ -37,7 +37,7 @@
     folder: PathBuf,
     file: File,
     length: u64,
-    kept: Saved,
+    kept: SavedState,
 }
 
 impl Journal {
@@ -66,7 +66,7 @@
     }
 
     /// Writes a new journal that holds `saved`.
-    pub(crate) fn create(folder: &Path, saved: Saved) -> Result<Self, Refusal> {
+    pub(crate) fn create(folder: &Path, saved: SavedState) -> Result<Self, Refusal> {
         std::fs::create_dir_all(folder).map_err(|why| failed(folder, &why))?;
         let (file, length) = write_new(folder, &saved)?;
         Ok(Self {
@@ -78,7 +78,7 @@
     }
 
     /// What it holds.
-    pub(crate) fn get_kept(&self) -> &Saved {
+    pub(crate) fn get_kept(&self) -> &SavedState {
         &self.kept
     }
 
@@ -90,7 +90,7 @@
         for write in writes {
             record(&write, &mut bytes).map_err(|why| failed(&path, &why))?;
             snapshot |= matches!(write, Write::Snapshot(_));
-            self.kept.write(write);
+            self.kept.apply(write);
         }
         if snapshot && self.length > REWRITE {
             (self.file, self.length) = write_new(&self.folder, &self.kept)?;
@@ -106,10 +106,10 @@
 }
 
 /// Writes a whole journal beside the old one, and puts it in its place.
-fn write_new(folder: &Path, saved: &Saved) -> Result<(File, u64), Refusal> {
+fn write_new(folder: &Path, saved: &SavedState) -> Result<(File, u64), Refusal> {
     let path = folder.join(NEW_NAME);
     let mut bytes = HEADER.to_vec();
-    let mut writes = vec![Write::Hard(saved.hard.clone())];
+    let mut writes = vec![Write::HardState(saved.hard_state.clone())];
     writes.push(Write::Snapshot(saved.snapshot.clone()));
     writes.extend(saved.entries.iter().cloned().map(Write::Entry));
     for write in &writes {
@@ -135,15 +135,15 @@
 }
 
 /// Reads a journal; tells what it holds and where its last whole record ends.
-fn read(bytes: &[u8]) -> Result<(Saved, u64), String> {
+fn read(bytes: &[u8]) -> Result<(SavedState, u64), String> {
     if bytes.get(..HEADER.len()) != Some(&HEADER[..]) {
         return Err("it does not begin with the header of version 1".to_owned());
     }
-    let mut saved = Saved::default();
+    let mut saved = SavedState::default();
     let mut at = HEADER.len();
     while let Some(body) = next_record(bytes, at)? {
         let write = serde_json::from_slice(body);
-        saved.write(write.map_err(|why| format!("record at byte {at}: {why}"))?);
+        saved.apply(write.map_err(|why| format!("record at byte {at}: {why}"))?);
         at += PREFIX + body.len();
     }
     Ok((saved, at as u64))
--- a/crates/curlewlift/src/disk/writer.rs
+++ b/crates/curlewlift/src/disk/writer.rs
@@ -6,7 +6,7 @@
 
 use curlewlift_core::code::Code;
 use curlewlift_core::code::Refusal;
-use curlewlift_core::log::Sync;
+use curlewlift_core::log::SyncId;
 use curlewlift_core::log::Write;
 
 use super::Journal;
@@ -14,7 +14,7 @@
 /// Writes that must be on disk before their number is told.
 pub(crate) struct Batch {
     pub(crate) writes: Vec<Write>,
-    pub(crate) sync: Sync,
+    pub(crate) sync: SyncId,
 }
 
 /// What the thread is called.
@@ -41,7 +41,7 @@
     /// [`Code::Internal`] where no thread can be had.
     pub(crate) fn start(
         mut journal: Journal,
-        done: impl Fn(Result<Sync, Refusal>) + Send + 'static,
+        done: impl Fn(Result<SyncId, Refusal>) + Send + 'static,
     ) -> Result<Self, Refusal> {
         let (batches, queue) = mpsc::channel::<Batch>();
         let thread = thread::Builder::new().name(NAME.to_owned()).spawn(move || {
