--- a/crates/core/benches/decision.rs
+++ b/crates/core/benches/decision.rs
@@ -50,7 +50,7 @@
 impl Bench {
     fn new(servers: usize, waiting: usize) -> Self {
         let mut fleet = Fleet::default();
-        fleet.set((0..servers).map(spec).collect(), Instant::default());
+        fleet.set_servers((0..servers).map(spec).collect(), Instant::default());
         let customers = (0..CUSTOMERS).map(|n| format!("u{n}").parse().expect("a name"));
         let mut bench = Self {
             queue: Queue::new(fleet, Tokens(u64::MAX)),
--- a/crates/core/src/fleet/index.rs
+++ b/crates/core/src/fleet/index.rs
@@ -12,23 +12,23 @@
 use super::Pick;
 use super::Prefix;
 use super::Spec;
-use super::Time;
+use super::TimeEstimate;
 use super::Tuning;
 use super::Work;
-use super::prefix::Belief;
+use super::prefix::CachedPrefixes;
 use super::server::Server;
 use super::speed::Speed;
-use super::speed::rate;
+use super::speed::step_to_rate;
 
 /// Servers that are alike: same hall and speed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Class {
+struct ServerClass {
     hall: id::Hall,
     speed: Speed,
 }
 
 /// The servers of a class that have a free slot, by the time until they could begin.
-type Order = BTreeSet<(u64, usize)>;
+type ReadyOrder = BTreeSet<(u64, usize)>;
 
 /// The backend servers of one service.
 ///
@@ -38,13 +38,13 @@
 pub struct Fleet {
     tuning: Tuning,
     servers: Vec<Server>,
-    places: HashMap<id::Server, usize>,
-    keys: Vec<Option<(Class, u64)>>,
+    index_by_name: HashMap<id::Server, usize>,
+    order_keys: Vec<Option<(ServerClass, u64)>>,
     /// Servers with a free slot.
-    open: BTreeMap<Class, Order>,
-    belief: Belief,
+    available: BTreeMap<ServerClass, ReadyOrder>,
+    cached_prefixes: CachedPrefixes,
     /// Live servers by speed.
-    speeds: BTreeMap<Speed, usize>,
+    live_by_speed: BTreeMap<Speed, usize>,
     /// Live servers.
     live: usize,
 }
@@ -69,100 +69,104 @@
     /// Sets which servers take new work; the others keep what runs on them.
     ///
     /// A server that comes back under its name keeps its rates but not its cache.
-    pub fn set(&mut self, specs: Vec<Spec>, now: Instant) {
+    pub fn set_servers(&mut self, specs: Vec<Spec>, now: Instant) {
         let mut stays = vec![false; self.servers.len()];
         for spec in specs {
-            if let Some(&place) = self.places.get(&spec.name) {
+            if let Some(&place) = self.index_by_name.get(&spec.name) {
                 let server = &mut self.servers[place];
                 if !server.live {
-                    self.belief.forget(place);
+                    self.cached_prefixes.remove_server(place);
                     server.live = true;
                 }
                 server.spec = spec;
                 stays[place] = true;
-                self.place(place);
+                self.reindex(place);
             } else {
                 let place = self.servers.len();
-                self.places.insert(spec.name.clone(), place);
+                self.index_by_name.insert(spec.name.clone(), place);
                 self.servers.push(Server::new(spec, now));
-                self.keys.push(None);
+                self.order_keys.push(None);
                 stays.push(true);
-                self.place(place);
+                self.reindex(place);
             }
         }
         self.live = stays.iter().filter(|stays| **stays).count();
         for (place, stays) in stays.into_iter().enumerate() {
             if !stays {
                 self.servers[place].live = false;
-                self.place(place);
+                self.reindex(place);
             }
         }
     }
 
     /// The place of the server `name`.
     #[must_use]
-    pub fn find(&self, name: &id::Server) -> Option<usize> {
-        self.places.get(name).copied()
+    pub fn index_of(&self, name: &id::Server) -> Option<usize> {
+        self.index_by_name.get(name).copied()
     }
 
     /// How many servers take new work.
     #[must_use]
-    pub fn live(&self) -> usize {
+    pub fn live_count(&self) -> usize {
         self.live
     }
 
     /// Requests that run on all servers.
     #[must_use]
-    pub fn running(&self) -> u32 {
-        self.servers.iter().map(|server| server.running).sum()
+    pub fn running_count(&self) -> u32 {
+        self.servers
+            .iter()
+            .map(|server| server.running_requests)
+            .sum()
     }
 
     /// Puts a server where its state says, after any change of it.
-    fn place(&mut self, place: usize) {
-        self.count_speed(place);
-        if let Some((class, key)) = self.keys[place].take()
-            && let Some(order) = self.open.get_mut(&class)
+    fn reindex(&mut self, place: usize) {
+        self.update_speed_count(place);
+        if let Some((class, key)) = self.order_keys[place].take()
+            && let Some(order) = self.available.get_mut(&class)
         {
             order.remove(&(key, place));
             if order.is_empty() {
-                self.open.remove(&class);
+                self.available.remove(&class);
             }
         }
         let server = &self.servers[place];
         // What waits in the queue is still in its order; what waits inside a server is not.
-        let full = server.running >= server.spec.slots || server.busy() > self.tuning.backlog;
+        let full = server.running_requests >= server.spec.slots
+            || server.backlog_seconds() > self.tuning.max_backlog_seconds;
         if !server.live || full {
             return;
         }
-        let class = Class {
+        let class = ServerClass {
             hall: server.spec.hall.clone(),
             speed: server.speed(),
         };
-        let key = micros(server.busy());
-        let order = self.open.entry(class.clone()).or_default();
+        let key = micros(server.backlog_seconds());
+        let order = self.available.entry(class.clone()).or_default();
         order.insert((key, place));
-        self.keys[place] = Some((class, key));
+        self.order_keys[place] = Some((class, key));
     }
 }
 
 /// # Speeds
 impl Fleet {
     /// Counts a server under the speed that it has now.
-    fn count_speed(&mut self, place: usize) {
+    fn update_speed_count(&mut self, place: usize) {
         let server = &mut self.servers[place];
         let speed = server.live.then(|| server.speed());
-        let former = std::mem::replace(&mut server.counted, speed);
+        let former = std::mem::replace(&mut server.counted_speed, speed);
         if former == speed {
             return;
         }
         if let Some(speed) = speed {
-            *self.speeds.entry(speed).or_insert(0) += 1;
+            *self.live_by_speed.entry(speed).or_insert(0) += 1;
         }
         let Some(former) = former else { return };
-        let left = self.speeds.entry(former).or_insert(1);
+        let left = self.live_by_speed.entry(former).or_insert(1);
         *left -= 1;
         if *left == 0 {
-            self.speeds.remove(&former);
+            self.live_by_speed.remove(&former);
         }
     }
 }
@@ -173,12 +177,12 @@
     #[must_use]
     pub fn pick(&self, work: &Work) -> Option<Pick> {
         let mut best: Option<(f64, Pick)> = None;
-        for order in self.open.values() {
-            self.consider_head(order, work, &mut best);
+        for order in self.available.values() {
+            self.consider_first(order, work, &mut best);
         }
         for prefix in &work.prefixes {
-            for &place in self.belief.holders(*prefix) {
-                if self.keys[place].is_some() {
+            for &place in self.cached_prefixes.holders(*prefix) {
+                if self.order_keys[place].is_some() {
                     self.consider(place, prefix.length, work, &mut best);
                 }
             }
@@ -186,7 +190,7 @@
         best.map(|pair| pair.1)
     }
 
-    fn consider_head(&self, order: &Order, work: &Work, best: &mut Option<(f64, Pick)>) {
+    fn consider_first(&self, order: &ReadyOrder, work: &Work, best: &mut Option<(f64, Pick)>) {
         if let Some(&(_, place)) = order.first() {
             self.consider(place, Tokens(0), work, best);
         }
@@ -194,18 +198,18 @@
 
     fn consider(&self, place: usize, cached: Tokens, work: &Work, best: &mut Option<(f64, Pick)>) {
         let server = &self.servers[place];
-        let first = server.first(work.prompt.less(cached));
-        let whole = first + server.rest(work.output);
+        let first = server.first_token_seconds(work.prompt.less(cached));
+        let whole = first + server.decode_seconds(work.output);
         if best.as_ref().is_some_and(|known| known.0 <= whole) {
             return;
         }
         let pick = Pick {
-            server: place,
+            server_index: place,
             name: server.spec.name.clone(),
             cached,
-            time: Time {
-                first: seconds(first),
-                whole: seconds(whole),
+            estimate: TimeEstimate {
+                first_token: seconds(first),
+                total: seconds(whole),
             },
         };
         *best = Some((whole, pick));
@@ -215,21 +219,21 @@
     ///
     /// Linear in the speeds that there are; right to a tenth.
     #[must_use]
-    pub fn fastest(&self, work: &Work) -> Option<Time> {
+    pub fn fastest_estimate(&self, work: &Work) -> Option<TimeEstimate> {
         let longest = work
             .prefixes
             .first()
             .map_or(Tokens(0), |prefix| prefix.length);
         let prompt = work.prompt.less(longest).as_f64();
         let output = work.output.as_f64();
-        let times = self.speeds.keys().map(|speed| {
-            let first = prompt / rate(speed.prefill);
-            (first + output / rate(speed.decode), first)
+        let times = self.live_by_speed.keys().map(|speed| {
+            let first = prompt / step_to_rate(speed.prefill);
+            (first + output / step_to_rate(speed.decode), first)
         });
         let best = times.min_by(|a, b| a.0.total_cmp(&b.0));
-        best.map(|(whole, first)| Time {
-            first: seconds(first),
-            whole: seconds(whole),
+        best.map(|(whole, first)| TimeEstimate {
+            first_token: seconds(first),
+            total: seconds(whole),
         })
     }
 }
@@ -237,75 +241,87 @@
 /// # Evidence
 impl Fleet {
     /// A request was sent to `pick`.
-    pub fn sent(&mut self, pick: &Pick, work: &Work, now: Instant) {
-        let server = &mut self.servers[pick.server];
+    pub fn on_sent(&mut self, pick: &Pick, work: &Work, now: Instant) {
+        let server = &mut self.servers[pick.server_index];
         if server.backlog == Tokens(0) {
-            server.moved = now;
+            server.last_progress = now;
         }
-        server.running += 1;
+        server.running_requests += 1;
         server.backlog += work.prompt.less(pick.cached);
-        for prefix in work.prefixes.iter().filter(|_| self.tuning.belief) {
-            self.belief.add(*prefix, pick.server);
+        for prefix in work
+            .prefixes
+            .iter()
+            .filter(|_| self.tuning.track_cached_prefixes)
+        {
+            self.cached_prefixes.add(*prefix, pick.server_index);
         }
-        self.place(pick.server);
+        self.reindex(pick.server_index);
     }
 
     /// Its first token came `took` after it was sent, or it ended without one (`None`).
-    pub fn first(&mut self, pick: &Pick, work: &Work, took: Option<Duration>, now: Instant) {
-        let server = &mut self.servers[pick.server];
+    pub fn on_first_token(
+        &mut self,
+        pick: &Pick,
+        work: &Work,
+        took: Option<Duration>,
+        now: Instant,
+    ) {
+        let server = &mut self.servers[pick.server_index];
         server.backlog = server.backlog.less(work.prompt.less(pick.cached));
-        if let Some(took) = took.filter(|_| self.tuning.learn) {
-            server.on_first(took, pick.time.first, now);
+        if let Some(took) = took.filter(|_| self.tuning.learn_speed) {
+            server.on_first_token(took, pick.estimate.first_token, now);
         }
-        self.place(pick.server);
+        self.reindex(pick.server_index);
     }
 
     /// It generated `tokens` in `took`.
-    pub fn tokens(&mut self, place: usize, tokens: Tokens, took: Duration) {
-        if self.tuning.learn {
+    pub fn on_tokens(&mut self, place: usize, tokens: Tokens, took: Duration) {
+        if self.tuning.learn_speed {
             self.servers[place].on_tokens(tokens, took);
         }
-        self.place(place);
+        self.reindex(place);
     }
 
     /// It has ended; `cached` is what the server said was cached, if it said so.
-    pub fn ended(&mut self, pick: &Pick, work: &Work, cached: Option<Tokens>) {
-        let server = &mut self.servers[pick.server];
-        server.running = server.running.saturating_sub(1);
+    pub fn on_ended(&mut self, pick: &Pick, work: &Work, cached: Option<Tokens>) {
+        let server = &mut self.servers[pick.server_index];
+        server.running_requests = server.running_requests.saturating_sub(1);
         if cached.is_some_and(|cached| cached < pick.cached) {
             for prefix in &work.prefixes {
                 if cached.is_some_and(|cached| prefix.length > cached) {
-                    self.belief.remove(*prefix, pick.server);
+                    self.cached_prefixes.remove(*prefix, pick.server_index);
                 }
             }
             // What was just computed is there now, whatever was believed before.
             if let Some(longest) = work.prefixes.first() {
-                self.belief.add(*longest, pick.server);
+                self.cached_prefixes.add(*longest, pick.server_index);
             }
         }
-        self.place(pick.server);
+        self.reindex(pick.server_index);
     }
 
     /// The server's cache events say that it holds `prefix`, or that it dropped it.
-    pub fn cached(&mut self, name: &id::Server, prefix: Prefix, holds: bool) {
-        let Some(place) = self.find(name) else { return };
+    pub fn on_cache_event(&mut self, name: &id::Server, prefix: Prefix, holds: bool) {
+        let Some(place) = self.index_of(name) else {
+            return;
+        };
         if holds {
-            self.belief.add(prefix, place);
+            self.cached_prefixes.add(prefix, place);
         } else {
-            self.belief.remove(prefix, place);
+            self.cached_prefixes.remove(prefix, place);
         }
     }
 
     /// Looks for servers whose first tokens are overdue; linear in the servers.
-    pub fn watch(&mut self, now: Instant) {
-        if !self.tuning.learn {
+    pub fn check_overdue(&mut self, now: Instant) {
+        if !self.tuning.learn_speed {
             return;
         }
         for place in 0..self.servers.len() {
-            let before = self.servers[place].slow;
-            self.servers[place].watch(now);
-            if (self.servers[place].slow - before).abs() > f64::EPSILON {
-                self.place(place);
+            let before = self.servers[place].slowdown;
+            self.servers[place].check_overdue(now);
+            if (self.servers[place].slowdown - before).abs() > f64::EPSILON {
+                self.reindex(place);
             }
         }
     }
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -10,7 +10,7 @@
 
 pub use index::Fleet;
 pub use pick::Pick;
-pub use pick::Time;
+pub use pick::TimeEstimate;
 pub use pick::Work;
 pub use prefix::Prefix;
 pub use server::Spec;
--- a/crates/core/src/fleet/pick.rs
+++ b/crates/core/src/fleet/pick.rs
@@ -22,20 +22,20 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pick {
     /// Its place in the fleet.
-    pub server: usize,
+    pub server_index: usize,
     /// Its name.
     pub name: id::Server,
     /// Prompt tokens believed to be cached there.
     pub cached: Tokens,
     /// How long it should take.
-    pub time: Time,
+    pub estimate: TimeEstimate,
 }
 
 /// How long an answer should take from the moment of sending.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Time {
+pub struct TimeEstimate {
     /// To the first token.
-    pub first: Duration,
+    pub first_token: Duration,
     /// To the end.
-    pub whole: Duration,
+    pub total: Duration,
 }
--- a/crates/core/src/fleet/tuning.rs
+++ b/crates/core/src/fleet/tuning.rs
@@ -6,22 +6,22 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tuning {
     /// Seconds of prompts that may wait inside a server.
-    pub backlog: f64,
+    pub max_backlog_seconds: f64,
     /// Whether servers are preferred that may have a prompt cached.
-    pub belief: bool,
+    pub track_cached_prefixes: bool,
     /// Whether the speed of a server is learnt from its answers.
-    pub learn: bool,
+    pub learn_speed: bool,
     /// What is added to an expected time before it is held against a limit, as a part of it.
-    pub caution: f64,
+    pub safety_margin: f64,
 }
 
 impl Default for Tuning {
     fn default() -> Self {
         Self {
-            backlog: 0.2,
-            belief: true,
-            learn: true,
-            caution: 0.1,
+            max_backlog_seconds: 0.2,
+            track_cached_prefixes: true,
+            learn_speed: true,
+            safety_margin: 0.1,
         }
     }
 }
--- a/crates/core/src/queue/admission.rs
+++ b/crates/core/src/queue/admission.rs
@@ -31,13 +31,13 @@
         }
         let length = self.lengths.get(&ask.customer).copied().unwrap_or_default();
         let work = work_of(ask, length.expect(ask.output));
-        let Some(fastest) = self.fleet.fastest(&work) else {
+        let Some(fastest) = self.fleet.fastest_estimate(&work) else {
             return Err(Refusal::new(
                 Code::NoServer,
                 "no backend server of the service is live",
             ));
         };
-        if now + fastest.first > ask.first || now + fastest.whole > ask.deadline {
+        if now + fastest.first_token > ask.first || now + fastest.total > ask.deadline {
             return Err(cannot_finish(&fastest));
         }
         Ok(())
--- a/crates/core/src/queue/dispatch.rs
+++ b/crates/core/src/queue/dispatch.rs
@@ -6,7 +6,7 @@
 use crate::code::Code;
 use crate::code::Refusal;
 use crate::fleet::Pick;
-use crate::fleet::Time;
+use crate::fleet::TimeEstimate;
 use crate::fleet::Work;
 use crate::id;
 use crate::unit::Tokens;
@@ -43,14 +43,19 @@
         let Some(pick) = self.fleet.pick(&work) else {
             return false;
         };
-        let caution = self.fleet.get_tuning().caution;
-        let in_time = |time: &Time| {
-            now + cautious(time.first, caution) <= first
-                && now + cautious(time.whole, caution) <= deadline
+        let caution = self.fleet.get_tuning().safety_margin;
+        let in_time = |time: &TimeEstimate| {
+            now + cautious(time.first_token, caution) <= first
+                && now + cautious(time.total, caution) <= deadline
         };
-        let late = !in_time(&pick.time);
+        let late = !in_time(&pick.estimate);
         // Another server may do what this one cannot: the request waits for it.
-        if late && self.fleet.fastest(&work).is_some_and(|time| in_time(&time)) {
+        if late
+            && self
+                .fleet
+                .fastest_estimate(&work)
+                .is_some_and(|time| in_time(&time))
+        {
             return false;
         }
         let Some(level) = self.levels.get_mut(&rank) else {
@@ -66,7 +71,7 @@
         self.spots.remove(&ticket);
         self.deadlines.remove(&(deadline, ticket.clone()));
         if late {
-            let refusal = cannot_finish(&pick.time);
+            let refusal = cannot_finish(&pick.estimate);
             self.actions.push(Action::Refuse { ticket, refusal });
         } else {
             let granted = ticket.clone();
@@ -87,7 +92,7 @@
         work: Work,
         now: Instant,
     ) {
-        self.fleet.sent(&pick, &work, now);
+        self.fleet.on_sent(&pick, &work, now);
         let running = Running {
             pick,
             work,
@@ -110,7 +115,8 @@
         running.first = Some(now);
         running.counted = (now, Tokens(1));
         let took = Some(now.since(running.sent));
-        self.fleet.first(&running.pick, &running.work, took, now);
+        self.fleet
+            .on_first_token(&running.pick, &running.work, took, now);
     }
 
     pub(super) fn on_tokens(&mut self, ticket: &Ticket, tokens: Tokens, now: Instant) {
@@ -122,8 +128,11 @@
         }
         let (since, counted) = running.counted;
         running.counted = (now, tokens);
-        self.fleet
-            .tokens(running.pick.server, tokens.less(counted), now.since(since));
+        self.fleet.on_tokens(
+            running.pick.server_index,
+            tokens.less(counted),
+            now.since(since),
+        );
     }
 
     pub(super) fn on_ended(
@@ -137,9 +146,10 @@
             return;
         };
         if running.first.is_none() {
-            self.fleet.first(&running.pick, &running.work, None, now);
+            self.fleet
+                .on_first_token(&running.pick, &running.work, None, now);
         }
-        self.fleet.ended(&running.pick, &running.work, cached);
+        self.fleet.on_ended(&running.pick, &running.work, cached);
         if output > Tokens(0) {
             self.lengths
                 .entry(running.customer)
@@ -165,9 +175,9 @@
     }
 }
 
-pub(super) fn cannot_finish(needs: &Time) -> Refusal {
-    let first = needs.first.as_millis();
-    let whole = needs.whole.as_millis();
+pub(super) fn cannot_finish(needs: &TimeEstimate) -> Refusal {
+    let first = needs.first_token.as_millis();
+    let whole = needs.total.as_millis();
     let why =
         format!("it needs {first} ms to its first token and {whole} ms in all; that is too late");
     Refusal::new(Code::CannotFinish, why)
--- a/crates/core/src/queue/order.rs
+++ b/crates/core/src/queue/order.rs
@@ -9,7 +9,7 @@
 use crate::code::Refusal;
 use crate::fleet::Fleet;
 use crate::fleet::Pick;
-use crate::fleet::Time;
+use crate::fleet::TimeEstimate;
 use crate::id;
 use crate::unit::Tokens;
 
@@ -97,16 +97,16 @@
 
     /// A request that runs already, told by its entry to a new owner.
     pub fn resume(&mut self, ask: Ask, server: &id::Server, now: Instant) {
-        let Some(place) = self.fleet.find(server) else {
+        let Some(place) = self.fleet.index_of(server) else {
             return;
         };
         let length = self.lengths.entry(ask.customer.clone()).or_default();
         let work = work_of(&ask, length.expect(ask.output));
         let pick = Pick {
-            server: place,
+            server_index: place,
             name: server.clone(),
             cached: ask.prompt,
-            time: Time::default(),
+            estimate: TimeEstimate::default(),
         };
         self.remove(&ask.ticket);
         if self.running.contains_key(&ask.ticket) {
@@ -157,7 +157,7 @@
             let refusal = Refusal::new(Code::Expired, "the deadline passed while it waited");
             self.actions.push(Action::Refuse { ticket, refusal });
         }
-        self.fleet.watch(now);
+        self.fleet.check_overdue(now);
         self.levels.values_mut().for_each(Level::sweep);
         self.pump(now);
     }
--- a/crates/core/tests/fleet_pick.rs
+++ b/crates/core/tests/fleet_pick.rs
@@ -71,7 +71,7 @@
             });
         }
         let mut fleet = fleet(specs);
-        let backlog = fleet.get_tuning().backlog;
+        let backlog = fleet.get_tuning().max_backlog_seconds;
         for step in 0..100 {
             let work = work(&mut g);
             let open = known
@@ -83,13 +83,13 @@
             let (Some(pick), Some(best)) = (pick, best) else {
                 continue;
             };
-            let real = known[pick.server].whole(&work);
+            let real = known[pick.server_index].whole(&work);
             assert!(
                 real <= best * TOLERANCE,
                 "seed {seed} step {step}: {real} against {best}"
             );
-            fleet.sent(&pick, &work, at(step));
-            known[pick.server].backlog.push((pick, work));
+            fleet.on_sent(&pick, &work, at(step));
+            known[pick.server_index].backlog.push((pick, work));
             if bool::arbitrary(&mut g) {
                 let place = usize::arbitrary(&mut g) % known.len();
                 end_one(&mut fleet, &mut known[place], step);
@@ -103,8 +103,8 @@
     let Some((pick, work)) = known.backlog.pop() else {
         return;
     };
-    fleet.first(&pick, &work, Some(pick.time.first), at(step));
-    fleet.ended(&pick, &work, None);
+    fleet.on_first_token(&pick, &work, Some(pick.estimate.first_token), at(step));
+    fleet.on_ended(&pick, &work, None);
 }
 
 #[test]
@@ -120,15 +120,18 @@
         prefixes: vec![prefix],
     };
     let first = fleet.pick(&work).expect("a server");
-    fleet.sent(&first, &work, at(0));
-    fleet.first(&first, &work, Some(first.time.first), at(1_000));
-    fleet.ended(&first, &work, Some(Tokens(0)));
+    fleet.on_sent(&first, &work, at(0));
+    fleet.on_first_token(&first, &work, Some(first.estimate.first_token), at(1_000));
+    fleet.on_ended(&first, &work, Some(Tokens(0)));
     let again = fleet.pick(&work).expect("a server");
-    assert_eq!((again.server, again.cached), (first.server, Tokens(900)));
+    assert_eq!(
+        (again.server_index, again.cached),
+        (first.server_index, Tokens(900))
+    );
     // The answer tells that nothing was cached: the belief is corrected (row L9).
-    fleet.sent(&again, &work, at(2_000));
-    fleet.ended(&again, &work, Some(Tokens(0)));
-    fleet.cached(&first.name, prefix, false);
+    fleet.on_sent(&again, &work, at(2_000));
+    fleet.on_ended(&again, &work, Some(Tokens(0)));
+    fleet.on_cache_event(&first.name, prefix, false);
     work.prompt = Tokens(1_001);
     assert_eq!(fleet.pick(&work).expect("a server").cached, Tokens(0));
 }
@@ -145,12 +148,12 @@
         }],
     };
     let pick = fleet.pick(&work).expect("a server");
-    fleet.sent(&pick, &work, at(0));
-    fleet.first(&pick, &work, Some(Duration::from_secs(1)), at(1_000));
-    fleet.ended(&pick, &work, None);
-    fleet.set(Vec::new(), at(2_000));
+    fleet.on_sent(&pick, &work, at(0));
+    fleet.on_first_token(&pick, &work, Some(Duration::from_secs(1)), at(1_000));
+    fleet.on_ended(&pick, &work, None);
+    fleet.set_servers(Vec::new(), at(2_000));
     assert!(fleet.pick(&work).is_none(), "it has left");
-    fleet.set(vec![spec("m", 4, 1_000, 50)], at(3_000));
+    fleet.set_servers(vec![spec("m", 4, 1_000, 50)], at(3_000));
     let pick = fleet.pick(&work).expect("it is back");
     assert_eq!(
         pick.cached,
--- a/crates/core/tests/support/asks.rs
+++ b/crates/core/tests/support/asks.rs
@@ -55,6 +55,6 @@
 /// A fleet of these servers.
 pub(crate) fn fleet(specs: Vec<Spec>) -> Fleet {
     let mut fleet = Fleet::default();
-    fleet.set(specs, at(0));
+    fleet.set_servers(specs, at(0));
     fleet
 }
--- a/crates/curlewlift/src/entry/owner.rs
+++ b/crates/curlewlift/src/entry/owner.rs
@@ -86,7 +86,9 @@
     if owned.revision != snapshot.revision {
         owned.revision = snapshot.revision;
         let specs = specs(service, snapshot);
-        owned.queue.change(|fleet| fleet.set(specs, now), now);
+        owned
+            .queue
+            .change(|fleet| fleet.set_servers(specs, now), now);
         if let Some(service) = snapshot.services.get(service) {
             owned.queue.limit(service.work);
         }
--- a/crates/lab/examples/ablations.rs
+++ b/crates/lab/examples/ablations.rs
@@ -25,28 +25,28 @@
         (
             "no limit on the backlog",
             Tuning {
-                backlog: 1e9,
+                max_backlog_seconds: 1e9,
                 ..all
             },
         ),
         (
             "no cache belief",
             Tuning {
-                belief: false,
+                track_cached_prefixes: false,
                 ..all
             },
         ),
         (
             "no learning of speeds",
             Tuning {
-                learn: false,
+                learn_speed: false,
                 ..all
             },
         ),
         (
             "no caution",
             Tuning {
-                caution: 0.0,
+                safety_margin: 0.0,
                 ..all
             },
         ),
--- a/crates/lab/examples/slopes.rs
+++ b/crates/lab/examples/slopes.rs
@@ -162,7 +162,7 @@
         prefill: Rate([8_000, 4_000, 2_000][place as usize % 3]),
         decode: Rate(40),
     };
-    fleet.set((0..servers).map(spec).collect(), Instant::default());
+    fleet.set_servers((0..servers).map(spec).collect(), Instant::default());
     let mut queue = Queue::new(fleet, Tokens(u64::MAX));
     let customers: Vec<id::Customer> = (0..470)
         .map(|n| format!("u{n}").parse().expect("a name"))
--- a/crates/lab/src/measure/owner.rs
+++ b/crates/lab/src/measure/owner.rs
@@ -80,7 +80,7 @@
     pub(super) fn new(builds: &[Build], way: f64, tuning: Tuning) -> Self {
         let live = vec![true; builds.len()];
         let mut fleet = Fleet::new(tuning);
-        fleet.set(specs(builds, &live), instant(0.0));
+        fleet.set_servers(specs(builds, &live), instant(0.0));
         Self {
             queue: Queue::new(fleet, LIMIT),
             way,
@@ -102,7 +102,7 @@
         self.live[engine] = false;
         let specs = specs(&self.builds, &self.live);
         self.queue
-            .change(|fleet| fleet.set(specs, instant(now)), instant(now));
+            .change(|fleet| fleet.set_servers(specs, instant(now)), instant(now));
     }
 
     /// The owner dies; the next one is told again what waits and what runs.
@@ -114,7 +114,7 @@
     ) {
         self.dead_until = now + PAUSE;
         let mut fleet = Fleet::new(self.tuning);
-        fleet.set(specs(&self.builds, &self.live), instant(now));
+        fleet.set_servers(specs(&self.builds, &self.live), instant(now));
         self.queue = Queue::new(fleet, LIMIT);
         self.inbox
             .retain(|(_, word)| matches!(word, Word::Report(..)));
