--- a/crates/core/benches/decision.rs
+++ b/crates/core/benches/decision.rs
@@ -14,9 +14,9 @@
 use curlewlift_core::fleet::Spec;
 use curlewlift_core::id;
 use curlewlift_core::queue::Action;
-use curlewlift_core::queue::Ask;
 use curlewlift_core::queue::Queue;
 use curlewlift_core::queue::Report;
+use curlewlift_core::queue::Request;
 use curlewlift_core::queue::Ticket;
 use curlewlift_core::unit::Rate;
 use curlewlift_core::unit::Tokens;
@@ -70,7 +70,7 @@
         self.number += 1;
         let far = self.now + Duration::from_secs(100_000) + Duration::from_micros(self.number);
         let place = usize::try_from(self.number % CUSTOMERS).expect("small");
-        let ask = Ask {
+        let ask = Request {
             ticket: Ticket {
                 host: self.host.clone(),
                 number: id::Ticket(self.number),
--- a/crates/core/src/queue/admission.rs
+++ b/crates/core/src/queue/admission.rs
@@ -5,8 +5,8 @@
 use crate::code::Refusal;
 
 use super::Action;
-use super::Ask;
 use super::Queue;
+use super::Request;
 use super::Ticket;
 use super::dispatch::cannot_finish;
 use super::dispatch::work_of;
@@ -17,7 +17,7 @@
 /// # Admission
 impl Queue {
     /// Whether a request may wait at all.
-    pub(super) fn admit(&self, ask: &Ask, now: Instant) -> Result<(), Refusal> {
+    pub(super) fn admit(&self, ask: &Request, now: Instant) -> Result<(), Refusal> {
         let held = self
             .levels
             .get(&ask.rank)
--- a/crates/core/src/queue/dispatch.rs
+++ b/crates/core/src/queue/dispatch.rs
@@ -12,8 +12,8 @@
 use crate::unit::Tokens;
 
 use super::Action;
-use super::Ask;
 use super::Queue;
+use super::Request;
 use super::Ticket;
 use super::spot::Running;
 
@@ -157,7 +157,7 @@
     time.mul_f64(1.0 + part) + SLACK
 }
 
-pub(super) fn work_of(ask: &Ask, expect: Tokens) -> Work {
+pub(super) fn work_of(ask: &Request, expect: Tokens) -> Work {
     Work {
         prompt: ask.prompt,
         output: expect,
--- a/crates/core/src/queue/line.rs
+++ b/crates/core/src/queue/line.rs
@@ -5,7 +5,7 @@
 use crate::clock::Instant;
 use crate::unit::Tokens;
 
-use super::Ask;
+use super::Request;
 
 /// A place in a line: the earliest deadline first, then the earliest arrival.
 pub(super) type Place = (Instant, u64);
@@ -13,7 +13,7 @@
 /// An ask that waits.
 #[derive(Clone, Debug)]
 pub(super) struct Waiting {
-    pub(super) ask: Ask,
+    pub(super) ask: Request,
     pub(super) expect: Tokens,
 }
 
--- a/crates/core/src/queue/mod.rs
+++ b/crates/core/src/queue/mod.rs
@@ -5,17 +5,17 @@
 
 mod action;
 mod admission;
-mod ask;
 mod budget;
 mod dispatch;
 mod length;
 mod level;
 mod line;
 mod order;
+mod request;
 mod spot;
 
 pub use action::Action;
-pub use ask::Ask;
-pub use ask::Report;
-pub use ask::Ticket;
 pub use order::Queue;
+pub use request::Report;
+pub use request::Request;
+pub use request::Ticket;
--- a/crates/core/src/queue/order.rs
+++ b/crates/core/src/queue/order.rs
@@ -14,8 +14,8 @@
 use crate::unit::Tokens;
 
 use super::Action;
-use super::Ask;
 use super::Report;
+use super::Request;
 use super::Ticket;
 use super::budget::Budget;
 use super::dispatch::work_of;
@@ -66,7 +66,7 @@
     }
 
     /// A request wants a server; the same ticket again is the same request.
-    pub fn ask(&mut self, ask: Ask, now: Instant) {
+    pub fn ask(&mut self, ask: Request, now: Instant) {
         if self.spots.contains_key(&ask.ticket) {
             return;
         }
@@ -96,7 +96,7 @@
     }
 
     /// A request that runs already, told by its entry to a new owner.
-    pub fn resume(&mut self, ask: Ask, server: &id::Server, now: Instant) {
+    pub fn resume(&mut self, ask: Request, server: &id::Server, now: Instant) {
         let Some(place) = self.fleet.find(server) else {
             return;
         };
--- a/crates/core/src/queue/ask.rs
+++ b/crates/core/src/queue/request.rs
@@ -27,7 +27,7 @@
 
 /// A request that wants a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct Request {
     /// Who asks.
     pub ticket: Ticket,
     /// The customer.
--- a/crates/core/tests/queue_order.rs
+++ b/crates/core/tests/queue_order.rs
@@ -14,9 +14,9 @@
 
 use curlewlift_core::code::Code;
 use curlewlift_core::queue::Action;
-use curlewlift_core::queue::Ask;
 use curlewlift_core::queue::Queue;
 use curlewlift_core::queue::Report;
+use curlewlift_core::queue::Request;
 use curlewlift_core::queue::Ticket;
 use curlewlift_core::unit::Tokens;
 use quickcheck::Arbitrary;
@@ -37,13 +37,13 @@
 /// The plain queue: a list, looked through from end to end.
 #[derive(Default)]
 struct Plain {
-    waiting: Vec<(u64, Ask)>,
+    waiting: Vec<(u64, Request)>,
     had: BTreeMap<(u8, String), u64>,
     floor: BTreeMap<u8, u64>,
 }
 
 impl Plain {
-    fn push(&mut self, order: u64, ask: Ask) {
+    fn push(&mut self, order: u64, ask: Request) {
         let key = (ask.rank, ask.customer.to_string());
         let floor = self.floor.get(&ask.rank).copied().unwrap_or(0);
         let idle = !self
@@ -57,8 +57,8 @@
         self.waiting.push((order, ask));
     }
 
-    fn pop(&mut self) -> Option<Ask> {
-        let rank_of = |entry: &(u64, Ask)| {
+    fn pop(&mut self) -> Option<Request> {
+        let rank_of = |entry: &(u64, Request)| {
             let ask = &entry.1;
             let had = self.had[&(ask.rank, ask.customer.to_string())];
             (
@@ -79,7 +79,7 @@
     }
 }
 
-fn draw(g: &mut Gen, number: u64) -> Ask {
+fn draw(g: &mut Gen, number: u64) -> Request {
     let customer = CUSTOMERS[usize::arbitrary(g) % CUSTOMERS.len()];
     let mut ask = ask(
         number,
--- a/crates/core/tests/support/asks.rs
+++ b/crates/core/tests/support/asks.rs
@@ -6,7 +6,7 @@
 use curlewlift_core::fleet::Fleet;
 use curlewlift_core::fleet::Spec;
 use curlewlift_core::id;
-use curlewlift_core::queue::Ask;
+use curlewlift_core::queue::Request;
 use curlewlift_core::queue::Ticket;
 use curlewlift_core::unit::Rate;
 use curlewlift_core::unit::Tokens;
@@ -25,8 +25,8 @@
 }
 
 /// An ask with a far deadline.
-pub(crate) fn ask(number: u64, customer: &str, rank: u8, prompt: u64) -> Ask {
-    Ask {
+pub(crate) fn ask(number: u64, customer: &str, rank: u8, prompt: u64) -> Request {
+    Request {
         ticket: ticket(number),
         customer: customer.parse().expect("a name"),
         weight: 1,
--- a/crates/curlewlift/src/entry/owner.rs
+++ b/crates/curlewlift/src/entry/owner.rs
@@ -15,9 +15,9 @@
 use curlewlift_core::id;
 use curlewlift_core::queue;
 use curlewlift_core::queue::Action;
-use curlewlift_core::queue::Ask;
 use curlewlift_core::queue::Queue;
 use curlewlift_core::queue::Report;
+use curlewlift_core::queue::Request;
 use curlewlift_core::unit::Tokens;
 use curlewlift_core::view::Roster;
 use tokio::sync::oneshot;
@@ -168,7 +168,7 @@
     let snapshot = node.snapshot();
     let rights = snapshot.customers.get(&customer);
     let first = rights.and_then(|rights| snapshot.first(rights));
-    let ask = Ask {
+    let ask = Request {
         ticket: queue::Ticket {
             host,
             number: ticket,
--- a/crates/lab/examples/slopes.rs
+++ b/crates/lab/examples/slopes.rs
@@ -27,9 +27,9 @@
 use curlewlift_core::fleet::Spec;
 use curlewlift_core::id;
 use curlewlift_core::queue::Action;
-use curlewlift_core::queue::Ask;
 use curlewlift_core::queue::Queue;
 use curlewlift_core::queue::Report;
+use curlewlift_core::queue::Request;
 use curlewlift_core::queue::Ticket;
 use curlewlift_core::state::Command;
 use curlewlift_core::state::Machine;
@@ -173,7 +173,7 @@
     let mut ask = |queue: &mut Queue, running: &mut VecDeque<Ticket>, now: Instant| {
         number += 1;
         let far = now + Duration::from_secs(100_000) + Duration::from_micros(number);
-        let ask = Ask {
+        let ask = Request {
             ticket: Ticket {
                 host: host(number % 340),
                 number: id::Ticket(number),
--- a/crates/lab/src/measure/owner.rs
+++ b/crates/lab/src/measure/owner.rs
@@ -10,8 +10,8 @@
 use curlewlift_core::fleet::Spec;
 use curlewlift_core::fleet::Tuning;
 use curlewlift_core::id;
+use curlewlift_core::queue;
 use curlewlift_core::queue::Action;
-use curlewlift_core::queue::Ask;
 use curlewlift_core::queue::Queue;
 use curlewlift_core::queue::Report;
 use curlewlift_core::queue::Ticket;
@@ -186,8 +186,8 @@
         }
     }
 
-    fn ask(&self, id: usize, request: &Request) -> Ask {
-        Ask {
+    fn ask(&self, id: usize, request: &Request) -> queue::Request {
+        queue::Request {
             ticket: self.ticket(id),
             customer: format!("u{}-{}", request.customer, request.rank)
                 .parse()
