--- a/crates/core/src/queue/admission.rs
+++ b/crates/core/src/queue/admission.rs
@@ -8,20 +8,20 @@
 use super::Queue;
 use super::Request;
 use super::Ticket;
+use super::customer_queue::WaitingRequest;
 use super::dispatch::cannot_finish;
 use super::dispatch::work_of;
-use super::level::Level;
-use super::line::Waiting;
-use super::spot::Spot;
+use super::position::Position;
+use super::tier_queue::TierQueue;
 
 /// # Admission
 impl Queue {
     /// Whether a request may wait at all.
     pub(super) fn admit(&self, ask: &Request, now: Instant) -> Result<(), Refusal> {
         let held = self
-            .levels
+            .tiers
             .get(&ask.rank)
-            .map_or(0, |level| level.count(&ask.customer));
+            .map_or(0, |tier| tier.count(&ask.customer));
         if held >= ask.waiting as usize {
             let why = format!(
                 "{held} requests of this customer wait; it may have {}",
@@ -43,32 +43,29 @@
         Ok(())
     }
 
-    pub(super) fn wait(&mut self, waiting: Waiting) {
+    pub(super) fn wait(&mut self, waiting: WaitingRequest) {
         self.arrivals += 1;
         let ask = &waiting.ask;
-        let place = (ask.deadline, self.arrivals);
-        let spot = Spot {
+        let key = (ask.deadline, self.arrivals);
+        let position = Position {
             rank: ask.rank,
             customer: ask.customer.clone(),
-            place,
+            key,
         };
         self.deadlines.insert((ask.deadline, ask.ticket.clone()));
-        self.spots.insert(ask.ticket.clone(), spot);
-        self.levels
-            .entry(ask.rank)
-            .or_default()
-            .push(place, waiting);
+        self.positions.insert(ask.ticket.clone(), position);
+        self.tiers.entry(ask.rank).or_default().push(key, waiting);
     }
 
     /// Sheds from the lowest tier until the work that waits is within the limit.
     pub(super) fn make_room(&mut self) {
         while self.work() > self.limit {
             let Some(rank) = self.lowest() else { return };
-            let Some(shed) = self.levels.get_mut(&rank).and_then(Level::shed) else {
+            let Some(shed) = self.tiers.get_mut(&rank).and_then(TierQueue::shed) else {
                 return;
             };
             let ticket = shed.ask.ticket;
-            self.spots.remove(&ticket);
+            self.positions.remove(&ticket);
             self.deadlines.remove(&(shed.ask.deadline, ticket.clone()));
             let why = "the service is full; the lowest tier that waits is shed first";
             let refusal = Refusal::new(Code::Shed, why);
@@ -77,12 +74,12 @@
     }
 
     pub(super) fn remove(&mut self, ticket: &Ticket) {
-        let Some(spot) = self.spots.remove(ticket) else {
+        let Some(position) = self.positions.remove(ticket) else {
             return;
         };
-        self.deadlines.remove(&(spot.place.0, ticket.clone()));
-        if let Some(level) = self.levels.get_mut(&spot.rank) {
-            level.remove(&spot.customer, spot.place);
+        self.deadlines.remove(&(position.key.0, ticket.clone()));
+        if let Some(tier) = self.tiers.get_mut(&position.rank) {
+            tier.remove(&position.customer, position.key);
         }
     }
 }
--- a/crates/core/src/queue/line.rs
+++ b/crates/core/src/queue/customer_queue.rs
@@ -7,17 +7,17 @@
 
 use super::Request;
 
-/// A place in a line: the earliest deadline first, then the earliest arrival.
-pub(super) type Place = (Instant, u64);
+/// The order within a queue: the earliest deadline first, then the earliest arrival.
+pub(super) type OrderKey = (Instant, u64);
 
 /// An ask that waits.
 #[derive(Clone, Debug)]
-pub(super) struct Waiting {
+pub(super) struct WaitingRequest {
     pub(super) ask: Request,
     pub(super) expect: Tokens,
 }
 
-impl Waiting {
+impl WaitingRequest {
     /// What it costs, for the shares.
     pub(super) fn cost(&self) -> Tokens {
         self.ask.prompt + self.expect
@@ -26,9 +26,9 @@
 
 /// One customer's waiting requests in one tier, and what it has had.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Line {
+pub(super) struct CustomerQueue {
     /// Tokens that it has had over its weight, in millionths, on the tier's scale.
     pub(super) virtual_time: u64,
-    pub(super) asks: BTreeMap<Place, Waiting>,
+    pub(super) requests: BTreeMap<OrderKey, WaitingRequest>,
     pub(super) work: Tokens,
 }
--- a/crates/core/src/queue/dispatch.rs
+++ b/crates/core/src/queue/dispatch.rs
@@ -15,7 +15,7 @@
 use super::Queue;
 use super::Request;
 use super::Ticket;
-use super::spot::Running;
+use super::position::Running;
 
 /// Added to each expected time for the ways of messages.
 const SLACK: Duration = Duration::from_millis(60);
@@ -29,11 +29,11 @@
 
     /// Whether something left the queue.
     pub(super) fn grant_next(&mut self, now: Instant) -> bool {
-        let Some(level) = self.levels.iter().find(|pair| !pair.1.is_empty()) else {
+        let Some(tier) = self.tiers.iter().find(|pair| !pair.1.is_empty()) else {
             return false;
         };
-        let rank = *level.0;
-        let Some((place, waiting)) = level.1.first() else {
+        let rank = *tier.0;
+        let Some((key, waiting)) = tier.1.first() else {
             return false;
         };
         let work = work_of(&waiting.ask, waiting.expect);
@@ -53,17 +53,17 @@
         if late && self.fleet.fastest(&work).is_some_and(|time| in_time(&time)) {
             return false;
         }
-        let Some(level) = self.levels.get_mut(&rank) else {
+        let Some(tier) = self.tiers.get_mut(&rank) else {
             return false;
         };
         let taken = if late {
-            level.remove(&customer, place)
+            tier.remove(&customer, key)
         } else {
-            level.pop()
+            tier.pop()
         };
         let Some(taken) = taken else { return false };
         let ticket = taken.ask.ticket;
-        self.spots.remove(&ticket);
+        self.positions.remove(&ticket);
         self.deadlines.remove(&(deadline, ticket.clone()));
         if late {
             let refusal = cannot_finish(&pick.time);
--- a/crates/core/src/queue/mod.rs
+++ b/crates/core/src/queue/mod.rs
@@ -5,17 +5,17 @@
 
 mod action;
 mod admission;
-mod budget;
+mod customer_queue;
 mod dispatch;
-mod length;
-mod level;
-mod line;
-mod order;
+mod position;
 mod request;
-mod spot;
+mod response_length;
+mod retry_budget;
+mod service_queue;
+mod tier_queue;
 
 pub use action::Action;
-pub use order::Queue;
 pub use request::Report;
 pub use request::Request;
 pub use request::Ticket;
+pub use service_queue::Queue;
--- a/crates/core/src/queue/spot.rs
+++ b/crates/core/src/queue/position.rs
@@ -1,4 +1,4 @@
-//! Where a request is: in a line, or at a server.
+//! Where a request is: in a queue, or at a server.
 
 use crate::clock::Instant;
 use crate::fleet::Pick;
@@ -6,7 +6,7 @@
 use crate::id;
 use crate::unit::Tokens;
 
-use super::line::Place;
+use super::customer_queue::OrderKey;
 
 /// A request that was granted and has not ended.
 #[derive(Clone, Debug)]
@@ -21,8 +21,8 @@
 
 /// Where a request waits.
 #[derive(Clone, Debug)]
-pub(super) struct Spot {
+pub(super) struct Position {
     pub(super) rank: u8,
     pub(super) customer: id::Customer,
-    pub(super) place: Place,
+    pub(super) key: OrderKey,
 }
--- a/crates/core/src/queue/request.rs
+++ b/crates/core/src/queue/request.rs
@@ -10,7 +10,7 @@
 use crate::id;
 use crate::unit::Tokens;
 
-/// A place in the queue: the entry that asked, and its number for the request.
+/// Identifies a queued request: the entry that asked, and its number for the request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ticket {
     /// The entry.
--- a/crates/core/src/queue/length.rs
+++ b/crates/core/src/queue/response_length.rs
@@ -13,13 +13,13 @@
 
 /// Running mean and mean error of a customer's answers, in tokens.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Length {
+pub(super) struct ResponseLength {
     mean: f64,
     error: f64,
     count: u32,
 }
 
-impl Length {
+impl ResponseLength {
     pub(super) fn observe(&mut self, output: Tokens) {
         let output = output.as_f64();
         let gain = if self.count < ENOUGH {
--- a/crates/core/src/queue/budget.rs
+++ b/crates/core/src/queue/retry_budget.rs
@@ -16,11 +16,11 @@
 
 /// Further tries that each tier has left: one for ten first tries, ten at the most.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Budget {
+pub(super) struct RetryBudget {
     left: BTreeMap<u8, u32>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Whether a request of the tier `rank` may be tried for the `attempt`-th further time.
     pub(super) fn take(&mut self, rank: u8, attempt: u8) -> bool {
         let left = self.left.entry(rank).or_insert(MOST);
--- a/crates/core/src/queue/order.rs
+++ b/crates/core/src/queue/service_queue.rs
@@ -17,13 +17,13 @@
 use super::Report;
 use super::Request;
 use super::Ticket;
-use super::budget::Budget;
+use super::customer_queue::WaitingRequest;
 use super::dispatch::work_of;
-use super::length::Length;
-use super::level::Level;
-use super::line::Waiting;
-use super::spot::Running;
-use super::spot::Spot;
+use super::position::Position;
+use super::position::Running;
+use super::response_length::ResponseLength;
+use super::retry_budget::RetryBudget;
+use super::tier_queue::TierQueue;
 
 /// The waiting and the running work of one service, at its owner.
 ///
@@ -34,14 +34,14 @@
 pub struct Queue {
     pub(super) fleet: Fleet,
     pub(super) limit: Tokens,
-    pub(super) levels: BTreeMap<u8, Level>,
-    pub(super) spots: HashMap<Ticket, Spot>,
+    pub(super) tiers: BTreeMap<u8, TierQueue>,
+    pub(super) positions: HashMap<Ticket, Position>,
     pub(super) deadlines: BTreeSet<(Instant, Ticket)>,
     pub(super) running: HashMap<Ticket, Running>,
-    pub(super) lengths: HashMap<id::Customer, Length>,
+    pub(super) lengths: HashMap<id::Customer, ResponseLength>,
     pub(super) arrivals: u64,
     pub(super) held: bool,
-    pub(super) budget: Budget,
+    pub(super) retry_budget: RetryBudget,
     pub(super) actions: Vec<Action>,
 }
 
@@ -53,21 +53,21 @@
         Self {
             fleet,
             limit,
-            levels: BTreeMap::new(),
-            spots: HashMap::new(),
+            tiers: BTreeMap::new(),
+            positions: HashMap::new(),
             deadlines: BTreeSet::new(),
             running: HashMap::new(),
             lengths: HashMap::new(),
             arrivals: 0,
             held: false,
-            budget: Budget::default(),
+            retry_budget: RetryBudget::default(),
             actions: Vec::new(),
         }
     }
 
     /// A request wants a server; the same ticket again is the same request.
     pub fn ask(&mut self, ask: Request, now: Instant) {
-        if self.spots.contains_key(&ask.ticket) {
+        if self.positions.contains_key(&ask.ticket) {
             return;
         }
         if let Some(running) = self.running.get(&ask.ticket) {
@@ -81,7 +81,7 @@
             self.actions.push(Action::Refuse { ticket, refusal });
             return;
         }
-        if !self.budget.take(ask.rank, ask.attempt) {
+        if !self.retry_budget.take(ask.rank, ask.attempt) {
             let why = "no further try: too many requests of the tier are being tried again";
             let refusal = Refusal::new(Code::Refused, why);
             let ticket = ask.ticket;
@@ -90,20 +90,20 @@
         }
         let length = self.lengths.entry(ask.customer.clone()).or_default();
         let expect = length.expect(ask.output);
-        self.wait(Waiting { ask, expect });
+        self.wait(WaitingRequest { ask, expect });
         self.make_room();
         self.pump(now);
     }
 
     /// A request that runs already, told by its entry to a new owner.
     pub fn resume(&mut self, ask: Request, server: &id::Server, now: Instant) {
-        let Some(place) = self.fleet.find(server) else {
+        let Some(index) = self.fleet.find(server) else {
             return;
         };
         let length = self.lengths.entry(ask.customer.clone()).or_default();
         let work = work_of(&ask, length.expect(ask.output));
         let pick = Pick {
-            server: place,
+            server: index,
             name: server.clone(),
             cached: ask.prompt,
             time: Time::default(),
@@ -139,7 +139,7 @@
 
     /// An entry is gone, and with it all that it asked for.
     pub fn forget(&mut self, host: &id::Host, now: Instant) {
-        let waiting = self.spots.keys().filter(|ticket| &ticket.host == host);
+        let waiting = self.positions.keys().filter(|ticket| &ticket.host == host);
         let running = self.running.keys().filter(|ticket| &ticket.host == host);
         let tickets: Vec<_> = waiting.chain(running).cloned().collect();
         for ticket in tickets {
@@ -158,7 +158,7 @@
             self.actions.push(Action::Refuse { ticket, refusal });
         }
         self.fleet.watch(now);
-        self.levels.values_mut().for_each(Level::sweep);
+        self.tiers.values_mut().for_each(TierQueue::sweep);
         self.pump(now);
     }
 
@@ -192,7 +192,7 @@
     /// Requests that wait.
     #[must_use]
     pub fn waiting(&self) -> usize {
-        self.spots.len()
+        self.positions.len()
     }
 
     /// Requests that run.
@@ -204,12 +204,12 @@
     /// Work that waits.
     #[must_use]
     pub fn work(&self) -> Tokens {
-        self.levels.values().map(|level| level.work).sum()
+        self.tiers.values().map(|tier| tier.work).sum()
     }
 
     /// Every ticket that waits.
     pub fn tickets(&self) -> impl Iterator<Item = &Ticket> {
-        self.spots.keys()
+        self.positions.keys()
     }
 
     /// The servers.
@@ -221,7 +221,7 @@
     /// The rank of the lowest tier that waits.
     #[must_use]
     pub fn lowest(&self) -> Option<u8> {
-        let waiting = self.levels.iter().rev().find(|pair| !pair.1.is_empty());
+        let waiting = self.tiers.iter().rev().find(|pair| !pair.1.is_empty());
         waiting.map(|pair| *pair.0)
     }
 }
