--- a/crates/core/benches/decision.rs
+++ b/crates/core/benches/decision.rs
@@ -60,7 +60,7 @@
             running: std::collections::VecDeque::new(),
             now: Instant::default(),
         };
-        while bench.queue.waiting() < waiting {
+        while bench.queue.waiting_count() < waiting {
             bench.ask();
         }
         bench
@@ -77,24 +77,24 @@
             },
             customer: self.customers[place].clone(),
             weight: 1,
-            waiting: u32::MAX,
+            max_waiting: u32::MAX,
             rank: u8::try_from(self.number % 4).expect("small"),
             prompt: Tokens(200 + self.number % 500),
-            output: Tokens(200),
+            max_output: Tokens(200),
             prefixes: vec![Prefix {
                 hash: self.number % 10_000,
                 length: Tokens(100),
             }],
             attempt: 0,
-            first: far,
+            first_token_deadline: far,
             deadline: far,
         };
-        self.queue.ask(ask, self.now);
+        self.queue.submit(ask, self.now);
         self.take();
     }
 
     fn take(&mut self) {
-        for action in self.queue.actions() {
+        for action in self.queue.take_actions() {
             if let Action::Grant { ticket, .. } = action {
                 self.running.push_back(ticket);
             }
@@ -108,7 +108,7 @@
         let Some(ticket) = self.running.pop_front() else {
             return;
         };
-        self.queue.report(&ticket, Report::First, self.now);
+        self.queue.report(&ticket, Report::FirstToken, self.now);
         let output = Tokens(100);
         self.queue.report(
             &ticket,
--- a/crates/core/src/queue/admission.rs
+++ b/crates/core/src/queue/admission.rs
@@ -22,22 +22,22 @@
             .tiers
             .get(&ask.rank)
             .map_or(0, |tier| tier.count(&ask.customer));
-        if held >= ask.waiting as usize {
+        if held >= ask.max_waiting as usize {
             let why = format!(
                 "{held} requests of this customer wait; it may have {}",
-                ask.waiting
+                ask.max_waiting
             );
             return Err(Refusal::new(Code::QueueLimit, why));
         }
         let length = self.lengths.get(&ask.customer).copied().unwrap_or_default();
-        let work = work_of(ask, length.expect(ask.output));
+        let work = work_of(ask, length.expect(ask.max_output));
         let Some(fastest) = self.fleet.fastest(&work) else {
             return Err(Refusal::new(
                 Code::NoServer,
                 "no backend server of the service is live",
             ));
         };
-        if now + fastest.first > ask.first || now + fastest.whole > ask.deadline {
+        if now + fastest.first > ask.first_token_deadline || now + fastest.whole > ask.deadline {
             return Err(cannot_finish(&fastest));
         }
         Ok(())
@@ -59,8 +59,10 @@
 
     /// Sheds from the lowest tier until the work that waits is within the limit.
     pub(super) fn make_room(&mut self) {
-        while self.work() > self.limit {
-            let Some(rank) = self.lowest() else { return };
+        while self.waiting_work() > self.work_limit {
+            let Some(rank) = self.lowest_waiting_rank() else {
+                return;
+            };
             let Some(shed) = self.tiers.get_mut(&rank).and_then(TierQueue::shed) else {
                 return;
             };
--- a/crates/core/src/queue/dispatch.rs
+++ b/crates/core/src/queue/dispatch.rs
@@ -24,7 +24,7 @@
 impl Queue {
     /// Grants in turn, as long as there is a server for whose turn it is.
     pub(super) fn pump(&mut self, now: Instant) {
-        while !self.held && self.grant_next(now) {}
+        while !self.grants_held && self.grant_next(now) {}
     }
 
     /// Whether something left the queue.
@@ -38,7 +38,7 @@
         };
         let work = work_of(&waiting.ask, waiting.expect);
         let deadline = waiting.ask.deadline;
-        let first = waiting.ask.first;
+        let first = waiting.ask.first_token_deadline;
         let customer = waiting.ask.customer.clone();
         let Some(pick) = self.fleet.pick(&work) else {
             return false;
--- a/crates/core/src/queue/request.rs
+++ b/crates/core/src/queue/request.rs
@@ -35,19 +35,19 @@
     /// The customer's share.
     pub weight: u32,
     /// How many requests of the customer may wait.
-    pub waiting: u32,
+    pub max_waiting: u32,
     /// The tier's rank, 0 the highest.
     pub rank: u8,
     /// Tokens of the prompt.
     pub prompt: Tokens,
     /// The most tokens that the answer may have.
-    pub output: Tokens,
+    pub max_output: Tokens,
     /// Beginnings of the prompt, the longest first.
     pub prefixes: Vec<Prefix>,
     /// How often it was sent and surely not run before.
     pub attempt: u8,
     /// When its first token must come, by the owner's clock.
-    pub first: Instant,
+    pub first_token_deadline: Instant,
     /// When its answer must be whole, by the owner's clock.
     pub deadline: Instant,
 }
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Report {
     /// Its first token came.
-    First,
+    FirstToken,
     /// So many tokens have come in all.
     Tokens(Tokens),
     /// It has ended: tokens in all, and what the server said was cached of the prompt.
--- a/crates/core/src/queue/service_queue.rs
+++ b/crates/core/src/queue/service_queue.rs
@@ -33,40 +33,40 @@
 #[derive(Clone, Debug)]
 pub struct Queue {
     pub(super) fleet: Fleet,
-    pub(super) limit: Tokens,
+    pub(super) work_limit: Tokens,
     pub(super) tiers: BTreeMap<u8, TierQueue>,
     pub(super) positions: HashMap<Ticket, Position>,
     pub(super) deadlines: BTreeSet<(Instant, Ticket)>,
     pub(super) running: HashMap<Ticket, Running>,
     pub(super) lengths: HashMap<id::Customer, ResponseLength>,
     pub(super) arrivals: u64,
-    pub(super) held: bool,
+    pub(super) grants_held: bool,
     pub(super) retry_budget: RetryBudget,
     pub(super) actions: Vec<Action>,
 }
 
 /// # Events
 impl Queue {
-    /// An empty queue over `fleet` in which work of `limit` tokens may wait.
+    /// An empty queue over `fleet` in which work of `work_limit` tokens may wait.
     #[must_use]
-    pub fn new(fleet: Fleet, limit: Tokens) -> Self {
+    pub fn new(fleet: Fleet, work_limit: Tokens) -> Self {
         Self {
             fleet,
-            limit,
+            work_limit,
             tiers: BTreeMap::new(),
             positions: HashMap::new(),
             deadlines: BTreeSet::new(),
             running: HashMap::new(),
             lengths: HashMap::new(),
             arrivals: 0,
-            held: false,
+            grants_held: false,
             retry_budget: RetryBudget::default(),
             actions: Vec::new(),
         }
     }
 
     /// A request wants a server; the same ticket again is the same request.
-    pub fn ask(&mut self, ask: Request, now: Instant) {
+    pub fn submit(&mut self, ask: Request, now: Instant) {
         if self.positions.contains_key(&ask.ticket) {
             return;
         }
@@ -89,19 +89,19 @@
             return;
         }
         let length = self.lengths.entry(ask.customer.clone()).or_default();
-        let expect = length.expect(ask.output);
+        let expect = length.expect(ask.max_output);
         self.wait(WaitingRequest { ask, expect });
         self.make_room();
         self.pump(now);
     }
 
     /// A request that runs already, told by its entry to a new owner.
-    pub fn resume(&mut self, ask: Request, server: &id::Server, now: Instant) {
+    pub fn restore_running(&mut self, ask: Request, server: &id::Server, now: Instant) {
         let Some(index) = self.fleet.find(server) else {
             return;
         };
         let length = self.lengths.entry(ask.customer.clone()).or_default();
-        let work = work_of(&ask, length.expect(ask.output));
+        let work = work_of(&ask, length.expect(ask.max_output));
         let pick = Pick {
             server: index,
             name: server.clone(),
@@ -121,7 +121,7 @@
     /// What an entry reports of a request that was granted.
     pub fn report(&mut self, ticket: &Ticket, report: Report, now: Instant) {
         match report {
-            Report::First => self.on_first(ticket, now),
+            Report::FirstToken => self.on_first(ticket, now),
             Report::Tokens(tokens) => self.on_tokens(ticket, tokens, now),
             Report::Ended { output, cached } => self.on_ended(ticket, output, cached, now),
         }
@@ -138,7 +138,7 @@
     }
 
     /// An entry is gone, and with it all that it asked for.
-    pub fn forget(&mut self, host: &id::Host, now: Instant) {
+    pub fn remove_entry(&mut self, host: &id::Host, now: Instant) {
         let waiting = self.positions.keys().filter(|ticket| &ticket.host == host);
         let running = self.running.keys().filter(|ticket| &ticket.host == host);
         let tickets: Vec<_> = waiting.chain(running).cloned().collect();
@@ -163,26 +163,26 @@
     }
 
     /// Changes the servers, or what is known of them.
-    pub fn change(&mut self, edit: impl FnOnce(&mut Fleet), now: Instant) {
+    pub fn update_fleet(&mut self, edit: impl FnOnce(&mut Fleet), now: Instant) {
         edit(&mut self.fleet);
         self.pump(now);
     }
 
     /// Changes the limit on the work that waits.
-    pub fn limit(&mut self, limit: Tokens) {
-        self.limit = limit;
+    pub fn set_work_limit(&mut self, work_limit: Tokens) {
+        self.work_limit = work_limit;
         self.make_room();
     }
 
-    /// Whether grants are held back, while a new owner learns what runs already.
-    pub fn hold(&mut self, held: bool, now: Instant) {
-        self.held = held;
+    /// Whether grants are grants_held back, while a new owner learns what runs already.
+    pub fn set_grants_held(&mut self, grants_held: bool, now: Instant) {
+        self.grants_held = grants_held;
         self.pump(now);
     }
 
     /// Takes what there is to tell.
     #[must_use = "an action that is dropped leaves its entry waiting"]
-    pub fn actions(&mut self) -> Vec<Action> {
+    pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 }
@@ -191,24 +191,24 @@
 impl Queue {
     /// Requests that wait.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.positions.len()
     }
 
     /// Requests that run.
     #[must_use]
-    pub fn running(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
     /// Work that waits.
     #[must_use]
-    pub fn work(&self) -> Tokens {
+    pub fn waiting_work(&self) -> Tokens {
         self.tiers.values().map(|tier| tier.work).sum()
     }
 
     /// Every ticket that waits.
-    pub fn tickets(&self) -> impl Iterator<Item = &Ticket> {
+    pub fn waiting_tickets(&self) -> impl Iterator<Item = &Ticket> {
         self.positions.keys()
     }
 
@@ -220,7 +220,7 @@
 
     /// The rank of the lowest tier that waits.
     #[must_use]
-    pub fn lowest(&self) -> Option<u8> {
+    pub fn lowest_waiting_rank(&self) -> Option<u8> {
         let waiting = self.tiers.iter().rev().find(|pair| !pair.1.is_empty());
         waiting.map(|pair| *pair.0)
     }
--- a/crates/core/tests/queue_load.rs
+++ b/crates/core/tests/queue_load.rs
@@ -17,7 +17,7 @@
 
 fn grants(queue: &mut Queue) -> Vec<(Ticket, String)> {
     let grants = queue
-        .actions()
+        .take_actions()
         .into_iter()
         .filter_map(|action| match action {
             Action::Grant { ticket, pick } => Some((ticket, pick.name.to_string())),
@@ -28,7 +28,7 @@
 
 fn refusals(queue: &mut Queue) -> Vec<Code> {
     let refusals = queue
-        .actions()
+        .take_actions()
         .into_iter()
         .filter_map(|action| match action {
             Action::Refuse { refusal, .. } => Some(refusal.get_code()),
@@ -38,7 +38,7 @@
 }
 
 fn end(queue: &mut Queue, ticket: &Ticket, now: u64) {
-    queue.report(ticket, Report::First, at(now));
+    queue.report(ticket, Report::FirstToken, at(now));
     let output = Tokens(5);
     queue.report(
         ticket,
@@ -55,8 +55,8 @@
     let servers = vec![spec("slow", 8, 10_000, 100), spec("fine", 8, 10_000, 100)];
     let mut queue = Queue::new(fleet(servers), Tokens(u64::MAX));
     // One request goes to each; the one at `slow` hears nothing.
-    queue.ask(ask(1, "a", 0, 1_000), at(0));
-    queue.ask(ask(2, "a", 0, 1_000), at(0));
+    queue.submit(ask(1, "a", 0, 1_000), at(0));
+    queue.submit(ask(2, "a", 0, 1_000), at(0));
     let first = grants(&mut queue);
     assert_eq!(first.len(), 2);
     let fine = first
@@ -69,7 +69,7 @@
     }
     // Within a second and a half new work goes to the other, on own evidence alone.
     for number in 10..14 {
-        queue.ask(ask(number, "a", 0, 100), at(1_500));
+        queue.submit(ask(number, "a", 0, 100), at(1_500));
         let granted = grants(&mut queue);
         assert_eq!(granted[0].1, "fine");
         end(&mut queue, &granted[0].0, 1_510);
@@ -81,12 +81,12 @@
     let mut queue = Queue::new(fleet(vec![spec("m", 1, 100_000, 100)]), Tokens(u64::MAX));
     for number in 0..5_000 {
         let mut flood = ask(number, "flood", 1, 100);
-        flood.waiting = 50;
-        queue.ask(flood, at(0));
+        flood.max_waiting = 50;
+        queue.submit(flood, at(0));
     }
-    assert_eq!(queue.waiting(), 50, "its queue is bounded");
+    assert_eq!(queue.waiting_count(), 50, "its queue is bounded");
     assert_eq!(refusals(&mut queue).len(), 5_000 - 51);
-    queue.ask(ask(9_000, "calm", 1, 100), at(0));
+    queue.submit(ask(9_000, "calm", 1, 100), at(0));
     end(&mut queue, &ticket(0), 10);
     assert_eq!(grants(&mut queue)[0].0, ticket(9_000), "the other is next");
 }
@@ -97,13 +97,13 @@
     for number in 0..10 {
         let mut long = ask(number, "a", 0, 50_000);
         long.deadline = at(300_000);
-        queue.ask(long, at(0));
+        queue.submit(long, at(0));
     }
     let mut short = ask(100, "a", 0, 50);
     short.deadline = at(8_000);
-    short.first = at(8_000);
-    queue.ask(short, at(0));
-    drop(queue.actions());
+    short.first_token_deadline = at(8_000);
+    queue.submit(short, at(0));
+    drop(queue.take_actions());
     end(&mut queue, &ticket(0), 5_000);
     assert_eq!(
         grants(&mut queue)[0].0,
@@ -117,13 +117,13 @@
     let mut queue = Queue::new(fleet(vec![spec("m", 1, 1_000, 10)]), Tokens(u64::MAX));
     let mut hopeless = ask(1, "a", 0, 10_000);
     hopeless.deadline = at(5_000);
-    queue.ask(hopeless, at(0));
+    queue.submit(hopeless, at(0));
     assert_eq!(
         refusals(&mut queue),
         [Code::CannotFinish],
         "before prefill, not after it"
     );
-    assert_eq!(queue.running(), 0);
+    assert_eq!(queue.running_count(), 0);
 }
 
 #[test]
@@ -134,7 +134,7 @@
         for attempt in 0..4 {
             let mut ask = ask(number, "a", 0, 100);
             ask.attempt = attempt;
-            queue.ask(ask, at(number * 10));
+            queue.submit(ask, at(number * 10));
             if let Some((ticket, _)) = grants(&mut queue).pop() {
                 granted += 1;
                 end(&mut queue, &ticket, number * 10 + 1);
@@ -150,15 +150,15 @@
 #[test]
 fn lowest_first() {
     let mut queue = Queue::new(fleet(vec![spec("m", 1, 100_000, 100)]), Tokens(1_000));
-    queue.ask(ask(0, "a", 0, 100), at(0));
+    queue.submit(ask(0, "a", 0, 100), at(0));
     for number in 1..9 {
         let rank = u8::try_from(number % 3).expect("small");
-        queue.ask(ask(number, "a", rank, 100), at(0));
+        queue.submit(ask(number, "a", rank, 100), at(0));
     }
-    drop(queue.actions());
-    queue.ask(ask(20, "b", 0, 400), at(0));
+    drop(queue.take_actions());
+    queue.submit(ask(20, "b", 0, 400), at(0));
     let shed: Vec<_> = queue
-        .actions()
+        .take_actions()
         .into_iter()
         .filter_map(|action| match action {
             Action::Refuse { ticket, refusal } => {
@@ -179,12 +179,12 @@
 fn new_owner() {
     let servers = || fleet(vec![spec("m", 1, 100_000, 100)]);
     let mut queue = Queue::new(servers(), Tokens(u64::MAX));
-    queue.hold(true, at(0));
-    queue.ask(ask(2, "a", 0, 100), at(10));
+    queue.set_grants_held(true, at(0));
+    queue.submit(ask(2, "a", 0, 100), at(10));
     assert!(grants(&mut queue).is_empty(), "it listens first");
     let server = "m".parse().expect("a name");
-    queue.resume(ask(1, "a", 0, 100), &server, at(20));
-    queue.hold(false, at(300));
+    queue.restore_running(ask(1, "a", 0, 100), &server, at(20));
+    queue.set_grants_held(false, at(300));
     assert!(
         grants(&mut queue).is_empty(),
         "the slot is taken by what runs already"
--- a/crates/core/tests/queue_order.rs
+++ b/crates/core/tests/queue_order.rs
@@ -92,7 +92,7 @@
         _ => 1,
     };
     ask.deadline = at(500_000 + u64::arbitrary(g) % 1_000);
-    ask.first = ask.deadline;
+    ask.first_token_deadline = ask.deadline;
     ask
 }
 
@@ -110,7 +110,7 @@
             if u8::arbitrary(&mut g) < 150 {
                 let ask = draw(&mut g, number);
                 plain.push(number, ask.clone());
-                queue.ask(ask, at(number));
+                queue.submit(ask, at(number));
             } else if let Some(ticket) = running.take() {
                 // The length of answers is not learnt here, so that costs stay as they are told.
                 let output = Tokens(0);
@@ -123,7 +123,7 @@
                     at(number),
                 );
             }
-            for action in queue.actions() {
+            for action in queue.take_actions() {
                 let Action::Grant { ticket, .. } = action else {
                     panic!("nothing is refused")
                 };
@@ -149,13 +149,13 @@
                 0..=139 => {
                     let mut ask = draw(&mut g, number);
                     ask.deadline = at(number * 10 + 200 + u64::arbitrary(&mut g) % 2_000);
-                    ask.first = ask.deadline;
+                    ask.first_token_deadline = ask.deadline;
                     waiting.insert(ask.ticket.clone(), ask.rank);
-                    queue.ask(ask, now);
+                    queue.submit(ask, now);
                 }
                 140..=199 => {
                     if let Some(ticket) = running.pop_first() {
-                        queue.report(&ticket, Report::First, now);
+                        queue.report(&ticket, Report::FirstToken, now);
                         let output = Tokens(5);
                         queue.report(
                             &ticket,
@@ -174,7 +174,7 @@
                 }
                 _ => queue.tick(now),
             }
-            for action in queue.actions() {
+            for action in queue.take_actions() {
                 match action {
                     Action::Grant { ticket, .. } => {
                         assert!(waiting.remove(&ticket).is_some(), "seed {seed}: {ticket}");
@@ -182,14 +182,24 @@
                     }
                     Action::Refuse { ticket, refusal } => {
                         let rank = waiting.remove(&ticket).expect("it waited");
-                        let lower = queue.lowest().is_some_and(|lowest| lowest > rank);
+                        let lower = queue
+                            .lowest_waiting_rank()
+                            .is_some_and(|lowest| lowest > rank);
                         let shed = refusal.get_code() == Code::Shed;
                         assert!(!(shed && lower), "seed {seed}: a lower tier waits still");
                     }
                 }
             }
-            assert_eq!(queue.waiting(), waiting.len(), "seed {seed} step {number}");
-            assert_eq!(queue.running(), running.len(), "seed {seed} step {number}");
+            assert_eq!(
+                queue.waiting_count(),
+                waiting.len(),
+                "seed {seed} step {number}"
+            );
+            assert_eq!(
+                queue.running_count(),
+                running.len(),
+                "seed {seed} step {number}"
+            );
         }
     }
 }
@@ -206,15 +216,15 @@
         let customer = ["a", "b"][number as usize % 2];
         let mut ask = ask(number, customer, 0, u64::arbitrary(&mut g) % 5_000 + 1);
         ask.weight = if customer == "a" { 3 } else { 1 };
-        ask.waiting = 2_000;
+        ask.max_waiting = 2_000;
         prompts.insert(ask.ticket.clone(), (customer, ask.prompt.0 + EXPECTED));
-        queue.ask(ask, at(0));
+        queue.submit(ask, at(0));
     }
     let mut had = BTreeMap::from([("a", 0.0), ("b", 0.0)]);
     // The first grant came before the others waited; from then on both always wait.
     for step in 0..1_000 {
         let mut granted = None;
-        for action in queue.actions() {
+        for action in queue.take_actions() {
             let Action::Grant { ticket, .. } = action else {
                 panic!("nothing is refused")
             };
--- a/crates/core/tests/support/asks.rs
+++ b/crates/core/tests/support/asks.rs
@@ -30,13 +30,13 @@
         ticket: ticket(number),
         customer: customer.parse().expect("a name"),
         weight: 1,
-        waiting: 1_000,
+        max_waiting: 1_000,
         rank,
         prompt: Tokens(prompt),
-        output: Tokens(10),
+        max_output: Tokens(10),
         prefixes: Vec::new(),
         attempt: 0,
-        first: at(1_000_000),
+        first_token_deadline: at(1_000_000),
         deadline: at(1_000_000),
     }
 }
--- a/crates/curlewlift/src/entry/owner.rs
+++ b/crates/curlewlift/src/entry/owner.rs
@@ -73,7 +73,7 @@
     let detail = format!("service={service} view={}", roster.number);
     node.timeline.note(Line::new(Kind::Owns).detail(detail));
     let mut queue = Queue::new(Fleet::default(), Tokens(u64::MAX));
-    queue.hold(true, now);
+    queue.set_grants_held(true, now);
     Owned {
         queue,
         since: now,
@@ -86,13 +86,13 @@
     if owned.revision != snapshot.revision {
         owned.revision = snapshot.revision;
         let specs = specs(service, snapshot);
-        owned.queue.change(|fleet| fleet.set(specs, now), now);
+        owned.queue.update_fleet(|fleet| fleet.set(specs, now), now);
         if let Some(service) = snapshot.services.get(service) {
-            owned.queue.limit(service.work);
+            owned.queue.set_work_limit(service.work);
         }
     }
     if now.since(owned.since) >= GRACE {
-        owned.queue.hold(false, now);
+        owned.queue.set_grants_held(false, now);
     }
 }
 
@@ -115,7 +115,7 @@
 /// Tells the waiting requests what the queue decided.
 fn pass_on(node: &Node, queue: &mut Queue, now: Instant) {
     loop {
-        let actions = queue.actions();
+        let actions = queue.take_actions();
         if actions.is_empty() {
             return;
         }
@@ -174,14 +174,14 @@
             number: ticket,
         },
         weight: rights.map_or(1, |rights| rights.weight),
-        waiting: rights.map_or(1, |rights| rights.waiting),
+        max_waiting: rights.map_or(1, |rights| rights.waiting),
         rank: rights.map_or(u8::MAX, |rights| snapshot.rank(rights)),
         customer,
         prompt,
-        output,
+        max_output: output,
         prefixes,
         attempt,
-        first: first.map_or(node.now() + left, |first| node.now() + left.min(first)),
+        first_token_deadline: first.map_or(node.now() + left, |first| node.now() + left.min(first)),
         deadline: node.now() + left,
     };
     let line = Line::new(Kind::Queued).key(key).customer(&ask.customer);
@@ -191,11 +191,13 @@
     let ticket = ask.ticket.clone();
     if let Some(server) = running {
         let _ = sender.send(Ok(server.clone()));
-        with(node, &service, |queue, now| queue.resume(ask, &server, now))?;
+        with(node, &service, |queue, now| {
+            queue.restore_running(ask, &server, now)
+        })?;
         return Ok(receiver);
     }
     lock(&node.waits).insert(ticket.clone(), sender);
-    let asked = with(node, &service, |queue, now| queue.ask(ask, now));
+    let asked = with(node, &service, |queue, now| queue.submit(ask, now));
     if let Err(refusal) = asked {
         lock(&node.waits).remove(&ticket);
         return Err(refusal);
@@ -234,13 +236,13 @@
             .owner(service)
             .is_some_and(|owner| owner.host == node.member.host);
         if !own {
-            gone.extend(owned.queue.tickets().cloned());
+            gone.extend(owned.queue.waiting_tickets().cloned());
         }
         own
     });
     for (_, owned) in owned.iter_mut() {
         for member in previous.members.iter().filter(|member| !roster.has(member)) {
-            owned.queue.forget(&member.host, now);
+            owned.queue.remove_entry(&member.host, now);
         }
         pass_on(node, &mut owned.queue, now);
     }
@@ -257,7 +259,13 @@
 /// Requests that wait and run in the queues owned here.
 pub(super) fn counts(node: &Node) -> (usize, usize) {
     let owned = lock(&node.owned);
-    let waiting = owned.values().map(|owned| owned.queue.waiting()).sum();
-    let running = owned.values().map(|owned| owned.queue.running()).sum();
+    let waiting = owned
+        .values()
+        .map(|owned| owned.queue.waiting_count())
+        .sum();
+    let running = owned
+        .values()
+        .map(|owned| owned.queue.running_count())
+        .sum();
     (waiting, running)
 }
--- a/crates/curlewlift/src/entry/send.rs
+++ b/crates/curlewlift/src/entry/send.rs
@@ -274,7 +274,7 @@
 fn note_chunk(node: &Arc<Node>, request: &Request, turn: &Turn, seen: &mut Seen) {
     if seen.last_report.is_none() {
         seen.last_report = Some(tokio::time::Instant::now());
-        turn.report(Report::First);
+        turn.report(Report::FirstToken);
         let line = Line::new(Kind::FirstToken)
             .key(request.key)
             .server(&turn.server);
--- a/crates/lab/examples/slopes.rs
+++ b/crates/lab/examples/slopes.rs
@@ -180,23 +180,23 @@
             },
             customer: customers[number as usize % customers.len()].clone(),
             weight: 1,
-            waiting: u32::MAX,
+            max_waiting: u32::MAX,
             rank: u8::try_from(number % 4).expect("small"),
             prompt: Tokens(200 + number % 500),
-            output: Tokens(200),
+            max_output: Tokens(200),
             prefixes: Vec::new(),
             attempt: 0,
-            first: far,
+            first_token_deadline: far,
             deadline: far,
         };
-        queue.ask(ask, now);
-        for action in queue.actions() {
+        queue.submit(ask, now);
+        for action in queue.take_actions() {
             if let Action::Grant { ticket, .. } = action {
                 running.push_back(ticket);
             }
         }
     };
-    while queue.waiting() < waiting as usize {
+    while queue.waiting_count() < waiting as usize {
         ask(&mut queue, &mut running, now);
     }
     time(20_000, || {
@@ -205,7 +205,7 @@
         let Some(ticket) = running.pop_front() else {
             return;
         };
-        queue.report(&ticket, Report::First, now);
+        queue.report(&ticket, Report::FirstToken, now);
         let output = Tokens(100);
         queue.report(
             &ticket,
@@ -215,7 +215,7 @@
             },
             now,
         );
-        for action in queue.actions() {
+        for action in queue.take_actions() {
             if let Action::Grant { ticket, .. } = action {
                 running.push_back(ticket);
             }
--- a/crates/lab/src/measure/owner.rs
+++ b/crates/lab/src/measure/owner.rs
@@ -102,7 +102,7 @@
         self.live[engine] = false;
         let specs = specs(&self.builds, &self.live);
         self.queue
-            .change(|fleet| fleet.set(specs, instant(now)), instant(now));
+            .update_fleet(|fleet| fleet.set(specs, instant(now)), instant(now));
     }
 
     /// The owner dies; the next one is told again what waits and what runs.
@@ -120,7 +120,8 @@
             .retain(|(_, word)| matches!(word, Word::Report(..)));
         for (id, request, engine) in running {
             let ask = self.ask(id, &request);
-            self.queue.resume(ask, &server(engine), instant(now));
+            self.queue
+                .restore_running(ask, &server(engine), instant(now));
         }
         for (id, request) in waiting {
             self.inbox
@@ -152,7 +153,7 @@
             match word {
                 Word::Ask(id, request) => {
                     let ask = self.ask(id, &request);
-                    self.queue.ask(ask, instant(now));
+                    self.queue.submit(ask, instant(now));
                 }
                 Word::Report(id, report) => {
                     let ticket = self.ticket(id);
@@ -164,7 +165,7 @@
     }
 
     fn answer(&mut self, now: f64) {
-        for action in self.queue.actions() {
+        for action in self.queue.take_actions() {
             let verdict = match action {
                 Action::Grant { ticket, pick } => {
                     let name = pick.name.as_str();
@@ -193,22 +194,22 @@
                 .parse()
                 .expect("a name"),
             weight: 1,
-            waiting: 2_000,
+            max_waiting: 2_000,
             rank: request.rank,
             prompt: Tokens(request.prompt),
-            output: Tokens(request.most),
+            max_output: Tokens(request.most),
             prefixes: vec![Prefix {
                 hash: request.group,
                 length: Tokens(request.common),
             }],
             attempt: 0,
-            first: instant(request.arrival + request.first),
+            first_token_deadline: instant(request.arrival + request.first),
             deadline: instant(request.arrival + request.whole),
         }
     }
 
     /// The lowest tier that waits.
     pub(super) fn lowest(&self) -> Option<u8> {
-        self.queue.lowest()
+        self.queue.lowest_waiting_rank()
     }
 }
--- a/crates/lab/src/measure/world.rs
+++ b/crates/lab/src/measure/world.rs
@@ -258,7 +258,7 @@
                     if let Place::Sent { first, .. } = &mut self.places[id] {
                         *first = Some(now);
                     }
-                    self.tell(id, Report::First, now);
+                    self.tell(id, Report::FirstToken, now);
                 }
                 Event::Ended(id, cached) => self.ended(id, cached, now),
             }
