--- a/crates/core/tests/allowances.rs
+++ b/crates/core/tests/allowances.rs
@@ -8,11 +8,11 @@
 use curlewlift_core::quota::Desk;
 use curlewlift_core::route::Allowance;
 
-use support::asks::at;
 use support::gateways::ALLOWANCE;
 use support::gateways::TOLERANCE;
 use support::gateways::World;
 use support::gateways::ann;
+use support::requests::at;
 
 fn seconds(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
--- a/crates/core/tests/fleet_pick.rs
+++ b/crates/core/tests/fleet_pick.rs
@@ -19,9 +19,9 @@
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
 
-use support::asks::at;
-use support::asks::fleet;
-use support::asks::spec;
+use support::requests::at;
+use support::requests::fleet;
+use support::requests::spec;
 
 /// Servers of one class differ by a quarter octave at the most.
 const TOLERANCE: f64 = 1.2;
--- a/crates/core/tests/queue_load.rs
+++ b/crates/core/tests/queue_load.rs
@@ -9,11 +9,11 @@
 use curlewlift_core::queue::Ticket;
 use curlewlift_core::unit::Tokens;
 
-use support::asks::ask;
-use support::asks::at;
-use support::asks::fleet;
-use support::asks::spec;
-use support::asks::ticket;
+use support::requests::at;
+use support::requests::fleet;
+use support::requests::request;
+use support::requests::spec;
+use support::requests::ticket;
 
 fn grants(queue: &mut Queue) -> Vec<(Ticket, String)> {
     let grants = queue
@@ -55,8 +55,8 @@
     let servers = vec![spec("slow", 8, 10_000, 100), spec("fine", 8, 10_000, 100)];
     let mut queue = Queue::new(fleet(servers), Tokens(u64::MAX));
     // One request goes to each; the one at `slow` hears nothing.
-    queue.submit(ask(1, "a", 0, 1_000), at(0));
-    queue.submit(ask(2, "a", 0, 1_000), at(0));
+    queue.submit(request(1, "a", 0, 1_000), at(0));
+    queue.submit(request(2, "a", 0, 1_000), at(0));
     let first = grants(&mut queue);
     assert_eq!(first.len(), 2);
     let fine = first
@@ -69,7 +69,7 @@
     }
     // Within a second and a half new work goes to the other, on own evidence alone.
     for number in 10..14 {
-        queue.submit(ask(number, "a", 0, 100), at(1_500));
+        queue.submit(request(number, "a", 0, 100), at(1_500));
         let granted = grants(&mut queue);
         assert_eq!(granted[0].1, "fine");
         end(&mut queue, &granted[0].0, 1_510);
@@ -80,13 +80,13 @@
 fn flooding_customer() {
     let mut queue = Queue::new(fleet(vec![spec("m", 1, 100_000, 100)]), Tokens(u64::MAX));
     for number in 0..5_000 {
-        let mut flood = ask(number, "flood", 1, 100);
+        let mut flood = request(number, "flood", 1, 100);
         flood.max_waiting = 50;
         queue.submit(flood, at(0));
     }
     assert_eq!(queue.waiting_count(), 50, "its queue is bounded");
     assert_eq!(refusals(&mut queue).len(), 5_000 - 51);
-    queue.submit(ask(9_000, "calm", 1, 100), at(0));
+    queue.submit(request(9_000, "calm", 1, 100), at(0));
     end(&mut queue, &ticket(0), 10);
     assert_eq!(grants(&mut queue)[0].0, ticket(9_000), "the other is next");
 }
@@ -95,11 +95,11 @@
 fn short_behind_long() {
     let mut queue = Queue::new(fleet(vec![spec("m", 1, 10_000, 100)]), Tokens(u64::MAX));
     for number in 0..10 {
-        let mut long = ask(number, "a", 0, 50_000);
+        let mut long = request(number, "a", 0, 50_000);
         long.deadline = at(300_000);
         queue.submit(long, at(0));
     }
-    let mut short = ask(100, "a", 0, 50);
+    let mut short = request(100, "a", 0, 50);
     short.deadline = at(8_000);
     short.first_token_deadline = at(8_000);
     queue.submit(short, at(0));
@@ -115,7 +115,7 @@
 #[test]
 fn too_late() {
     let mut queue = Queue::new(fleet(vec![spec("m", 1, 1_000, 10)]), Tokens(u64::MAX));
-    let mut hopeless = ask(1, "a", 0, 10_000);
+    let mut hopeless = request(1, "a", 0, 10_000);
     hopeless.deadline = at(5_000);
     queue.submit(hopeless, at(0));
     assert_eq!(
@@ -132,9 +132,9 @@
     let mut granted = 0;
     for number in 0..100 {
         for attempt in 0..4 {
-            let mut ask = ask(number, "a", 0, 100);
-            ask.attempt = attempt;
-            queue.submit(ask, at(number * 10));
+            let mut request = request(number, "a", 0, 100);
+            request.attempt = attempt;
+            queue.submit(request, at(number * 10));
             if let Some((ticket, _)) = grants(&mut queue).pop() {
                 granted += 1;
                 end(&mut queue, &ticket, number * 10 + 1);
@@ -150,13 +150,13 @@
 #[test]
 fn lowest_first() {
     let mut queue = Queue::new(fleet(vec![spec("m", 1, 100_000, 100)]), Tokens(1_000));
-    queue.submit(ask(0, "a", 0, 100), at(0));
+    queue.submit(request(0, "a", 0, 100), at(0));
     for number in 1..9 {
         let rank = u8::try_from(number % 3).expect("small");
-        queue.submit(ask(number, "a", rank, 100), at(0));
+        queue.submit(request(number, "a", rank, 100), at(0));
     }
     drop(queue.take_actions());
-    queue.submit(ask(20, "b", 0, 400), at(0));
+    queue.submit(request(20, "b", 0, 400), at(0));
     let shed: Vec<_> = queue
         .take_actions()
         .into_iter()
@@ -180,10 +180,10 @@
     let servers = || fleet(vec![spec("m", 1, 100_000, 100)]);
     let mut queue = Queue::new(servers(), Tokens(u64::MAX));
     queue.set_grants_held(true, at(0));
-    queue.submit(ask(2, "a", 0, 100), at(10));
+    queue.submit(request(2, "a", 0, 100), at(10));
     assert!(grants(&mut queue).is_empty(), "it listens first");
     let server = "m".parse().expect("a name");
-    queue.restore_running(ask(1, "a", 0, 100), &server, at(20));
+    queue.restore_running(request(1, "a", 0, 100), &server, at(20));
     queue.set_grants_held(false, at(300));
     assert!(
         grants(&mut queue).is_empty(),
--- a/crates/core/tests/queue_order.rs
+++ b/crates/core/tests/queue_order.rs
@@ -22,10 +22,10 @@
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
 
-use support::asks::ask;
-use support::asks::at;
-use support::asks::fleet;
-use support::asks::spec;
+use support::requests::at;
+use support::requests::fleet;
+use support::requests::request;
+use support::requests::spec;
 
 const HISTORIES: u64 = 300;
 const STEPS: u64 = 300;
@@ -43,9 +43,9 @@
 }
 
 impl Plain {
-    fn push(&mut self, order: u64, ask: Request) {
-        let key = (ask.rank, ask.customer.to_string());
-        let floor = self.floor.get(&ask.rank).copied().unwrap_or(0);
+    fn push(&mut self, order: u64, request: Request) {
+        let key = (request.rank, request.customer.to_string());
+        let floor = self.floor.get(&request.rank).copied().unwrap_or(0);
         let idle = !self
             .waiting
             .iter()
@@ -54,46 +54,48 @@
         if idle {
             *had = (*had).max(floor);
         }
-        self.waiting.push((order, ask));
+        self.waiting.push((order, request));
     }
 
     fn pop(&mut self) -> Option<Request> {
         let rank_of = |entry: &(u64, Request)| {
-            let ask = &entry.1;
-            let had = self.had[&(ask.rank, ask.customer.to_string())];
+            let request = &entry.1;
+            let had = self.had[&(request.rank, request.customer.to_string())];
             (
-                ask.rank,
+                request.rank,
                 had,
-                ask.customer.to_string(),
-                ask.deadline,
+                request.customer.to_string(),
+                request.deadline,
                 entry.0,
             )
         };
         let place = (0..self.waiting.len()).min_by_key(|place| rank_of(&self.waiting[*place]))?;
-        let (_, ask) = self.waiting.remove(place);
-        let had = self.had.get_mut(&(ask.rank, ask.customer.to_string()))?;
-        let floor = self.floor.entry(ask.rank).or_insert(0);
+        let (_, request) = self.waiting.remove(place);
+        let had = self
+            .had
+            .get_mut(&(request.rank, request.customer.to_string()))?;
+        let floor = self.floor.entry(request.rank).or_insert(0);
         *floor = (*floor).max(*had);
-        *had += (ask.prompt.0 + EXPECTED) * 1_000 / u64::from(ask.weight);
-        Some(ask)
+        *had += (request.prompt.0 + EXPECTED) * 1_000 / u64::from(request.weight);
+        Some(request)
     }
 }
 
 fn draw(g: &mut Gen, number: u64) -> Request {
     let customer = CUSTOMERS[usize::arbitrary(g) % CUSTOMERS.len()];
-    let mut ask = ask(
+    let mut request = request(
         number,
         customer,
         u8::arbitrary(g) % 3,
         u64::arbitrary(g) % 1_000 + 1,
     );
-    ask.weight = match customer {
+    request.weight = match customer {
         "a" => 4,
         _ => 1,
     };
-    ask.deadline = at(500_000 + u64::arbitrary(g) % 1_000);
-    ask.first_token_deadline = ask.deadline;
-    ask
+    request.deadline = at(500_000 + u64::arbitrary(g) % 1_000);
+    request.first_token_deadline = request.deadline;
+    request
 }
 
 #[test]
@@ -108,9 +110,9 @@
         let mut running: Option<Ticket> = None;
         for number in 0..STEPS {
             if u8::arbitrary(&mut g) < 150 {
-                let ask = draw(&mut g, number);
-                plain.push(number, ask.clone());
-                queue.submit(ask, at(number));
+                let request = draw(&mut g, number);
+                plain.push(number, request.clone());
+                queue.submit(request, at(number));
             } else if let Some(ticket) = running.take() {
                 // The length of answers is not learnt here, so that costs stay as they are told.
                 let output = Tokens(0);
@@ -147,11 +149,11 @@
             let now = at(number * 10);
             match u8::arbitrary(&mut g) {
                 0..=139 => {
-                    let mut ask = draw(&mut g, number);
-                    ask.deadline = at(number * 10 + 200 + u64::arbitrary(&mut g) % 2_000);
-                    ask.first_token_deadline = ask.deadline;
-                    waiting.insert(ask.ticket.clone(), ask.rank);
-                    queue.submit(ask, now);
+                    let mut request = draw(&mut g, number);
+                    request.deadline = at(number * 10 + 200 + u64::arbitrary(&mut g) % 2_000);
+                    request.first_token_deadline = request.deadline;
+                    waiting.insert(request.ticket.clone(), request.rank);
+                    queue.submit(request, now);
                 }
                 140..=199 => {
                     if let Some(ticket) = running.pop_first() {
@@ -214,11 +216,14 @@
     let mut prompts = BTreeMap::new();
     for number in 0..2_000 {
         let customer = ["a", "b"][number as usize % 2];
-        let mut ask = ask(number, customer, 0, u64::arbitrary(&mut g) % 5_000 + 1);
-        ask.weight = if customer == "a" { 3 } else { 1 };
-        ask.max_waiting = 2_000;
-        prompts.insert(ask.ticket.clone(), (customer, ask.prompt.0 + EXPECTED));
-        queue.submit(ask, at(0));
+        let mut request = request(number, customer, 0, u64::arbitrary(&mut g) % 5_000 + 1);
+        request.weight = if customer == "a" { 3 } else { 1 };
+        request.max_waiting = 2_000;
+        prompts.insert(
+            request.ticket.clone(),
+            (customer, request.prompt.0 + EXPECTED),
+        );
+        queue.submit(request, at(0));
     }
     let mut had = BTreeMap::from([("a", 0.0), ("b", 0.0)]);
     // The first grant came before the others waited; from then on both always wait.
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -2,7 +2,6 @@
 
 #![allow(dead_code)]
 
-pub(crate) mod asks;
 pub(crate) mod ending;
 pub(crate) mod gateways;
 pub(crate) mod history;
@@ -11,4 +10,5 @@
 pub(crate) mod members;
 pub(crate) mod messages;
 pub(crate) mod replicas;
+pub(crate) mod requests;
 pub(crate) mod resting;
--- a/crates/core/tests/support/asks.rs
+++ b/crates/core/tests/support/requests.rs
@@ -1,4 +1,4 @@
-//! Asks and servers for tests of the queue.
+//! Builds requests and backend servers for the queue tests.
 
 use std::time::Duration;
 
@@ -11,24 +11,24 @@
 use curlewlift_core::unit::Rate;
 use curlewlift_core::unit::Tokens;
 
-/// A moment so many milliseconds after the beginning.
+/// The instant `millis` milliseconds after the start of the test clock.
 pub(crate) fn at(millis: u64) -> Instant {
     Instant::default() + Duration::from_millis(millis)
 }
 
-/// A ticket of the entry `e1`.
+/// A ticket issued by the entry `e1`.
 pub(crate) fn ticket(number: u64) -> Ticket {
     Ticket {
-        host: "e1".parse().expect("a name"),
+        host: "e1".parse().expect("a valid name"),
         number: id::Ticket(number),
     }
 }
 
-/// An ask with a far deadline.
-pub(crate) fn ask(number: u64, customer: &str, rank: u8, prompt: u64) -> Request {
+/// A request with a deadline far in the future.
+pub(crate) fn request(number: u64, customer: &str, rank: u8, prompt: u64) -> Request {
     Request {
         ticket: ticket(number),
-        customer: customer.parse().expect("a name"),
+        customer: customer.parse().expect("a valid name"),
         weight: 1,
         max_waiting: 1_000,
         rank,
@@ -41,11 +41,11 @@
     }
 }
 
-/// A server with slots and rates.
+/// A backend server with these slots and token rates.
 pub(crate) fn spec(name: &str, slots: u32, prefill: u64, decode: u64) -> Spec {
     Spec {
-        name: name.parse().expect("a name"),
-        hall: "a".parse().expect("a name"),
+        name: name.parse().expect("a valid name"),
+        hall: "a".parse().expect("a valid name"),
         slots,
         prefill: Rate(prefill),
         decode: Rate(decode),
