--- a/crates/core/src/gateway/rollouts.rs
+++ b/crates/core/src/gateway/rollouts.rs
@@ -4,10 +4,10 @@
 use crate::clock::Instant;
 use crate::evacuation::Halls;
 use crate::id;
+use crate::rollout::Conditions;
 use crate::rollout::Order;
 use crate::rollout::Plans;
 use crate::rollout::Policy;
-use crate::rollout::Scene;
 use crate::rollout::Step;
 use crate::rollout::Version;
 
@@ -43,13 +43,13 @@
     pub fn tend_rollouts(&mut self, now: Instant) -> Vec<(Step, String)> {
         let established = self.trials.establish(&self.listing, now).into_iter();
         let mut steps: Vec<_> = established.map(|step| (step, String::new())).collect();
-        let is_known = self.is_known(now);
+        let is_policy_applied = self.is_policy_applied(now);
         let mut trials = std::mem::take(&mut self.trials);
-        let scene = |service: &_, target: &_| Scene {
-            is_known,
-            ..self.scene(service, target)
+        let conditions = |service: &_, target: &_| Conditions {
+            is_policy_applied,
+            ..self.conditions(service, target)
         };
-        steps.extend(trials.tend(scene, now));
+        steps.extend(trials.tend(conditions, now));
         self.trials = trials;
         steps
     }
@@ -97,8 +97,8 @@
     }
 
     /// What there is around a roll-out of `service` to `target`.
-    fn scene(&self, service: &id::Service, target: &Version) -> Scene {
-        let mut scene = Scene::default();
+    fn conditions(&self, service: &id::Service, target: &Version) -> Conditions {
+        let mut conditions = Conditions::default();
         for server in self
             .listing
             .servers
@@ -107,22 +107,22 @@
         {
             let in_flight = self.dispatcher.in_flight(&server.incarnation);
             let slots = if server.leaving { 0 } else { server.slots };
-            scene.in_flight += in_flight;
+            conditions.in_flight += in_flight;
             if server.version == *target {
-                scene.target_slots += slots;
-                scene.target_servers += usize::from(slots > 0);
+                conditions.target_slots += slots;
+                conditions.target_servers += usize::from(slots > 0);
             } else {
-                scene.former_slots += slots;
-                scene.at_former += in_flight;
+                conditions.former_slots += slots;
+                conditions.in_flight_at_former += in_flight;
             }
         }
-        scene
+        conditions
     }
 
     /// Whether every gateway goes by the policy in force, as far as this hub knows of gateways.
     ///
     /// A hub that has only begun has not heard them all yet.
-    fn is_known(&self, now: Instant) -> bool {
+    fn is_policy_applied(&self, now: Instant) -> bool {
         let version = self.policy.version;
         let all = self.seen.values().all(|seen| seen.policy == version);
         all && now.since(self.began) >= self.tuning.silent * 2
--- a/crates/core/src/rollout/yardstick.rs
+++ b/crates/core/src/rollout/baseline.rs
@@ -161,11 +161,11 @@
 
 /// What answers of a service usually look like, by rule; memory is bounded by 256 answers a rule.
 #[derive(Clone, Debug, Default)]
-pub struct Yardstick {
+pub struct Baseline {
     rules: BTreeMap<Arc<str>, Kept>,
 }
 
-impl Yardstick {
+impl Baseline {
     /// Takes up an answer of the version that serves; whether it showed anything.
     pub fn take(&mut self, sample: &Sample) -> bool {
         let Some(shown) = Shown::of(sample.end) else {
--- a/crates/core/src/rollout/judge.rs
+++ b/crates/core/src/rollout/judge.rs
@@ -12,8 +12,8 @@
 use std::fmt;
 use std::sync::Arc;
 
+use super::Baseline;
 use super::Sample;
-use super::Yardstick;
 
 /// By how much more of its answers a version must fail to be taken for bad. One that fails four in ten where one in
 /// a hundred is usual is told by five bad answers in the mean, ten at the most (example `verdicts`).
@@ -96,13 +96,13 @@
 /// use curlewlift_core::pool::End;
 /// use curlewlift_core::rollout::Judge;
 /// use curlewlift_core::rollout::Sample;
-/// use curlewlift_core::rollout::Yardstick;
+/// use curlewlift_core::rollout::Baseline;
 /// let mut judge = Judge::default();
-/// let usual = Yardstick::default();
+/// let baseline = Baseline::default();
 /// for server in ["s1", "s2", "s1", "s2"] {
 ///     let end = End::Failed;
 ///     let sample = Sample { rule: "chat".into(), server: server.into(), end };
-///     judge.take(&sample, &usual, 2, true);
+///     judge.take(&sample, &baseline, 2, true);
 /// }
 /// assert!(judge.against().is_some(), "four failures of two servers, where one in a hundred is usual");
 /// ```
@@ -115,8 +115,14 @@
 impl Judge {
     /// Takes up an answer of the version, which has so many `servers`; where times do not count, one that is only
     /// slow is good.
-    pub fn take(&mut self, sample: &Sample, usual: &Yardstick, servers: usize, times_count: bool) {
-        let Some((is_bad, often)) = usual.measure(sample, times_count) else {
+    pub fn take(
+        &mut self,
+        sample: &Sample,
+        baseline: &Baseline,
+        servers: usize,
+        times_count: bool,
+    ) {
+        let Some((is_bad, often)) = baseline.measure(sample, times_count) else {
             return;
         };
         let shift = shift(is_bad, often);
--- a/crates/core/src/rollout/mod.rs
+++ b/crates/core/src/rollout/mod.rs
@@ -5,6 +5,7 @@
 //! of the requests ([`Exposure`]), compares its answers with those of the version beside it ([`Judge`]), and
 //! moves the service over, or back ([`Trial`]).
 
+mod baseline;
 mod exposure;
 mod judge;
 mod order;
@@ -13,8 +14,9 @@
 mod trial;
 mod trials;
 mod version;
-mod yardstick;
 
+pub use baseline::Baseline;
+pub use baseline::Sample;
 pub use exposure::Exposure;
 pub use judge::Evidence;
 pub use judge::Judge;
@@ -24,10 +26,8 @@
 pub use plans::Plans;
 pub use policy::Policy;
 pub use trial::Bounds;
-pub use trial::Scene;
+pub use trial::Conditions;
 pub use trial::Trial;
 pub use trials::Trials;
-pub use version::Invalid;
+pub use version::InvalidVersion;
 pub use version::Version;
-pub use yardstick::Sample;
-pub use yardstick::Yardstick;
--- a/crates/core/src/rollout/trial.rs
+++ b/crates/core/src/rollout/trial.rs
@@ -7,12 +7,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use super::Baseline;
 use super::Evidence;
 use super::Exposure;
 use super::Judge;
 use super::Phase;
 use super::Sample;
-use super::Yardstick;
 
 /// The part of a roll-out's time after which a version that is trusted gets all new requests: what runs at the
 /// former one has the rest to end in. At 0.6 a tenth of the versions that turn slow at a third of the time came
@@ -40,7 +40,7 @@
 
 /// What there is around a trial at a moment.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Scene {
+pub struct Conditions {
     /// The time since the order.
     pub age: Duration,
     /// Slots of the servers of the target that take new work.
@@ -52,9 +52,9 @@
     /// Requests that run at the service, of whatever version.
     pub in_flight: u32,
     /// Requests that run at the former versions.
-    pub at_former: u32,
+    pub in_flight_at_former: u32,
     /// Whether every gateway that may still send there by its own choice is heard and knows better.
-    pub is_known: bool,
+    pub is_policy_applied: bool,
 }
 
 /// One roll-out under way.
@@ -64,7 +64,7 @@
     length: Duration,
     phase: Phase,
     exposure: Exposure,
-    usual: Yardstick,
+    baseline: Baseline,
     judge: Judge,
 }
 
@@ -77,7 +77,7 @@
             length,
             phase,
             exposure: Exposure::new(bounds.share, on_top),
-            usual: Yardstick::default(),
+            baseline: Baseline::default(),
             judge: Judge::default(),
         }
     }
@@ -89,7 +89,7 @@
 
     /// Takes up an answer of a former version.
     pub fn former(&mut self, sample: &Sample) {
-        if self.usual.take(sample) {
+        if self.baseline.take(sample) {
             self.exposure.earn();
         }
     }
@@ -99,7 +99,8 @@
         // Once all new requests go there, nothing tells any more how slow the load alone makes answers: beside
         // busy hosts good versions were rolled back for it.
         let times_count = self.phase == Phase::Trial;
-        self.judge.take(sample, &self.usual, servers, times_count);
+        self.judge
+            .take(sample, &self.baseline, servers, times_count);
     }
 
     /// How many requests the target may get now; none where it has no bound any more.
@@ -115,7 +116,7 @@
     /// The rules that are often asked and under which the target is not trusted yet.
     #[must_use]
     pub fn lacking(&self) -> Vec<Arc<str>> {
-        self.judge.lacking(self.usual.busy_rules())
+        self.judge.lacking(self.baseline.busy_rules())
     }
 
     /// A request is given a place at the target.
@@ -127,13 +128,13 @@
 
     /// The phase that is to follow, and why, where one is.
     #[must_use]
-    pub fn next(&self, scene: &Scene) -> Option<(Phase, String)> {
+    pub fn next(&self, conditions: &Conditions) -> Option<(Phase, String)> {
         if let Some(evidence) = self.judge.against() {
             return Some((Phase::RolledBack, evidence.to_string()));
         }
         match self.phase {
-            Phase::Trial => self.after_trial(scene),
-            Phase::Moving => self.after_moving(scene),
+            Phase::Trial => self.after_trial(conditions),
+            Phase::Moving => self.after_moving(conditions),
             Phase::Completed | Phase::RolledBack => None,
         }
     }
@@ -144,34 +145,36 @@
         self.judge.against()
     }
 
-    fn after_trial(&self, scene: &Scene) -> Option<(Phase, String)> {
+    fn after_trial(&self, conditions: &Conditions) -> Option<(Phase, String)> {
         let answers = self.judge.count();
-        let slots = scene.target_slots;
-        if scene.age < self.length.mul_f64(GIVEN_UP) {
+        let slots = conditions.target_slots;
+        if conditions.age < self.length.mul_f64(GIVEN_UP) {
             let why = format!("answers={answers} slots={slots}");
-            return self.is_trusted(scene).then_some((Phase::Moving, why));
+            return self.is_trusted(conditions).then_some((Phase::Moving, why));
         }
         let why = format!("not trusted within its time: answers={answers} slots={slots}");
         Some((Phase::RolledBack, why))
     }
 
     /// Whether the target is to get all new requests.
-    fn is_trusted(&self, scene: &Scene) -> bool {
-        let is_past = |part: f64| scene.age >= self.length.mul_f64(part);
-        let (slots, former) = (scene.target_slots, scene.former_slots);
+    fn is_trusted(&self, conditions: &Conditions) -> bool {
+        let is_past = |part: f64| conditions.age >= self.length.mul_f64(part);
+        let (slots, former) = (conditions.target_slots, conditions.former_slots);
         let has_room = if is_past(PRESSED) {
-            slots >= scene.in_flight.max(1)
+            slots >= conditions.in_flight.max(1)
         } else {
             slots > 0 && f64::from(slots) >= f64::from(former) * ROOM
         };
-        let is_compared = self.usual.busy_rules().next().is_some();
+        let is_compared = self.baseline.busy_rules().next().is_some();
         let is_trusted = is_compared && self.judge.is_trusted() && self.lacking().is_empty();
         is_past(TRIED) && has_room && is_trusted
     }
 
     /// Whoever stops the former version once the roll-out is completed cuts off what still runs there.
-    fn after_moving(&self, scene: &Scene) -> Option<(Phase, String)> {
-        let is_clear = scene.at_former == 0 && scene.is_known && scene.target_servers > 0;
+    fn after_moving(&self, conditions: &Conditions) -> Option<(Phase, String)> {
+        let is_clear = conditions.in_flight_at_former == 0
+            && conditions.is_policy_applied
+            && conditions.target_servers > 0;
         let why = format!("answers={}", self.judge.count());
         is_clear.then_some((Phase::Completed, why))
     }
--- a/crates/core/src/rollout/trials.rs
+++ b/crates/core/src/rollout/trials.rs
@@ -13,11 +13,11 @@
 use crate::pool::OnTrial;
 
 use super::Bounds;
+use super::Conditions;
 use super::Order;
 use super::Plans;
 use super::Policy;
 use super::Sample;
-use super::Scene;
 use super::Step;
 use super::Trial;
 use super::Version;
@@ -146,11 +146,11 @@
         }
     }
 
-    /// The steps that are to be agreed now, with what speaks for each; `scene` tells what there is around a
+    /// The steps that are to be agreed now, with what speaks for each; `conditions` tells what there is around a
     /// service whose target is this version.
     pub fn tend(
         &mut self,
-        scene: impl Fn(&id::Service, &Version) -> Scene,
+        conditions: impl Fn(&id::Service, &Version) -> Conditions,
         now: Instant,
     ) -> Vec<(Step, String)> {
         let mut steps = Vec::new();
@@ -158,10 +158,10 @@
             if under_way.proposed.is_some_and(|at| now.since(at) < AGAIN) {
                 continue;
             }
-            let mut scene = scene(service, &under_way.target);
+            let mut conditions = conditions(service, &under_way.target);
             let (age, since) = under_way.known;
-            scene.age = age + now.since(since);
-            if let Some((phase, why)) = under_way.trial.next(&scene) {
+            conditions.age = age + now.since(since);
+            if let Some((phase, why)) = under_way.trial.next(&conditions) {
                 under_way.proposed = Some(now);
                 let step = Step::Advanced {
                     service: service.clone(),
--- a/crates/core/src/rollout/version.rs
+++ b/crates/core/src/rollout/version.rs
@@ -12,9 +12,9 @@
 
 /// The reason why a text does not name a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Invalid(String);
+pub struct InvalidVersion(String);
 
-impl fmt::Display for Invalid {
+impl fmt::Display for InvalidVersion {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = &self.0;
         write!(
@@ -24,7 +24,7 @@
     }
 }
 
-impl std::error::Error for Invalid {}
+impl std::error::Error for InvalidVersion {}
 
 /// The version of the software that a backend server runs, as whoever started the server calls it.
 ///
@@ -37,7 +37,7 @@
 /// let version: Version = "v2".parse()?;
 /// assert_eq!(version.to_string(), "v2");
 /// assert!("v 2".parse::<Version>().is_err());
-/// # Ok::<(), curlewlift_core::rollout::Invalid>(())
+/// # Ok::<(), curlewlift_core::rollout::InvalidVersion>(())
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
@@ -50,22 +50,22 @@
 }
 
 impl FromStr for Version {
-    type Err = Invalid;
+    type Err = InvalidVersion;
 
-    fn from_str(text: &str) -> Result<Self, Invalid> {
+    fn from_str(text: &str) -> Result<Self, InvalidVersion> {
         let is_clean = |c: char| !c.is_whitespace() && !c.is_control();
         if (1..=LONGEST).contains(&text.len()) && text.chars().all(is_clean) {
             Ok(Self(text.into()))
         } else {
-            Err(Invalid(text.chars().take(LONGEST).collect()))
+            Err(InvalidVersion(text.chars().take(LONGEST).collect()))
         }
     }
 }
 
 impl TryFrom<String> for Version {
-    type Error = Invalid;
+    type Error = InvalidVersion;
 
-    fn try_from(text: String) -> Result<Self, Invalid> {
+    fn try_from(text: String) -> Result<Self, InvalidVersion> {
         text.parse()
     }
 }
--- a/crates/core/tests/rollout_bounds.rs
+++ b/crates/core/tests/rollout_bounds.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use curlewlift_core::pool::End;
+use curlewlift_core::rollout::Baseline;
 use curlewlift_core::rollout::Bounds;
+use curlewlift_core::rollout::Conditions;
 use curlewlift_core::rollout::Judge;
 use curlewlift_core::rollout::Phase;
 use curlewlift_core::rollout::Sample;
-use curlewlift_core::rollout::Scene;
 use curlewlift_core::rollout::Trial;
-use curlewlift_core::rollout::Yardstick;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -96,34 +96,34 @@
         trial.target(&sample(server, End::Failed), 2);
     }
     assert!(given < 10, "{given} failures");
-    let next = trial.next(&Scene::default());
+    let next = trial.next(&Conditions::default());
     assert_eq!(next.map(|(phase, _)| phase), Some(Phase::RolledBack));
 }
 
 /// One server that fails for a reason of its own does not show that its version is bad.
 #[test]
 fn one_server() {
-    let usual = Yardstick::default();
+    let baseline = Baseline::default();
     let mut judge = Judge::default();
     for _ in 0..50 {
-        judge.take(&sample("s2", End::Failed), &usual, 3, true);
+        judge.take(&sample("s2", End::Failed), &baseline, 3, true);
     }
     assert!(judge.against().is_none());
-    judge.take(&sample("s3", End::Failed), &usual, 3, true);
-    judge.take(&sample("s3", End::Failed), &usual, 3, true);
+    judge.take(&sample("s3", End::Failed), &baseline, 3, true);
+    judge.take(&sample("s3", End::Failed), &baseline, 3, true);
     assert!(judge.against().is_some(), "two servers do");
 }
 
 /// A burst that slows all servers is no evidence against the new ones.
 #[test]
 fn slow_all() {
-    let mut usual = Yardstick::default();
+    let mut baseline = Baseline::default();
     let mut judge = Judge::default();
     for round in 0..400 {
         let first = if round < 200 { 20 } else { 200 };
-        usual.take(&sample(&format!("s{}", round % 60), good(first)));
+        baseline.take(&sample(&format!("s{}", round % 60), good(first)));
         if round % 10 == 0 && !(200..240).contains(&round) {
-            judge.take(&sample("n1", good(first)), &usual, 2, true);
+            judge.take(&sample("n1", good(first)), &baseline, 2, true);
         }
     }
     assert!(judge.against().is_none());
@@ -161,43 +161,52 @@
     for round in 0..200 {
         trial.former(&sample(&format!("s{}", round % 20), good(20)));
     }
-    let mut scene = Scene {
+    let mut conditions = Conditions {
         age: LENGTH / 2,
         target_slots: 20,
         target_servers: 5,
         former_slots: 20,
         in_flight: 10,
-        at_former: 10,
-        is_known: true,
+        in_flight_at_former: 10,
+        is_policy_applied: true,
     };
-    let phase = |trial: &Trial, scene: &Scene| trial.next(scene).map(|(phase, _)| phase);
+    let phase =
+        |trial: &Trial, conditions: &Conditions| trial.next(conditions).map(|(phase, _)| phase);
     for round in 0..60 {
         trial.target(&sample(&format!("n{}", round % 5), good(20)), 5);
     }
-    assert_eq!(phase(&trial, &scene), None, "it may still turn bad");
-    scene.age = LENGTH * 7 / 10;
-    scene.target_slots = 10;
-    assert_eq!(phase(&trial, &scene), None, "it has no room for all");
-    scene.target_slots = 20;
-    assert_eq!(phase(&trial, &scene), Some(Phase::Moving));
+    assert_eq!(phase(&trial, &conditions), None, "it may still turn bad");
+    conditions.age = LENGTH * 7 / 10;
+    conditions.target_slots = 10;
+    assert_eq!(phase(&trial, &conditions), None, "it has no room for all");
+    conditions.target_slots = 20;
+    assert_eq!(phase(&trial, &conditions), Some(Phase::Moving));
     trial.advance(Phase::Moving);
     assert_eq!(trial.credit(), None, "without a bound");
-    assert_eq!(phase(&trial, &scene), None, "some still run at the former");
-    scene.at_former = 0;
-    scene.is_known = false;
-    assert_eq!(phase(&trial, &scene), None, "some may still be sent there");
-    scene.is_known = true;
-    assert_eq!(phase(&trial, &scene), Some(Phase::Completed));
+    assert_eq!(
+        phase(&trial, &conditions),
+        None,
+        "some still run at the former"
+    );
+    conditions.in_flight_at_former = 0;
+    conditions.is_policy_applied = false;
+    assert_eq!(
+        phase(&trial, &conditions),
+        None,
+        "some may still be sent there"
+    );
+    conditions.is_policy_applied = true;
+    assert_eq!(phase(&trial, &conditions), Some(Phase::Completed));
 }
 
 #[test]
 fn never_seen() {
     let trial = trial(true);
-    let scene = |age| Scene {
+    let conditions = |age| Conditions {
         age,
-        ..Scene::default()
+        ..Conditions::default()
     };
-    assert!(trial.next(&scene(LENGTH)).is_none());
-    let next = trial.next(&scene(LENGTH * 2));
+    assert!(trial.next(&conditions(LENGTH)).is_none());
+    let next = trial.next(&conditions(LENGTH * 2));
     assert_eq!(next.map(|(phase, _)| phase), Some(Phase::RolledBack));
 }
--- a/crates/lab/examples/verdicts.rs
+++ b/crates/lab/examples/verdicts.rs
@@ -11,9 +11,9 @@
 use std::collections::VecDeque;
 
 use curlewlift_core::pool::End;
+use curlewlift_core::rollout::Baseline;
 use curlewlift_core::rollout::Judge;
 use curlewlift_core::rollout::Sample;
-use curlewlift_core::rollout::Yardstick;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -115,13 +115,13 @@
 
 fn odds(answers: &[bool], usual: f64, seed: u64) -> Option<usize> {
     let mut random = SmallRng::seed_from_u64(seed ^ 1);
-    let mut yardstick = Yardstick::default();
+    let mut baseline = Baseline::default();
     for server in 0..600 {
-        yardstick.take(&sample(server % 100, random.random_bool(usual)));
+        baseline.take(&sample(server % 100, random.random_bool(usual)));
     }
     let mut judge = Judge::default();
     answers.iter().enumerate().find_map(|(at, is_bad)| {
-        judge.take(&sample(at % SERVERS, *is_bad), &yardstick, SERVERS, true);
+        judge.take(&sample(at % SERVERS, *is_bad), &baseline, SERVERS, true);
         judge.against().map(|_| at + 1)
     })
 }
