--- a/crates/core/src/gateway/rollouts.rs
+++ b/crates/core/src/gateway/rollouts.rs
@@ -34,7 +34,11 @@
 
     /// Works out anew who may send where.
     fn renew_policy(&mut self) {
-        self.policy = self.trials.get_policy().clone().closing(&self.evacuated);
+        self.policy = self
+            .trials
+            .get_policy()
+            .clone()
+            .with_evacuated(&self.evacuated);
         let admitted = self.admitted(&self.listing);
         self.dispatcher.adopt(&admitted, &self.limits);
     }
--- a/crates/core/src/rollout/order.rs
+++ b/crates/core/src/rollout/order.rs
@@ -19,7 +19,8 @@
     /// The version that it is to run.
     pub target: Version,
     /// Within what time after the order.
-    pub length: Duration,
+    #[serde(rename = "length")]
+    pub duration: Duration,
     /// When it was given, in milliseconds of Unix time: a leader that did not see it come takes its age from
     /// this. Nothing that must always hold depends on it, as clocks jump.
     pub given_ms: u64,
@@ -28,15 +29,17 @@
 impl Order {
     /// Whether `other` is the same order, given again.
     #[must_use]
-    pub fn is_same(&self, other: &Self) -> bool {
-        self.service == other.service && self.target == other.target && self.length == other.length
+    pub fn is_repeat_of(&self, other: &Self) -> bool {
+        self.service == other.service
+            && self.target == other.target
+            && self.duration == other.duration
     }
 
     /// The time since it was given, at `now_ms` of Unix time; no more than its length, whatever clocks say.
     #[must_use]
     pub fn age(&self, now_ms: u64) -> Duration {
         let age = Duration::from_millis(now_ms.saturating_sub(self.given_ms));
-        age.min(self.length)
+        age.min(self.duration)
     }
 }
 
@@ -56,15 +59,15 @@
 impl Phase {
     /// Whether nothing follows it.
     #[must_use]
-    pub fn is_end(self) -> bool {
+    pub fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::RolledBack)
     }
 
     /// Whether a roll-out may come to `next` from here.
-    pub(super) fn leads_to(self, next: Self) -> bool {
+    pub(super) fn can_advance_to(self, next: Self) -> bool {
         match self {
             Self::Trial => matches!(next, Self::Moving | Self::RolledBack),
-            Self::Moving => next.is_end(),
+            Self::Moving => next.is_final(),
             Self::Completed | Self::RolledBack => false,
         }
     }
--- a/crates/core/src/rollout/plans.rs
+++ b/crates/core/src/rollout/plans.rs
@@ -17,11 +17,12 @@
 
 /// What is agreed of one service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-struct Course {
+struct ServiceRollout {
     /// The versions that serve it; none before that is known.
     serving: BTreeSet<Version>,
     /// The last order, and how far it has come.
-    last: Option<(Order, Phase)>,
+    #[serde(rename = "last")]
+    last_order: Option<(Order, Phase)>,
 }
 
 /// The roll-outs of all services as they are agreed, as one value that every replica computes alike.
@@ -44,7 +45,8 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plans {
-    courses: BTreeMap<id::Service, Course>,
+    #[serde(rename = "courses")]
+    services: BTreeMap<id::Service, ServiceRollout>,
 }
 
 impl Plans {
@@ -71,9 +73,9 @@
     /// # Errors
     ///
     /// [`Code::Conflict`] where another one of its service is under way.
-    pub fn check(&self, order: &Order) -> Result<(), Refusal> {
-        match self.get(&order.service) {
-            Some((last, phase)) if !phase.is_end() && last.target != order.target => {
+    pub fn check_order(&self, order: &Order) -> Result<(), Refusal> {
+        match self.last_order(&order.service) {
+            Some((last, phase)) if !phase.is_final() && last.target != order.target => {
                 let (service, target) = (&order.service, &last.target);
                 let why = format!("a roll-out of `{service}` to `{target}` is under way");
                 Err(Refusal::new(Code::Conflict, why))
@@ -84,78 +86,78 @@
 
     /// Whether `order` is the last one of its service, given again.
     #[must_use]
-    pub fn has(&self, order: &Order) -> bool {
-        let last = self.get(&order.service);
+    pub fn has_order(&self, order: &Order) -> bool {
+        let last = self.last_order(&order.service);
         last.is_some_and(|(last, phase)| {
-            last.is_same(order) || (!phase.is_end() && last.target == order.target)
+            last.is_repeat_of(order) || (!phase.is_final() && last.target == order.target)
         })
     }
 
     /// The last order of a service, and how far it has come.
     #[must_use]
-    pub fn get(&self, service: &id::Service) -> Option<(&Order, Phase)> {
-        let last = self.courses.get(service)?.last.as_ref();
+    pub fn last_order(&self, service: &id::Service) -> Option<(&Order, Phase)> {
+        let last = self.services.get(service)?.last_order.as_ref();
         last.map(|(order, phase)| (order, *phase))
     }
 
     /// The versions that serve a service; none where that is not known yet.
     #[must_use]
-    pub fn serving(&self, service: &id::Service) -> Option<&BTreeSet<Version>> {
-        let serving = self.courses.get(service).map(|course| &course.serving);
+    pub fn serving_versions(&self, service: &id::Service) -> Option<&BTreeSet<Version>> {
+        let serving = self.services.get(service).map(|rollout| &rollout.serving);
         serving.filter(|serving| !serving.is_empty())
     }
 
     /// The orders that have not come to their end.
-    pub fn under_way(&self) -> impl Iterator<Item = (&Order, Phase)> {
+    pub fn active_orders(&self) -> impl Iterator<Item = (&Order, Phase)> {
         let last = self
-            .courses
+            .services
             .values()
-            .filter_map(|course| course.last.as_ref());
-        let under_way = last.filter(|(_, phase)| !phase.is_end());
+            .filter_map(|rollout| rollout.last_order.as_ref());
+        let under_way = last.filter(|(_, phase)| !phase.is_final());
         under_way.map(|(order, phase)| (order, *phase))
     }
 
     /// The services of which anything is agreed.
     pub(super) fn services(&self) -> impl Iterator<Item = &id::Service> {
-        self.courses.keys()
+        self.services.keys()
     }
 
     fn establish(&mut self, service: &id::Service, versions: &BTreeSet<Version>) {
-        let course = self.courses.entry(service.clone()).or_default();
-        if course.serving.is_empty() {
-            course.serving.clone_from(versions);
+        let rollout = self.services.entry(service.clone()).or_default();
+        if rollout.serving.is_empty() {
+            rollout.serving.clone_from(versions);
         }
     }
 
     fn order(&mut self, order: &Order) -> Result<(), Refusal> {
-        self.check(order)?;
-        if self.has(order) {
+        self.check_order(order)?;
+        if self.has_order(order) {
             return Ok(());
         }
-        let course = self.courses.entry(order.service.clone()).or_default();
-        let serves = course.serving.iter().eq([&order.target]);
+        let rollout = self.services.entry(order.service.clone()).or_default();
+        let serves = rollout.serving.iter().eq([&order.target]);
         let phase = if serves {
             Phase::Completed
         } else {
             Phase::Trial
         };
-        course.last = Some((order.clone(), phase));
+        rollout.last_order = Some((order.clone(), phase));
         Ok(())
     }
 
     fn advance(&mut self, service: &id::Service, target: &Version, next: Phase) {
-        let Some(course) = self.courses.get_mut(service) else {
+        let Some(rollout) = self.services.get_mut(service) else {
             return;
         };
-        let Some((order, phase)) = &mut course.last else {
+        let Some((order, phase)) = &mut rollout.last_order else {
             return;
         };
-        if order.target != *target || !phase.leads_to(next) {
+        if order.target != *target || !phase.can_advance_to(next) {
             return;
         }
         *phase = next;
         if next == Phase::Completed {
-            course.serving = [target.clone()].into();
+            rollout.serving = [target.clone()].into();
         }
     }
 }
--- a/crates/core/src/rollout/policy.rs
+++ b/crates/core/src/rollout/policy.rs
@@ -26,46 +26,52 @@
     /// Tells one content from another; not an order. 0 stands for none.
     pub version: u64,
     /// By service; one that is not named has no such bound.
-    open: BTreeMap<id::Service, BTreeSet<Version>>,
+    allowed_versions: BTreeMap<id::Service, BTreeSet<Version>>,
     /// The services with a roll-out under way, and the version that it is to.
-    watched: BTreeMap<id::Service, Version>,
+    rollout_targets: BTreeMap<id::Service, Version>,
     /// The data halls that are evacuated.
-    closed: BTreeSet<Arc<str>>,
+    evacuated: BTreeSet<Arc<str>>,
 }
 
 impl Policy {
     /// What follows from `plans`.
     #[must_use]
-    pub fn of(plans: &Plans) -> Self {
+    pub fn from_plans(plans: &Plans) -> Self {
         let mut policy = Self::default();
         for service in plans.services() {
-            let last = plans.get(service);
+            let last = plans.last_order(service);
             if let Some((order, Phase::Moving)) = last {
                 let target = [order.target.clone()].into();
-                policy.open.insert(service.clone(), target);
-            } else if let Some(serving) = plans.serving(service) {
-                policy.open.insert(service.clone(), serving.clone());
+                policy.allowed_versions.insert(service.clone(), target);
+            } else if let Some(serving) = plans.serving_versions(service) {
+                policy
+                    .allowed_versions
+                    .insert(service.clone(), serving.clone());
             } else if last.is_some() {
                 // Ordered before any server of the service was seen: it may be the target's.
-                policy.open.insert(service.clone(), BTreeSet::new());
+                policy
+                    .allowed_versions
+                    .insert(service.clone(), BTreeSet::new());
             }
             if let Some((order, phase)) = last
-                && !phase.is_end()
+                && !phase.is_final()
             {
-                policy.watched.insert(service.clone(), order.target.clone());
+                policy
+                    .rollout_targets
+                    .insert(service.clone(), order.target.clone());
             }
         }
-        policy.number()
+        policy.with_content_version()
     }
 
     /// The same, with these data halls evacuated.
     #[must_use]
-    pub fn closing(self, halls: &Halls) -> Self {
-        let closed = halls.iter().map(|(hall, _)| Arc::clone(hall)).collect();
-        Self { closed, ..self }.number()
+    pub fn with_evacuated(self, halls: &Halls) -> Self {
+        let evacuated = halls.iter().map(|(hall, _)| Arc::clone(hall)).collect();
+        Self { evacuated, ..self }.with_content_version()
     }
 
-    fn number(mut self) -> Self {
+    fn with_content_version(mut self) -> Self {
         self.version = 0;
         self.version = version(&self).max(1);
         self
@@ -73,23 +79,23 @@
 
     /// Whether no request may be sent to the servers of `hall`, whoever gave the place.
     #[must_use]
-    pub fn closes(&self, hall: &str) -> bool {
-        self.closed.contains(hall)
+    pub fn is_evacuated(&self, hall: &str) -> bool {
+        self.evacuated.contains(hall)
     }
 
     /// Whether a gateway may send to `server` by its own choice.
     #[must_use]
-    pub fn is_open(&self, server: &Server) -> bool {
-        if self.closes(&server.hall) {
+    pub fn allows(&self, server: &Server) -> bool {
+        if self.is_evacuated(&server.hall) {
             return false;
         }
-        let open = self.open.get(&server.service);
+        let open = self.allowed_versions.get(&server.service);
         open.is_none_or(|open| open.contains(&server.version))
     }
 
     /// The version to which a roll-out of `service` is under way, so that what its answers show is asked for.
     #[must_use]
-    pub fn watched(&self, service: &id::Service) -> Option<&Version> {
-        self.watched.get(service)
+    pub fn rollout_target(&self, service: &id::Service) -> Option<&Version> {
+        self.rollout_targets.get(service)
     }
 }
--- a/crates/core/src/rollout/trials.rs
+++ b/crates/core/src/rollout/trials.rs
@@ -64,18 +64,18 @@
     pub fn adopt(&mut self, plans: &Plans, own: Option<&Order>, now_ms: u64, now: Instant) {
         let Some(bounds) = self.bounds else { return };
         self.plans = plans.clone();
-        self.policy = Policy::of(plans);
+        self.policy = Policy::from_plans(plans);
         self.settled = 0;
         self.establishing
-            .retain(|service, _| plans.serving(service).is_none());
+            .retain(|service, _| plans.serving_versions(service).is_none());
         let mut former = std::mem::take(&mut self.under_way);
-        for (order, phase) in plans.under_way() {
+        for (order, phase) in plans.active_orders() {
             let known = former.remove(&order.service);
             let known = known.filter(|known| known.target == order.target);
             let mut under_way = known.unwrap_or_else(|| UnderWay {
                 target: order.target.clone(),
                 known: (order.age(now_ms), now),
-                trial: Trial::new(order.length, phase, bounds, own == Some(order)),
+                trial: Trial::new(order.duration, phase, bounds, own == Some(order)),
                 proposed: None,
             });
             under_way.trial.advance(phase);
@@ -95,7 +95,7 @@
     pub fn admits(&self, server: &Server) -> bool {
         let under_way = self.under_way.get(&server.service);
         let is_target = under_way.is_some_and(|under_way| under_way.target == server.version);
-        is_target || self.policy.is_open(server)
+        is_target || self.policy.allows(server)
     }
 
     /// The services with a version on trial, and what it may get now.
@@ -184,14 +184,14 @@
         }
         let mut seen: BTreeMap<&id::Service, BTreeSet<Version>> = BTreeMap::new();
         for server in &listing.servers {
-            if self.plans.serving(&server.service).is_none() {
+            if self.plans.serving_versions(&server.service).is_none() {
                 let versions = seen.entry(&server.service).or_default();
                 versions.insert(server.version.clone());
             }
         }
         for (service, versions) in &mut seen {
             // Where nothing else runs, nothing else can serve.
-            if let Some((order, _)) = self.plans.get(service)
+            if let Some((order, _)) = self.plans.last_order(service)
                 && versions.len() > 1
             {
                 versions.remove(&order.target);
--- a/crates/core/tests/evacuated_halls.rs
+++ b/crates/core/tests/evacuated_halls.rs
@@ -100,8 +100,8 @@
         policies.push(reply.policy.expect("another policy"));
     }
     assert_eq!(policies[0], policies[2]);
-    assert!(policies[1].closes("a") && !policies[1].closes("b"));
-    assert!(!policies[1].is_open(&server("s1", "a")));
+    assert!(policies[1].is_evacuated("a") && !policies[1].is_evacuated("b"));
+    assert!(!policies[1].allows(&server("s1", "a")));
 }
 
 /// Orders that come again change nothing, and what was agreed is in a snapshot of the log.
--- a/crates/core/tests/rollout_plans.rs
+++ b/crates/core/tests/rollout_plans.rs
@@ -30,7 +30,7 @@
     Order {
         service: "chat".parse().expect("a name"),
         target: version(target),
-        length: Duration::from_secs(seconds),
+        duration: Duration::from_secs(seconds),
         given_ms: 0,
     }
 }
@@ -59,7 +59,7 @@
 }
 
 fn phase(plans: &Plans) -> Option<Phase> {
-    let last = plans.get(&"chat".parse().expect("a name"));
+    let last = plans.last_order(&"chat".parse().expect("a name"));
     last.map(|(_, phase)| phase)
 }
 
@@ -80,9 +80,9 @@
 
 /// The versions that gateways may send to by themselves.
 fn open(plans: &Plans) -> Vec<&'static str> {
-    let policy = Policy::of(plans);
+    let policy = Policy::from_plans(plans);
     let all = ["v1", "v2", "v3"].into_iter();
-    all.filter(|name| policy.is_open(&server(name))).collect()
+    all.filter(|name| policy.allows(&server(name))).collect()
 }
 
 #[test]
@@ -232,13 +232,13 @@
                 ordered.push(target);
             }
             let after = phase(machine.get_plans());
-            let is_end = before.is_some_and(Phase::is_end);
+            let is_end = before.is_some_and(Phase::is_final);
             if is_end && !matches!(step, Step::Ordered(_)) {
                 assert_eq!(after, before, "seed {seed}");
             }
             if machine
                 .get_plans()
-                .serving(&"chat".parse().expect("a name"))
+                .serving_versions(&"chat".parse().expect("a name"))
                 .is_some()
             {
                 let open = open(machine.get_plans());
--- a/crates/curlewlift/src/control/rollouts.rs
+++ b/crates/curlewlift/src/control/rollouts.rs
@@ -27,7 +27,7 @@
         "service={} target={} seconds={}",
         order.service,
         order.target,
-        order.length.as_secs_f64()
+        order.duration.as_secs_f64()
     );
     let answer = agree(state, order).await;
     let code = answer
@@ -44,8 +44,8 @@
         let mut state = state.borrow_mut();
         state.has_service(&order.service)?;
         let plans = state.machine.get_plans();
-        plans.check(&order)?;
-        if plans.has(&order) {
+        plans.check_order(&order)?;
+        if plans.has_order(&order) {
             return Ok(());
         }
         state.outlives_losses()?;
@@ -61,7 +61,7 @@
 pub(super) async fn read(state: &Shared, service: &id::Service) -> Result<HubReply, Refusal> {
     hub::confirm(state).await?;
     let state = state.borrow();
-    let last = state.machine.get_plans().get(service);
+    let last = state.machine.get_plans().last_order(service);
     let last = last.map(|(order, phase)| (order.target.clone(), phase));
     Ok(HubReply::Rollout(last))
 }
@@ -92,7 +92,7 @@
     pub(super) fn take_up_step(&mut self, step: &Step, before: &Plans, term: id::Term) {
         // One of an earlier term was taken under an earlier hub, which may have given places by it.
         let own = match step {
-            Step::Ordered(order) if term == self.replica.get_term() && !before.has(order) => {
+            Step::Ordered(order) if term == self.replica.get_term() && !before.has_order(order) => {
                 Some(order)
             }
             _ => None,
--- a/crates/curlewlift/src/gateway/place.rs
+++ b/crates/curlewlift/src/gateway/place.rs
@@ -218,7 +218,7 @@
     /// Whether the server has told this host that it wants no request, or a limit that this place was not drawn from, or
     /// its data hall is evacuated.
     pub(super) fn is_closed(&self) -> bool {
-        if self.node.policy.borrow().closes(&self.server.hall) {
+        if self.node.policy.borrow().is_evacuated(&self.server.hall) {
             return true;
         }
         let is_drawn = self.grant.as_ref().is_some_and(|grant| grant.drawn);
--- a/crates/curlewlift/src/gateway/places.rs
+++ b/crates/curlewlift/src/gateway/places.rs
@@ -149,7 +149,7 @@
     ) -> Want {
         let now = self.now();
         let service = wanted.service;
-        let watched = self.policy.borrow().watched(service).is_some();
+        let watched = self.policy.borrow().rollout_target(service).is_some();
         let avoid = self.with_service(service, |service| {
             let avoided = service.pool.avoided(&ask.tried, now);
             avoided.collect()
@@ -199,7 +199,7 @@
             .meet(std::iter::once(&*server), now);
         self.limit(met.into_iter());
         let is_beyond = !grant.drawn && self.limits.borrow().closes(&server, grant.mark);
-        let is_evacuated = self.policy.borrow().closes(&server.hall);
+        let is_evacuated = self.policy.borrow().is_evacuated(&server.hall);
         let is_closed = is_beyond || is_evacuated;
         let take = |service: &mut Service| {
             !is_late && !is_closed && service.pool.take(&server, prompt, now)
@@ -247,7 +247,7 @@
     /// What is to be told of a sending that begins now, for a roll-out under way.
     pub(super) fn watched(&self, wanted: Wanted<'_>) -> Option<Watched> {
         let policy = self.policy.borrow();
-        let target = policy.watched(wanted.service)?;
+        let target = policy.rollout_target(wanted.service)?;
         Some(Watched {
             rule: Arc::clone(wanted.rule),
             target: target.clone(),
--- a/crates/curlewlift/src/gateway/services.rs
+++ b/crates/curlewlift/src/gateway/services.rs
@@ -37,7 +37,7 @@
         let policy = self.policy.borrow();
         for (name, service) in services.iter_mut() {
             let mut servers = by_service.remove(name).unwrap_or_default();
-            servers.retain(|server| policy.is_open(server));
+            servers.retain(|server| policy.allows(server));
             service.pool.meet(&servers, now);
             service.pool.adopt(servers);
         }
--- a/crates/curlewlift/src/platform/rollouts.rs
+++ b/crates/curlewlift/src/platform/rollouts.rs
@@ -109,7 +109,7 @@
             .target_version
             .parse()
             .map_err(|why| bad(format!("{why}")))?,
-        length: Duration::from_secs_f64(seconds),
+        duration: Duration::from_secs_f64(seconds),
         given_ms: 0,
     })
 }
--- a/crates/lab/src/rollout/world.rs
+++ b/crates/lab/src/rollout/world.rs
@@ -184,11 +184,11 @@
     }
 
     fn phase(&self) -> Option<Phase> {
-        self.plans.get(&service()).map(|(_, phase)| phase)
+        self.plans.last_order(&service()).map(|(_, phase)| phase)
     }
 
     fn is_over(&self) -> bool {
-        self.phase().is_some_and(Phase::is_end) && self.age() > self.scenario.length_ms
+        self.phase().is_some_and(Phase::is_final) && self.age() > self.scenario.length_ms
     }
 
     fn step(&mut self) {
@@ -210,7 +210,7 @@
         Order {
             service: service(),
             target: version(true),
-            length: Duration::from_millis(self.scenario.length_ms),
+            duration: Duration::from_millis(self.scenario.length_ms),
             given_ms: ORDER,
         }
     }
@@ -317,7 +317,7 @@
             hub.adopt_plans(&self.plans, own, self.now, now);
         }
         let after = self.phase();
-        if after == before || !after.is_some_and(Phase::is_end) {
+        if after == before || !after.is_some_and(Phase::is_final) {
             return;
         }
         self.outcome.phase = after;
@@ -420,7 +420,7 @@
         let policy = &self.askers[gateway].policy;
         let may = |engine: &Engine| {
             policy.version != 0
-                && policy.is_open(&engine.server)
+                && policy.allows(&engine.server)
                 && engine.running <= engine.server.slots
         };
         let engines = self.engines.iter().enumerate();
@@ -448,7 +448,7 @@
             engine.play(rule, self.scenario.fault, age, &mut self.random)
         };
         let is_new = engine.is_new;
-        let target = self.askers[gateway].policy.watched(&service());
+        let target = self.askers[gateway].policy.rollout_target(&service());
         let watched = target.map(|target| Watched {
             rule: RULES[rule].name.into(),
             target: target.clone(),
