--- a/crates/core/src/gateway/places.rs
+++ b/crates/core/src/gateway/places.rs
@@ -94,7 +94,7 @@
         self.dispatcher.set_on_trial(self.trials.on_trial());
         let served = self.dispatcher.serve(now).into_iter();
         let served = served.map(|(ticket, grant, given)| {
-            self.trials.given(&grant.server);
+            self.trials.record_grant(&grant.server);
             if let Some(charge) = given.charge {
                 self.desk.spent(&charge, now);
             }
--- a/crates/core/src/gateway/rollouts.rs
+++ b/crates/core/src/gateway/rollouts.rs
@@ -22,7 +22,7 @@
     /// Takes up the roll-outs as they are agreed; `now_ms` is the Unix time, `own` the order that was taken
     /// under this hub.
     pub fn adopt_plans(&mut self, plans: &Plans, own: Option<&Order>, now_ms: u64, now: Instant) {
-        self.trials.adopt(plans, own, now_ms, now);
+        self.trials.apply_plans(plans, own, now_ms, now);
         self.renew_policy();
     }
 
@@ -45,7 +45,10 @@
 
     /// The steps of roll-outs that are to be agreed now, with what speaks for each.
     pub fn tend_rollouts(&mut self, now: Instant) -> Vec<(Step, String)> {
-        let established = self.trials.establish(&self.listing, now).into_iter();
+        let established = self
+            .trials
+            .propose_established(&self.listing, now)
+            .into_iter();
         let mut steps: Vec<_> = established.map(|step| (step, String::new())).collect();
         let is_policy_applied = self.is_policy_applied(now);
         let mut trials = std::mem::take(&mut self.trials);
@@ -53,7 +56,7 @@
             is_policy_applied,
             ..self.conditions(service, target)
         };
-        steps.extend(trials.tend(conditions, now));
+        steps.extend(trials.propose_steps(conditions, now));
         self.trials = trials;
         steps
     }
@@ -81,7 +84,7 @@
     /// Takes up what answers show of a version on trial, and of the one beside it.
     pub(super) fn watch(&mut self, ends: &[Ended]) {
         for ended in ends {
-            if !self.trials.is_under_way(&ended.service) {
+            if !self.trials.is_active(&ended.service) {
                 continue;
             }
             let server = self.dispatcher.server(&ended.service, &ended.incarnation);
@@ -90,7 +93,7 @@
             };
             let servers = self.takers(&ended.service);
             let servers = servers.filter(|server| server.version == version).count();
-            self.trials.ended(ended, &version, servers);
+            self.trials.record_attempt_end(ended, &version, servers);
         }
     }
 
--- a/crates/core/src/rollout/baseline.rs
+++ b/crates/core/src/rollout/baseline.rs
@@ -41,7 +41,7 @@
     /// The incarnation that answered.
     pub server: Arc<str>,
     /// How it ended.
-    pub end: End,
+    pub outcome: End,
 }
 
 /// The times of one answer.
@@ -167,8 +167,8 @@
 
 impl Baseline {
     /// Takes up an answer of the version that serves; whether it showed anything.
-    pub fn take(&mut self, sample: &Sample) -> bool {
-        let Some(shown) = Shown::of(sample.end) else {
+    pub fn record(&mut self, sample: &Sample) -> bool {
+        let Some(shown) = Shown::of(sample.outcome) else {
             return false;
         };
         let kept = self.rules.entry(Arc::clone(&sample.rule)).or_default();
@@ -179,8 +179,8 @@
     /// Whether an answer is bad by this measure, for being slow only where times count; and the part of usual
     /// answers that are. None where it shows nothing.
     #[must_use]
-    pub fn measure(&self, sample: &Sample, times_count: bool) -> Option<(bool, f64)> {
-        let shown = Shown::of(sample.end)?;
+    pub fn classify(&self, sample: &Sample, times_count: bool) -> Option<(bool, f64)> {
+        let shown = Shown::of(sample.outcome)?;
         let usual = self.rules.get(&sample.rule).map(|kept| kept.usual);
         let usual = usual.unwrap_or_default();
         let is_bad = shown == Shown::Failed || (times_count && shown.is_bad(usual));
--- a/crates/core/src/rollout/exposure.rs
+++ b/crates/core/src/rollout/exposure.rs
@@ -23,12 +23,12 @@
 /// ```
 /// use curlewlift_core::rollout::Exposure;
 /// let mut exposure = Exposure::new(0.1, 0.0);
-/// assert!(!exposure.spend());
+/// assert!(!exposure.try_spend());
 /// for _ in 0..13 {
 ///     exposure.earn();
 /// }
-/// assert!(exposure.spend(), "13 x 0.1 x 0.95 are more than one");
-/// assert!(!exposure.spend());
+/// assert!(exposure.try_spend(), "13 x 0.1 x 0.95 are more than one");
+/// assert!(!exposure.try_spend());
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct Exposure {
@@ -38,13 +38,13 @@
 }
 
 impl Exposure {
-    /// A version on trial may get `share` (0 to 1) of all requests, and `on_top` of that; the latter is 0 for
+    /// A version on trial may get `share` (0 to 1) of all requests, and `extra_requests` of that; the latter is 0 for
     /// a hub under which the order was not taken.
     #[must_use]
-    pub fn new(share: f64, on_top: f64) -> Self {
+    pub fn new(share: f64, extra_requests: f64) -> Self {
         Self {
             rate: share * USED,
-            credit: on_top * USED_ON_TOP,
+            credit: extra_requests * USED_ON_TOP,
         }
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// Takes one request's part; false where there is none left.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_spend(&mut self) -> bool {
         let has = self.credit >= 1.0;
         if has {
             self.credit -= 1.0;
@@ -64,7 +64,7 @@
 
     /// How many requests may be spent now.
     #[must_use]
-    pub fn get(&self) -> u32 {
+    pub fn available(&self) -> u32 {
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         let whole = self.credit as u32;
         whole
--- a/crates/core/src/rollout/judge.rs
+++ b/crates/core/src/rollout/judge.rs
@@ -100,11 +100,11 @@
 /// let mut judge = Judge::default();
 /// let baseline = Baseline::default();
 /// for server in ["s1", "s2", "s1", "s2"] {
-///     let end = End::Failed;
-///     let sample = Sample { rule: "chat".into(), server: server.into(), end };
-///     judge.take(&sample, &baseline, 2, true);
+///     let outcome = End::Failed;
+///     let sample = Sample { rule: "chat".into(), server: server.into(), outcome };
+///     judge.record(&sample, &baseline, 2, true);
 /// }
-/// assert!(judge.against().is_some(), "four failures of two servers, where one in a hundred is usual");
+/// assert!(judge.evidence_against().is_some(), "four failures of two servers, where one in a hundred is usual");
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Judge {
@@ -115,14 +115,14 @@
 impl Judge {
     /// Takes up an answer of the version, which has so many `servers`; where times do not count, one that is only
     /// slow is good.
-    pub fn take(
+    pub fn record(
         &mut self,
         sample: &Sample,
         baseline: &Baseline,
         servers: usize,
         times_count: bool,
     ) {
-        let Some((is_bad, often)) = baseline.measure(sample, times_count) else {
+        let Some((is_bad, often)) = baseline.classify(sample, times_count) else {
             return;
         };
         let shift = shift(is_bad, often);
@@ -133,7 +133,7 @@
 
     /// What speaks surely against the version.
     #[must_use]
-    pub fn against(&self) -> Option<Evidence> {
+    pub fn evidence_against(&self) -> Option<Evidence> {
         let rules = self.rules.iter().map(|(rule, odds)| (Some(rule), odds));
         let mut all = std::iter::once((None, &self.all)).chain(rules);
         let (rule, odds) = all.find(|(_, odds)| odds.against >= SURE)?;
@@ -151,7 +151,7 @@
     }
 
     /// Those of `rules` under which its answers do not speak for it yet.
-    pub fn lacking<'a>(&self, rules: impl Iterator<Item = &'a Arc<str>>) -> Vec<Arc<str>> {
+    pub fn untrusted_rules<'a>(&self, rules: impl Iterator<Item = &'a Arc<str>>) -> Vec<Arc<str>> {
         let in_favour = |rule: &Arc<str>| self.rules.get(rule).map_or(0.0, |odds| odds.in_favour);
         let lacking = rules.filter(|rule| in_favour(rule) < GOOD_RULE);
         lacking.cloned().collect()
@@ -159,7 +159,7 @@
 
     /// How many answers have counted.
     #[must_use]
-    pub fn count(&self) -> usize {
+    pub fn response_count(&self) -> usize {
         self.all.count
     }
 }
--- a/crates/core/src/rollout/trial.rs
+++ b/crates/core/src/rollout/trial.rs
@@ -35,7 +35,7 @@
     /// The part (0 to 1) of a service's requests that it may get.
     pub share: f64,
     /// The requests that it may get on top of that.
-    pub on_top: f64,
+    pub extra_requests: f64,
 }
 
 /// What there is around a trial at a moment.
@@ -72,7 +72,7 @@
     /// A roll-out with `length` to come to its end; `is_own` where the order was taken under this hub.
     #[must_use]
     pub fn new(length: Duration, phase: Phase, bounds: Bounds, is_own: bool) -> Self {
-        let on_top = if is_own { bounds.on_top } else { 0.0 };
+        let on_top = if is_own { bounds.extra_requests } else { 0.0 };
         Self {
             length,
             phase,
@@ -83,31 +83,33 @@
     }
 
     /// The roll-out has come to `phase`.
-    pub fn advance(&mut self, phase: Phase) {
+    pub fn set_phase(&mut self, phase: Phase) {
         self.phase = phase;
     }
 
     /// Takes up an answer of a former version.
-    pub fn former(&mut self, sample: &Sample) {
-        if self.baseline.take(sample) {
+    pub fn record_former(&mut self, sample: &Sample) {
+        if self.baseline.record(sample) {
             self.exposure.earn();
         }
     }
 
     /// Takes up an answer of the target, which has so many `servers`.
-    pub fn target(&mut self, sample: &Sample, servers: usize) {
+    pub fn record_target(&mut self, sample: &Sample, servers: usize) {
         // Once all new requests go there, nothing tells any more how slow the load alone makes answers: beside
         // busy hosts good versions were rolled back for it.
         let times_count = self.phase == Phase::Trial;
         self.judge
-            .take(sample, &self.baseline, servers, times_count);
+            .record(sample, &self.baseline, servers, times_count);
     }
 
     /// How many requests the target may get now; none where it has no bound any more.
     #[must_use]
     pub fn credit(&self) -> Option<u32> {
         match self.phase {
-            Phase::Trial if self.judge.against().is_none() => Some(self.exposure.get()),
+            Phase::Trial if self.judge.evidence_against().is_none() => {
+                Some(self.exposure.available())
+            }
             Phase::Moving => None,
             _ => Some(0),
         }
@@ -115,21 +117,21 @@
 
     /// The rules that are often asked and under which the target is not trusted yet.
     #[must_use]
-    pub fn lacking(&self) -> Vec<Arc<str>> {
-        self.judge.lacking(self.baseline.busy_rules())
+    pub fn untrusted_rules(&self) -> Vec<Arc<str>> {
+        self.judge.untrusted_rules(self.baseline.busy_rules())
     }
 
     /// A request is given a place at the target.
     pub fn spend(&mut self) {
         if self.phase == Phase::Trial {
-            self.exposure.spend();
+            self.exposure.try_spend();
         }
     }
 
     /// The phase that is to follow, and why, where one is.
     #[must_use]
-    pub fn next(&self, conditions: &Conditions) -> Option<(Phase, String)> {
-        if let Some(evidence) = self.judge.against() {
+    pub fn next_phase(&self, conditions: &Conditions) -> Option<(Phase, String)> {
+        if let Some(evidence) = self.judge.evidence_against() {
             return Some((Phase::RolledBack, evidence.to_string()));
         }
         match self.phase {
@@ -141,12 +143,12 @@
 
     /// What speaks surely against the target.
     #[must_use]
-    pub fn against(&self) -> Option<Evidence> {
-        self.judge.against()
+    pub fn evidence_against(&self) -> Option<Evidence> {
+        self.judge.evidence_against()
     }
 
     fn after_trial(&self, conditions: &Conditions) -> Option<(Phase, String)> {
-        let answers = self.judge.count();
+        let answers = self.judge.response_count();
         let slots = conditions.target_slots;
         if conditions.age < self.length.mul_f64(GIVEN_UP) {
             let why = format!("answers={answers} slots={slots}");
@@ -166,7 +168,8 @@
             slots > 0 && f64::from(slots) >= f64::from(former) * ROOM
         };
         let is_compared = self.baseline.busy_rules().next().is_some();
-        let is_trusted = is_compared && self.judge.is_trusted() && self.lacking().is_empty();
+        let is_trusted =
+            is_compared && self.judge.is_trusted() && self.untrusted_rules().is_empty();
         is_past(TRIED) && has_room && is_trusted
     }
 
@@ -175,7 +178,7 @@
         let is_clear = conditions.in_flight_at_former == 0
             && conditions.is_policy_applied
             && conditions.target_servers > 0;
-        let why = format!("answers={}", self.judge.count());
+        let why = format!("answers={}", self.judge.response_count());
         is_clear.then_some((Phase::Completed, why))
     }
 }
--- a/crates/core/src/rollout/trials.rs
+++ b/crates/core/src/rollout/trials.rs
@@ -27,7 +27,7 @@
 
 /// A roll-out under way.
 #[derive(Clone, Debug)]
-struct UnderWay {
+struct ActiveRollout {
     target: Version,
     /// How old the order was when this hub first knew of it, and when that was.
     known: (Duration, Instant),
@@ -42,7 +42,7 @@
     bounds: Option<Bounds>,
     plans: Plans,
     policy: Policy,
-    under_way: BTreeMap<id::Service, UnderWay>,
+    under_way: BTreeMap<id::Service, ActiveRollout>,
     /// The services whose versions are to be established, and since when.
     establishing: BTreeMap<id::Service, Instant>,
     /// The version of the last list of which all services are established: going through 3,000 servers at every
@@ -61,7 +61,7 @@
     }
 
     /// Takes up what is agreed. `now_ms` is the Unix time; `own` the order that was taken under this hub.
-    pub fn adopt(&mut self, plans: &Plans, own: Option<&Order>, now_ms: u64, now: Instant) {
+    pub fn apply_plans(&mut self, plans: &Plans, own: Option<&Order>, now_ms: u64, now: Instant) {
         let Some(bounds) = self.bounds else { return };
         self.plans = plans.clone();
         self.policy = Policy::from_plans(plans);
@@ -72,13 +72,13 @@
         for (order, phase) in plans.active_orders() {
             let known = former.remove(&order.service);
             let known = known.filter(|known| known.target == order.target);
-            let mut under_way = known.unwrap_or_else(|| UnderWay {
+            let mut under_way = known.unwrap_or_else(|| ActiveRollout {
                 target: order.target.clone(),
                 known: (order.age(now_ms), now),
                 trial: Trial::new(order.duration, phase, bounds, own == Some(order)),
                 proposed: None,
             });
-            under_way.trial.advance(phase);
+            under_way.trial.set_phase(phase);
             under_way.proposed = None;
             self.under_way.insert(order.service.clone(), under_way);
         }
@@ -104,14 +104,14 @@
             let on_trial = OnTrial {
                 version: under_way.target.clone(),
                 credit: under_way.trial.credit()?,
-                lacking: under_way.trial.lacking(),
+                lacking: under_way.trial.untrusted_rules(),
             };
             Some((service, on_trial))
         })
     }
 
     /// A request is given a place at `server`.
-    pub fn given(&mut self, server: &Server) {
+    pub fn record_grant(&mut self, server: &Server) {
         if let Some(under_way) = self.under_way.get_mut(&server.service)
             && under_way.target == server.version
         {
@@ -121,12 +121,12 @@
 
     /// Whether what answers of a service show is asked for.
     #[must_use]
-    pub fn is_under_way(&self, service: &id::Service) -> bool {
+    pub fn is_active(&self, service: &id::Service) -> bool {
         self.under_way.contains_key(service)
     }
 
     /// Takes up how a sending ended at a server of `version`; the target has so many `servers`.
-    pub fn ended(&mut self, ended: &Ended, version: &Version, servers: usize) {
+    pub fn record_attempt_end(&mut self, ended: &Ended, version: &Version, servers: usize) {
         let Some(under_way) = self.under_way.get_mut(&ended.service) else {
             return;
         };
@@ -137,18 +137,18 @@
         let sample = Sample {
             rule: Arc::clone(&watched.rule),
             server: Arc::clone(&ended.incarnation),
-            end: ended.end,
+            outcome: ended.end,
         };
         if under_way.target == *version {
-            under_way.trial.target(&sample, servers);
+            under_way.trial.record_target(&sample, servers);
         } else {
-            under_way.trial.former(&sample);
+            under_way.trial.record_former(&sample);
         }
     }
 
     /// The steps that are to be agreed now, with what speaks for each; `conditions` tells what there is around a
     /// service whose target is this version.
-    pub fn tend(
+    pub fn propose_steps(
         &mut self,
         conditions: impl Fn(&id::Service, &Version) -> Conditions,
         now: Instant,
@@ -161,7 +161,7 @@
             let mut conditions = conditions(service, &under_way.target);
             let (age, since) = under_way.known;
             conditions.age = age + now.since(since);
-            if let Some((phase, why)) = under_way.trial.next(&conditions) {
+            if let Some((phase, why)) = under_way.trial.next_phase(&conditions) {
                 under_way.proposed = Some(now);
                 let step = Step::Advanced {
                     service: service.clone(),
@@ -178,7 +178,7 @@
     ///
     /// Whatever runs when a service is first seen serves it, but for a version that was ordered before: the
     /// platform starts the servers of that one for the order.
-    pub fn establish(&mut self, listing: &Listing, now: Instant) -> Vec<Step> {
+    pub fn propose_established(&mut self, listing: &Listing, now: Instant) -> Vec<Step> {
         if self.bounds.is_none() || self.settled == listing.version {
             return Vec::new();
         }
--- a/crates/core/tests/rollout_bounds.rs
+++ b/crates/core/tests/rollout_bounds.rs
@@ -18,7 +18,7 @@
 
 const BOUNDS: Bounds = Bounds {
     share: 0.1,
-    on_top: 50.0,
+    extra_requests: 50.0,
 };
 
 const LENGTH: Duration = Duration::from_secs(10);
@@ -30,11 +30,11 @@
     }
 }
 
-fn sample(server: &str, end: End) -> Sample {
+fn sample(server: &str, outcome: End) -> Sample {
     Sample {
         rule: "chat".into(),
         server: server.into(),
-        end,
+        outcome,
     }
 }
 
@@ -61,7 +61,7 @@
                     reached += 1;
                     // Some words are lost on their way.
                     if random.random_ratio(9, 10) {
-                        hubs[hub].former(&sample("s1", good(10)));
+                        hubs[hub].record_former(&sample("s1", good(10)));
                     }
                 }
                 _ => {
@@ -73,7 +73,7 @@
                     }
                 }
             }
-            let bound = f64::from(reached + exposed) * BOUNDS.share + BOUNDS.on_top;
+            let bound = f64::from(reached + exposed) * BOUNDS.share + BOUNDS.extra_requests;
             assert!(
                 f64::from(exposed) <= bound,
                 "seed {seed}: {exposed} of {reached}"
@@ -86,17 +86,17 @@
 fn failing_stops() {
     let mut trial = trial(true);
     for _ in 0..200 {
-        trial.former(&sample("s1", good(10)));
+        trial.record_former(&sample("s1", good(10)));
     }
     let mut given = 0;
     while trial.credit().is_some_and(|credit| credit > 0) {
         trial.spend();
         given += 1;
         let server = if given % 2 == 0 { "s2" } else { "s3" };
-        trial.target(&sample(server, End::Failed), 2);
+        trial.record_target(&sample(server, End::Failed), 2);
     }
     assert!(given < 10, "{given} failures");
-    let next = trial.next(&Conditions::default());
+    let next = trial.next_phase(&Conditions::default());
     assert_eq!(next.map(|(phase, _)| phase), Some(Phase::RolledBack));
 }
 
@@ -106,12 +106,12 @@
     let baseline = Baseline::default();
     let mut judge = Judge::default();
     for _ in 0..50 {
-        judge.take(&sample("s2", End::Failed), &baseline, 3, true);
+        judge.record(&sample("s2", End::Failed), &baseline, 3, true);
     }
-    assert!(judge.against().is_none());
-    judge.take(&sample("s3", End::Failed), &baseline, 3, true);
-    judge.take(&sample("s3", End::Failed), &baseline, 3, true);
-    assert!(judge.against().is_some(), "two servers do");
+    assert!(judge.evidence_against().is_none());
+    judge.record(&sample("s3", End::Failed), &baseline, 3, true);
+    judge.record(&sample("s3", End::Failed), &baseline, 3, true);
+    assert!(judge.evidence_against().is_some(), "two servers do");
 }
 
 /// A burst that slows all servers is no evidence against the new ones.
@@ -121,12 +121,12 @@
     let mut judge = Judge::default();
     for round in 0..400 {
         let first = if round < 200 { 20 } else { 200 };
-        baseline.take(&sample(&format!("s{}", round % 60), good(first)));
+        baseline.record(&sample(&format!("s{}", round % 60), good(first)));
         if round % 10 == 0 && !(200..240).contains(&round) {
-            judge.take(&sample("n1", good(first)), &baseline, 2, true);
+            judge.record(&sample("n1", good(first)), &baseline, 2, true);
         }
     }
-    assert!(judge.against().is_none());
+    assert!(judge.evidence_against().is_none());
 }
 
 /// Once all new requests go to the target, they slow each other: only failures speak against it then.
@@ -134,15 +134,15 @@
 fn slow_while_moving() {
     let mut trial = trial(true);
     for round in 0..200 {
-        trial.former(&sample(&format!("s{}", round % 20), good(20)));
+        trial.record_former(&sample(&format!("s{}", round % 20), good(20)));
     }
-    let against = |trial: &Trial| trial.against().is_some();
+    let against = |trial: &Trial| trial.evidence_against().is_some();
     let mut moving = trial.clone();
-    moving.advance(Phase::Moving);
+    moving.set_phase(Phase::Moving);
     for round in 0..40 {
         let server = format!("n{}", round % 5);
-        moving.target(&sample(&server, good(200)), 5);
-        trial.target(&sample(&server, good(200)), 5);
+        moving.record_target(&sample(&server, good(200)), 5);
+        trial.record_target(&sample(&server, good(200)), 5);
     }
     assert!(
         against(&trial),
@@ -150,7 +150,7 @@
     );
     assert!(!against(&moving));
     for round in 0..10 {
-        moving.target(&sample(&format!("n{}", round % 5), End::Failed), 5);
+        moving.record_target(&sample(&format!("n{}", round % 5), End::Failed), 5);
     }
     assert!(against(&moving));
 }
@@ -159,7 +159,7 @@
 fn moves_when_trusted() {
     let mut trial = trial(true);
     for round in 0..200 {
-        trial.former(&sample(&format!("s{}", round % 20), good(20)));
+        trial.record_former(&sample(&format!("s{}", round % 20), good(20)));
     }
     let mut conditions = Conditions {
         age: LENGTH / 2,
@@ -170,10 +170,11 @@
         in_flight_at_former: 10,
         is_policy_applied: true,
     };
-    let phase =
-        |trial: &Trial, conditions: &Conditions| trial.next(conditions).map(|(phase, _)| phase);
+    let phase = |trial: &Trial, conditions: &Conditions| {
+        trial.next_phase(conditions).map(|(phase, _)| phase)
+    };
     for round in 0..60 {
-        trial.target(&sample(&format!("n{}", round % 5), good(20)), 5);
+        trial.record_target(&sample(&format!("n{}", round % 5), good(20)), 5);
     }
     assert_eq!(phase(&trial, &conditions), None, "it may still turn bad");
     conditions.age = LENGTH * 7 / 10;
@@ -181,7 +182,7 @@
     assert_eq!(phase(&trial, &conditions), None, "it has no room for all");
     conditions.target_slots = 20;
     assert_eq!(phase(&trial, &conditions), Some(Phase::Moving));
-    trial.advance(Phase::Moving);
+    trial.set_phase(Phase::Moving);
     assert_eq!(trial.credit(), None, "without a bound");
     assert_eq!(
         phase(&trial, &conditions),
@@ -206,7 +207,7 @@
         age,
         ..Conditions::default()
     };
-    assert!(trial.next(&conditions(LENGTH)).is_none());
-    let next = trial.next(&conditions(LENGTH * 2));
+    assert!(trial.next_phase(&conditions(LENGTH)).is_none());
+    let next = trial.next_phase(&conditions(LENGTH * 2));
     assert_eq!(next.map(|(phase, _)| phase), Some(Phase::RolledBack));
 }
--- a/crates/core/tests/rollout_plans.rs
+++ b/crates/core/tests/rollout_plans.rs
@@ -165,17 +165,17 @@
 fn established_by(plans: &Plans, versions: &[&str]) -> Vec<Step> {
     let bounds = Bounds {
         share: 0.1,
-        on_top: 50.0,
+        extra_requests: 50.0,
     };
     let now = Instant::default();
     let mut trials = Trials::new(Some(bounds));
-    trials.adopt(plans, None, 0, now);
+    trials.apply_plans(plans, None, 0, now);
     let servers = versions.iter().enumerate();
     let servers = servers.map(|(number, name)| Server {
         incarnation: format!("s{number}").into(),
         ..server(name)
     });
-    trials.establish(&Listing::new(servers.collect()), now)
+    trials.propose_established(&Listing::new(servers.collect()), now)
 }
 
 #[test]
--- a/crates/curlewlift/src/platform/settings.rs
+++ b/crates/curlewlift/src/platform/settings.rs
@@ -277,7 +277,7 @@
         let is_in_force = self.in_force.iter().any(|part| part == ROLLOUTS);
         is_in_force.then_some(rollout::Bounds {
             share: self.bounds.trial_part,
-            on_top: self.bounds.trial_on_top,
+            extra_requests: self.bounds.trial_on_top,
         })
     }
 
--- a/crates/lab/examples/verdicts.rs
+++ b/crates/lab/examples/verdicts.rs
@@ -98,7 +98,7 @@
 }
 
 fn sample(server: usize, is_bad: bool) -> Sample {
-    let end = if is_bad {
+    let outcome = if is_bad {
         End::Failed
     } else {
         End::Good {
@@ -109,7 +109,7 @@
     Sample {
         rule: "chat".into(),
         server: format!("s{server}").into(),
-        end,
+        outcome,
     }
 }
 
@@ -117,12 +117,12 @@
     let mut random = SmallRng::seed_from_u64(seed ^ 1);
     let mut baseline = Baseline::default();
     for server in 0..600 {
-        baseline.take(&sample(server % 100, random.random_bool(usual)));
+        baseline.record(&sample(server % 100, random.random_bool(usual)));
     }
     let mut judge = Judge::default();
     answers.iter().enumerate().find_map(|(at, is_bad)| {
-        judge.take(&sample(at % SERVERS, *is_bad), &baseline, SERVERS, true);
-        judge.against().map(|_| at + 1)
+        judge.record(&sample(at % SERVERS, *is_bad), &baseline, SERVERS, true);
+        judge.evidence_against().map(|_| at + 1)
     })
 }
 
--- a/crates/lab/src/rollout/world.rs
+++ b/crates/lab/src/rollout/world.rs
@@ -65,7 +65,7 @@
 /// What is borne of a version on trial.
 const BOUNDS: Bounds = Bounds {
     share: 0.1,
-    on_top: 50.0,
+    extra_requests: 50.0,
 };
 
 /// A gateway; its number names its host.
@@ -481,7 +481,7 @@
         }
         if self.phase() == Some(Phase::Trial) {
             self.outcome.exposed += 1;
-            let bound = BOUNDS.share * self.outcome.reached as f64 + BOUNDS.on_top;
+            let bound = BOUNDS.share * self.outcome.reached as f64 + BOUNDS.extra_requests;
             let over = self.outcome.exposed as f64 - bound;
             self.outcome.over = self.outcome.over.max(over);
         }
