--- a/crates/core/src/queue/dispatch.rs
+++ b/crates/core/src/queue/dispatch.rs
@@ -12,10 +12,10 @@
 use crate::unit::Tokens;
 
 use super::Action;
-use super::Ask;
 use super::Queue;
+use super::Request;
 use super::Ticket;
-use super::spot::Running;
+use super::position::Running;
 
 /// Added to each expected time for the ways of messages.
 const SLACK: Duration = Duration::from_millis(60);
@@ -24,21 +24,21 @@
 impl Queue {
     /// Grants in turn, as long as there is a server for whose turn it is.
     pub(super) fn pump(&mut self, now: Instant) {
-        while !self.held && self.grant_next(now) {}
+        while !self.grants_held && self.grant_next(now) {}
     }
 
     /// Whether something left the queue.
     pub(super) fn grant_next(&mut self, now: Instant) -> bool {
-        let Some(level) = self.levels.iter().find(|pair| !pair.1.is_empty()) else {
+        let Some(tier) = self.tiers.iter().find(|pair| !pair.1.is_empty()) else {
             return false;
         };
-        let rank = *level.0;
-        let Some((place, waiting)) = level.1.first() else {
+        let rank = *tier.0;
+        let Some((key, waiting)) = tier.1.first() else {
             return false;
         };
         let work = work_of(&waiting.ask, waiting.expect);
         let deadline = waiting.ask.deadline;
-        let first = waiting.ask.first;
+        let first = waiting.ask.first_token_deadline;
         let customer = waiting.ask.customer.clone();
         let Some(pick) = self.fleet.pick(&work) else {
             return false;
@@ -58,17 +58,17 @@
         {
             return false;
         }
-        let Some(level) = self.levels.get_mut(&rank) else {
+        let Some(tier) = self.tiers.get_mut(&rank) else {
             return false;
         };
         let taken = if late {
-            level.remove(&customer, place)
+            tier.remove(&customer, key)
         } else {
-            level.pop()
+            tier.pop()
         };
         let Some(taken) = taken else { return false };
         let ticket = taken.ask.ticket;
-        self.spots.remove(&ticket);
+        self.positions.remove(&ticket);
         self.deadlines.remove(&(deadline, ticket.clone()));
         if late {
             let refusal = cannot_finish(&pick.estimate);
@@ -167,7 +167,7 @@
     time.mul_f64(1.0 + part) + SLACK
 }
 
-pub(super) fn work_of(ask: &Ask, expect: Tokens) -> Work {
+pub(super) fn work_of(ask: &Request, expect: Tokens) -> Work {
     Work {
         prompt: ask.prompt,
         output: expect,
--- a/crates/core/src/queue/order.rs
+++ b/crates/core/src/queue/service_queue.rs
@@ -14,16 +14,16 @@
 use crate::unit::Tokens;
 
 use super::Action;
-use super::Ask;
 use super::Report;
+use super::Request;
 use super::Ticket;
-use super::budget::Budget;
+use super::customer_queue::WaitingRequest;
 use super::dispatch::work_of;
-use super::length::Length;
-use super::level::Level;
-use super::line::Waiting;
-use super::spot::Running;
-use super::spot::Spot;
+use super::position::Position;
+use super::position::Running;
+use super::response_length::ResponseLength;
+use super::retry_budget::RetryBudget;
+use super::tier_queue::TierQueue;
 
 /// The waiting and the running work of one service, at its owner.
 ///
@@ -33,41 +33,41 @@
 #[derive(Clone, Debug)]
 pub struct Queue {
     pub(super) fleet: Fleet,
-    pub(super) limit: Tokens,
-    pub(super) levels: BTreeMap<u8, Level>,
-    pub(super) spots: HashMap<Ticket, Spot>,
+    pub(super) work_limit: Tokens,
+    pub(super) tiers: BTreeMap<u8, TierQueue>,
+    pub(super) positions: HashMap<Ticket, Position>,
     pub(super) deadlines: BTreeSet<(Instant, Ticket)>,
     pub(super) running: HashMap<Ticket, Running>,
-    pub(super) lengths: HashMap<id::Customer, Length>,
+    pub(super) lengths: HashMap<id::Customer, ResponseLength>,
     pub(super) arrivals: u64,
-    pub(super) held: bool,
-    pub(super) budget: Budget,
+    pub(super) grants_held: bool,
+    pub(super) retry_budget: RetryBudget,
     pub(super) actions: Vec<Action>,
 }
 
 /// # Events
 impl Queue {
-    /// An empty queue over `fleet` in which work of `limit` tokens may wait.
+    /// An empty queue over `fleet` in which work of `work_limit` tokens may wait.
     #[must_use]
-    pub fn new(fleet: Fleet, limit: Tokens) -> Self {
+    pub fn new(fleet: Fleet, work_limit: Tokens) -> Self {
         Self {
             fleet,
-            limit,
-            levels: BTreeMap::new(),
-            spots: HashMap::new(),
+            work_limit,
+            tiers: BTreeMap::new(),
+            positions: HashMap::new(),
             deadlines: BTreeSet::new(),
             running: HashMap::new(),
             lengths: HashMap::new(),
             arrivals: 0,
-            held: false,
-            budget: Budget::default(),
+            grants_held: false,
+            retry_budget: RetryBudget::default(),
             actions: Vec::new(),
         }
     }
 
     /// A request wants a server; the same ticket again is the same request.
-    pub fn ask(&mut self, ask: Ask, now: Instant) {
-        if self.spots.contains_key(&ask.ticket) {
+    pub fn submit(&mut self, ask: Request, now: Instant) {
+        if self.positions.contains_key(&ask.ticket) {
             return;
         }
         if let Some(running) = self.running.get(&ask.ticket) {
@@ -81,7 +81,7 @@
             self.actions.push(Action::Refuse { ticket, refusal });
             return;
         }
-        if !self.budget.take(ask.rank, ask.attempt) {
+        if !self.retry_budget.take(ask.rank, ask.attempt) {
             let why = "no further try: too many requests of the tier are being tried again";
             let refusal = Refusal::new(Code::Refused, why);
             let ticket = ask.ticket;
@@ -89,21 +89,21 @@
             return;
         }
         let length = self.lengths.entry(ask.customer.clone()).or_default();
-        let expect = length.expect(ask.output);
-        self.wait(Waiting { ask, expect });
+        let expect = length.expect(ask.max_output);
+        self.wait(WaitingRequest { ask, expect });
         self.make_room();
         self.pump(now);
     }
 
     /// A request that runs already, told by its entry to a new owner.
-    pub fn resume(&mut self, ask: Ask, server: &id::Server, now: Instant) {
-        let Some(place) = self.fleet.index_of(server) else {
+    pub fn restore_running(&mut self, ask: Request, server: &id::Server, now: Instant) {
+        let Some(index) = self.fleet.index_of(server) else {
             return;
         };
         let length = self.lengths.entry(ask.customer.clone()).or_default();
-        let work = work_of(&ask, length.expect(ask.output));
+        let work = work_of(&ask, length.expect(ask.max_output));
         let pick = Pick {
-            server_index: place,
+            server_index: index,
             name: server.clone(),
             cached: ask.prompt,
             estimate: TimeEstimate::default(),
@@ -121,7 +121,7 @@
     /// What an entry reports of a request that was granted.
     pub fn report(&mut self, ticket: &Ticket, report: Report, now: Instant) {
         match report {
-            Report::First => self.on_first(ticket, now),
+            Report::FirstToken => self.on_first(ticket, now),
             Report::Tokens(tokens) => self.on_tokens(ticket, tokens, now),
             Report::Ended { output, cached } => self.on_ended(ticket, output, cached, now),
         }
@@ -138,8 +138,8 @@
     }
 
     /// An entry is gone, and with it all that it asked for.
-    pub fn forget(&mut self, host: &id::Host, now: Instant) {
-        let waiting = self.spots.keys().filter(|ticket| &ticket.host == host);
+    pub fn remove_entry(&mut self, host: &id::Host, now: Instant) {
+        let waiting = self.positions.keys().filter(|ticket| &ticket.host == host);
         let running = self.running.keys().filter(|ticket| &ticket.host == host);
         let tickets: Vec<_> = waiting.chain(running).cloned().collect();
         for ticket in tickets {
@@ -158,31 +158,31 @@
             self.actions.push(Action::Refuse { ticket, refusal });
         }
         self.fleet.check_overdue(now);
-        self.levels.values_mut().for_each(Level::sweep);
+        self.tiers.values_mut().for_each(TierQueue::sweep);
         self.pump(now);
     }
 
     /// Changes the servers, or what is known of them.
-    pub fn change(&mut self, edit: impl FnOnce(&mut Fleet), now: Instant) {
+    pub fn update_fleet(&mut self, edit: impl FnOnce(&mut Fleet), now: Instant) {
         edit(&mut self.fleet);
         self.pump(now);
     }
 
     /// Changes the limit on the work that waits.
-    pub fn limit(&mut self, limit: Tokens) {
-        self.limit = limit;
+    pub fn set_work_limit(&mut self, work_limit: Tokens) {
+        self.work_limit = work_limit;
         self.make_room();
     }
 
-    /// Whether grants are held back, while a new owner learns what runs already.
-    pub fn hold(&mut self, held: bool, now: Instant) {
-        self.held = held;
+    /// Whether grants are grants_held back, while a new owner learns what runs already.
+    pub fn set_grants_held(&mut self, grants_held: bool, now: Instant) {
+        self.grants_held = grants_held;
         self.pump(now);
     }
 
     /// Takes what there is to tell.
     #[must_use = "an action that is dropped leaves its entry waiting"]
-    pub fn actions(&mut self) -> Vec<Action> {
+    pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 }
@@ -191,25 +191,25 @@
 impl Queue {
     /// Requests that wait.
     #[must_use]
-    pub fn waiting(&self) -> usize {
-        self.spots.len()
+    pub fn waiting_count(&self) -> usize {
+        self.positions.len()
     }
 
     /// Requests that run.
     #[must_use]
-    pub fn running(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
     /// Work that waits.
     #[must_use]
-    pub fn work(&self) -> Tokens {
-        self.levels.values().map(|level| level.work).sum()
+    pub fn waiting_work(&self) -> Tokens {
+        self.tiers.values().map(|tier| tier.work).sum()
     }
 
     /// Every ticket that waits.
-    pub fn tickets(&self) -> impl Iterator<Item = &Ticket> {
-        self.spots.keys()
+    pub fn waiting_tickets(&self) -> impl Iterator<Item = &Ticket> {
+        self.positions.keys()
     }
 
     /// The servers.
@@ -220,8 +220,8 @@
 
     /// The rank of the lowest tier that waits.
     #[must_use]
-    pub fn lowest(&self) -> Option<u8> {
-        let waiting = self.levels.iter().rev().find(|pair| !pair.1.is_empty());
+    pub fn lowest_waiting_rank(&self) -> Option<u8> {
+        let waiting = self.tiers.iter().rev().find(|pair| !pair.1.is_empty());
         waiting.map(|pair| *pair.0)
     }
 }
--- a/crates/core/src/rollout/judge.rs
+++ b/crates/core/src/rollout/judge.rs
@@ -12,8 +12,8 @@
 use std::fmt;
 use std::sync::Arc;
 
+use super::Baseline;
 use super::Sample;
-use super::Yardstick;
 
 /// By how much more of its answers a version must fail to be taken for bad. One that fails four in ten where one in
 /// a hundred is usual is told by five bad answers in the mean, ten at the most (example `verdicts`).
@@ -96,15 +96,15 @@
 /// use curlewlift_core::pool::End;
 /// use curlewlift_core::rollout::Judge;
 /// use curlewlift_core::rollout::Sample;
-/// use curlewlift_core::rollout::Yardstick;
+/// use curlewlift_core::rollout::Baseline;
 /// let mut judge = Judge::default();
-/// let usual = Yardstick::default();
+/// let baseline = Baseline::default();
 /// for server in ["s1", "s2", "s1", "s2"] {
-///     let end = End::Failed;
-///     let sample = Sample { rule: "chat".into(), server: server.into(), end };
-///     judge.take(&sample, &usual, 2, true);
+///     let outcome = End::Failed;
+///     let sample = Sample { rule: "chat".into(), server: server.into(), outcome };
+///     judge.record(&sample, &baseline, 2, true);
 /// }
-/// assert!(judge.against().is_some(), "four failures of two servers, where one in a hundred is usual");
+/// assert!(judge.evidence_against().is_some(), "four failures of two servers, where one in a hundred is usual");
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Judge {
@@ -115,8 +115,14 @@
 impl Judge {
     /// Takes up an answer of the version, which has so many `servers`; where times do not count, one that is only
     /// slow is good.
-    pub fn take(&mut self, sample: &Sample, usual: &Yardstick, servers: usize, times_count: bool) {
-        let Some((is_bad, often)) = usual.measure(sample, times_count) else {
+    pub fn record(
+        &mut self,
+        sample: &Sample,
+        baseline: &Baseline,
+        servers: usize,
+        times_count: bool,
+    ) {
+        let Some((is_bad, often)) = baseline.classify(sample, times_count) else {
             return;
         };
         let shift = shift(is_bad, often);
@@ -127,7 +133,7 @@
 
     /// What speaks surely against the version.
     #[must_use]
-    pub fn against(&self) -> Option<Evidence> {
+    pub fn evidence_against(&self) -> Option<Evidence> {
         let rules = self.rules.iter().map(|(rule, odds)| (Some(rule), odds));
         let mut all = std::iter::once((None, &self.all)).chain(rules);
         let (rule, odds) = all.find(|(_, odds)| odds.against >= SURE)?;
@@ -145,7 +151,7 @@
     }
 
     /// Those of `rules` under which its answers do not speak for it yet.
-    pub fn lacking<'a>(&self, rules: impl Iterator<Item = &'a Arc<str>>) -> Vec<Arc<str>> {
+    pub fn untrusted_rules<'a>(&self, rules: impl Iterator<Item = &'a Arc<str>>) -> Vec<Arc<str>> {
         let in_favour = |rule: &Arc<str>| self.rules.get(rule).map_or(0.0, |odds| odds.in_favour);
         let lacking = rules.filter(|rule| in_favour(rule) < GOOD_RULE);
         lacking.cloned().collect()
@@ -153,7 +159,7 @@
 
     /// How many answers have counted.
     #[must_use]
-    pub fn count(&self) -> usize {
+    pub fn response_count(&self) -> usize {
         self.all.count
     }
 }
