--- a/crates/core/src/gateway/hub.rs
+++ b/crates/core/src/gateway/hub.rs
@@ -11,7 +11,7 @@
 use crate::limit::Warmup;
 use crate::pool::Allowed;
 use crate::quarantine;
-use crate::quota::Desk;
+use crate::quota::Limiter;
 use crate::quota::Tolerance;
 use crate::rollout;
 use crate::rollout::Policy;
@@ -113,7 +113,7 @@
     pub(super) tuning: Tuning,
     pub(super) seen: BTreeMap<id::Host, Seen>,
     pub(super) dispatcher: Dispatcher,
-    pub(super) desk: Desk,
+    pub(super) desk: Limiter,
     /// Of the parts of the sendings past the first.
     pub(super) keeper: Keeper,
     /// Of the parts of what is let in without its word.
@@ -137,7 +137,7 @@
     pub(super) policy: Policy,
     pub(super) retries: Retries,
     /// Which requests are kept away from the servers.
-    pub(super) cases: quarantine::Desk,
+    pub(super) cases: quarantine::Tracker,
     /// Those, as they are agreed.
     pub(super) quarantine: quarantine::List,
     /// The limits that servers name.
@@ -158,7 +158,7 @@
             tuning,
             seen: BTreeMap::new(),
             dispatcher: Dispatcher::default(),
-            desk: Desk::new(tuning.tolerance),
+            desk: Limiter::new(tuning.tolerance),
             keeper: Keeper::new(now),
             deputies: Keeper::new(now),
             holders: Deputies::default(),
@@ -174,7 +174,7 @@
             evacuated: evacuation::Halls::default(),
             policy: Policy::default(),
             retries: Retries::new(tuning.retries, now),
-            cases: quarantine::Desk::default(),
+            cases: quarantine::Tracker::default(),
             quarantine: quarantine::List::default(),
             limits: limit::Table::new(0),
             withheld: Vec::new(),
@@ -187,7 +187,7 @@
     #[must_use]
     pub fn drawn(mut self, number: u64) -> Self {
         self.dispatcher = Dispatcher::new(number);
-        self.cases = quarantine::Desk::new(number);
+        self.cases = quarantine::Tracker::new(number);
         self.answers = number;
         self.limits = limit::Table::new(number);
         self
@@ -199,7 +199,7 @@
             self.table = table.get_number();
             let accounts = table.accounts();
             let accounts = accounts.map(|account| (&account.name, account.allowance));
-            self.desk.adopt(accounts, now);
+            self.desk.set_quotas(accounts, now);
             let services = table.get_services().iter();
             let warmups = services.filter_map(|(service, provider)| {
                 let rate = provider.cold_rate?;
@@ -212,7 +212,7 @@
     /// Says that the table that was taken up is the first of all, so that nobody has used anything.
     pub fn first_table(&mut self, now: Instant) {
         self.set_present(now);
-        self.desk.begin_full(now);
+        self.desk.fill_all(now);
     }
 
     /// Takes up a newer list of backend servers.
@@ -294,7 +294,7 @@
         let is_forgotten = self.seen.len() < known;
         if is_forgotten {
             let seen = &self.seen;
-            self.limits.keep(|host| seen.contains_key(host));
+            self.limits.retain_gateways(|host| seen.contains_key(host));
         }
         let silent = self.silent();
         let mut is_changed = is_first || is_forgotten;
--- a/crates/core/src/gateway/places.rs
+++ b/crates/core/src/gateway/places.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use crate::clock::Instant;
-use crate::quarantine::Verdict;
-use crate::quarantine::Withheld;
+use crate::quarantine::Decision;
+use crate::quarantine::Rejection;
 
 use super::Grant;
 use super::Hub;
@@ -24,7 +24,7 @@
     /// Its customer has used up its allowance; there is enough after this time, if nobody else draws.
     Beyond(Duration),
     /// Servers ended under such a request.
-    Withheld(Withheld),
+    Withheld(Rejection),
     /// It was sent before, and no further sending is left.
     NoRetry,
 }
@@ -39,10 +39,10 @@
         }
         // By what it is, not by the try: each try is new to its gateway and here, and a request that ends servers
         // was given one for as often as it came: 13 servers ended in 16 s.
-        let permit = match self.cases.ask(&want.identity, want.left, now) {
-            Verdict::Free => None,
-            Verdict::Permitted(permit) => Some(permit),
-            Verdict::Withheld(why) => return Wanted::Withheld(why),
+        let permit = match self.cases.decide(&want.identity, want.left, now) {
+            Decision::Allowed => None,
+            Decision::Permitted(permit) => Some(permit),
+            Decision::Rejected(why) => return Wanted::Withheld(why),
         };
         let mut given = Given {
             charge: None,
@@ -58,7 +58,7 @@
         }
         self.set_present(now);
         if let Some(charge) = &want.charge {
-            if let Err(wait) = self.desk.draw(charge, now) {
+            if let Err(wait) = self.desk.acquire(charge, now) {
                 self.give_back(given, now);
                 return Wanted::Beyond(wait);
             }
@@ -96,7 +96,7 @@
         let served = served.map(|(ticket, grant, given)| {
             self.trials.record_grant(&grant.server);
             if let Some(charge) = given.charge {
-                self.desk.spent(&charge, now);
+                self.desk.commit(&charge, now);
             }
             (ticket, grant)
         });
@@ -122,10 +122,10 @@
     /// Takes back what a request was given that got no server.
     fn give_back(&mut self, given: Given, now: Instant) {
         if let Some(charge) = given.charge {
-            self.desk.give_back(&charge, now);
+            self.desk.refund(&charge, now);
         }
         if let Some(permit) = given.permit {
-            self.cases.give_back(&permit);
+            self.cases.release_permit(&permit);
         }
         if let Some(service) = given.retry {
             self.retries.give_back(&service);
@@ -135,7 +135,7 @@
     /// Sets aside what gateways that are not heard may be letting in by themselves.
     pub(super) fn set_present(&mut self, now: Instant) {
         let present = self.deputies.present(now);
-        self.desk.set_present(present, now);
+        self.desk.set_hub_share(present, now);
     }
 
     /// What only the passing of time brings: gateways fall silent, and their parts are set aside.
--- a/crates/curlewlift/src/gateway/place.rs
+++ b/crates/curlewlift/src/gateway/place.rs
@@ -11,9 +11,9 @@
 use curlewlift_core::gateway::Server;
 use curlewlift_core::gateway::Watched;
 use curlewlift_core::id;
+use curlewlift_core::limit::Announcement;
 use curlewlift_core::limit::Change;
 use curlewlift_core::limit::Key;
-use curlewlift_core::limit::Said;
 use curlewlift_core::pool::End;
 use curlewlift_core::pool::Notice;
 use curlewlift_core::quarantine::Identity;
@@ -120,11 +120,11 @@
                 .with("permit", self.permit())
                 .write();
             metrics::counter!("curlewlift_servers_ended").increment(1);
-            quarantine.ended(identity, self.permit(), server, now);
+            quarantine.record_crash(identity, self.permit(), server, now);
         } else if self.whole {
-            quarantine.answered(identity, self.permit(), now);
+            quarantine.record_completion(identity, self.permit(), now);
         } else if let Some(permit) = self.permit() {
-            quarantine.gave_back(identity, permit, now);
+            quarantine.record_inconclusive(identity, permit, now);
         }
     }
 
@@ -171,13 +171,13 @@
     }
 
     /// What the head of an answer said of the server's limit.
-    pub(super) fn limited(&self, said: &Said) {
+    pub(super) fn limited(&self, said: &Announcement) {
         let now = self.node.now();
         let mut limits = self.node.limits.borrow_mut();
-        let news = limits.hear(&self.server, said, self.mark(), self.given, now);
+        let news = limits.record_response(&self.server, said, self.mark(), self.given, now);
         let change = Change {
-            key: Key::of(&self.server),
-            limit: limits.get(&Key::of(&self.server)),
+            key: Key::from_server(&self.server),
+            limit: limits.get(&Key::from_server(&self.server)),
         };
         drop(limits);
         self.node.limit(std::iter::once(change));
@@ -188,9 +188,9 @@
     }
 
     /// What is known here of the server's limit.
-    pub(super) fn get_limit(&self) -> Said {
+    pub(super) fn get_limit(&self) -> Announcement {
         let rate = self.node.limits.borrow().rate(&self.server);
-        rate.map_or(Said::Nothing, Said::Named)
+        rate.map_or(Announcement::NoLimit, Announcement::Limited)
     }
 
     /// Writes what is new of what the server said of itself.
@@ -223,7 +223,7 @@
         }
         let is_drawn = self.grant.as_ref().is_some_and(|grant| grant.drawn);
         let limits = self.node.limits.borrow();
-        if !is_drawn && limits.closes(&self.server, self.mark()) {
+        if !is_drawn && limits.blocks(&self.server, self.mark()) {
             return true;
         }
         let now = self.node.now();
@@ -264,10 +264,10 @@
 }
 
 /// Adds to a line what a server said of its limit.
-pub(super) fn log_limit(line: Line, said: &Said) -> Line {
+pub(super) fn log_limit(line: Line, said: &Announcement) -> Line {
     match said {
-        Said::Nothing => line.with("limit", None::<f64>),
-        Said::Named(rate) => line.with("limit", rate.as_f64()),
-        Said::Odd(odd) => line.with("odd", odd.as_str()),
+        Announcement::NoLimit => line.with("limit", None::<f64>),
+        Announcement::Limited(rate) => line.with("limit", rate.as_f64()),
+        Announcement::Invalid(odd) => line.with("odd", odd.as_str()),
     }
 }
--- a/crates/curlewlift/src/gateway/places.rs
+++ b/crates/curlewlift/src/gateway/places.rs
@@ -18,7 +18,7 @@
 use curlewlift_core::pool::End;
 use curlewlift_core::pool::Notice;
 use curlewlift_core::quarantine::Identity;
-use curlewlift_core::quarantine::Withheld;
+use curlewlift_core::quarantine::Rejection;
 use curlewlift_core::quota::Charge;
 use curlewlift_core::unit::Tokens;
 
@@ -68,7 +68,7 @@
     /// Its customer has used up its allowance; there is enough after this time.
     Beyond(Duration),
     /// Servers ended under such a request.
-    Withheld(Withheld),
+    Withheld(Rejection),
     /// It was sent before, and no further sending is left.
     NoRetry,
     /// A place at a server that has told this host that it wants no request, or a limit that the hub did not know of;
@@ -172,7 +172,7 @@
                 .quarantine
                 .borrow()
                 .get_evidence()
-                .untold_of(wanted.identity),
+                .unacknowledged_for(wanted.identity),
             prompt: ask.prompt,
             charge: charge.cloned(),
             retry: wanted.retry,
@@ -196,9 +196,9 @@
         let met = self
             .limits
             .borrow_mut()
-            .meet(std::iter::once(&*server), now);
+            .observe_servers(std::iter::once(&*server), now);
         self.limit(met.into_iter());
-        let is_beyond = !grant.drawn && self.limits.borrow().closes(&server, grant.mark);
+        let is_beyond = !grant.drawn && self.limits.borrow().blocks(&server, grant.mark);
         let is_evacuated = self.policy.borrow().is_evacuated(&server.hall);
         let is_closed = is_beyond || is_evacuated;
         let take = |service: &mut Service| {
@@ -210,7 +210,7 @@
         if let Some(permit) = grant.permit {
             let identity = wanted.identity.clone();
             let mut quarantine = self.quarantine.borrow_mut();
-            quarantine.gave_back(identity, permit, now);
+            quarantine.record_inconclusive(identity, permit, now);
         }
         self.tell(service, &server.incarnation, End::Nothing, None);
         if (self.tell_word(service, &server) || is_closed) && !is_late {
@@ -286,8 +286,8 @@
             mark: node.hub.borrow().mark,
             loads: node.loads(),
             ends,
-            observed: node.quarantine.borrow().get_evidence().untold().0,
-            limits: node.limits.borrow().words(),
+            observed: node.quarantine.borrow().get_evidence().unacknowledged().0,
+            limits: node.limits.borrow().pending_reports(),
         };
         let call = RenewCall::Hub(HubCall::Tell(report));
         let told: Result<HubReply, Refusal> =
