--- a/crates/core/src/gateway/dispatch.rs
+++ b/crates/core/src/gateway/dispatch.rs
@@ -11,10 +11,10 @@
 use crate::limit::Change;
 use crate::limit::Warmup;
 use crate::pool;
-use crate::pool::Ask;
-use crate::pool::End;
-use crate::pool::OnTrial;
+use crate::pool::AttemptOutcome;
 use crate::pool::Pool;
+use crate::pool::Request;
+use crate::pool::TrialVersion;
 use crate::quarantine::Identity;
 use crate::quarantine::Permit;
 
@@ -113,7 +113,7 @@
     /// The versions that get no more than so many requests, by service.
     pub(super) fn set_on_trial<'a>(
         &mut self,
-        on_trial: impl Iterator<Item = (&'a id::Service, OnTrial)>,
+        on_trial: impl Iterator<Item = (&'a id::Service, TrialVersion)>,
     ) {
         let mut on_trial: BTreeMap<_, _> = on_trial.collect();
         for (service, pool) in &mut self.pools {
@@ -144,7 +144,7 @@
             if let Some(pool) = self.pools.get_mut(&ended.service) {
                 pool.seen(&ended.incarnation, ended.end, now);
             }
-            if let End::Rests(length) = ended.end {
+            if let AttemptOutcome::Rests(length) = ended.end {
                 self.rests(host, ended, now + length);
             }
         }
@@ -213,7 +213,7 @@
             return Err(given);
         };
         let until = |(incarnation, left)| (incarnation, now + left);
-        let ask = Ask {
+        let ask = Request {
             rule: want.rule,
             rank: want.rank,
             arrived: now - want.waited,
@@ -338,7 +338,7 @@
     }
 
     /// The turns that a service has, by what is in flight now.
-    fn turns(&mut self, service: &id::Service, now: Instant) -> Vec<pool::Turn> {
+    fn turns(&mut self, service: &id::Service, now: Instant) -> Vec<pool::Assignment> {
         let Some(pool) = self.pools.get_mut(service) else {
             return Vec::new();
         };
@@ -354,7 +354,7 @@
     fn grant(
         &mut self,
         ticket: &Ticket,
-        turn: &pool::Turn,
+        turn: &pool::Assignment,
         now: Instant,
     ) -> Option<(Grant, Given)> {
         let Asking { host, given, .. } = self.asking.remove(ticket)?;
--- a/crates/core/src/gateway/grant.rs
+++ b/crates/core/src/gateway/grant.rs
@@ -8,7 +8,7 @@
 
 use crate::id;
 use crate::limit::Words;
-use crate::pool::End;
+use crate::pool::AttemptOutcome;
 use crate::quarantine::Identity;
 use crate::quarantine::Observation;
 use crate::quarantine::Permit;
@@ -124,7 +124,7 @@
     /// For the roll-out that was under way when it began, where one was.
     pub watched: Option<Watched>,
     /// What it says of the backend server.
-    pub end: End,
+    pub end: AttemptOutcome,
 }
 
 /// What a gateway tells as soon as an answer begins or a sending has ended.
--- a/crates/core/src/gateway/hub.rs
+++ b/crates/core/src/gateway/hub.rs
@@ -9,7 +9,7 @@
 use crate::id;
 use crate::limit;
 use crate::limit::Warmup;
-use crate::pool::Allowed;
+use crate::pool::RetryAllowance;
 use crate::quarantine;
 use crate::quota::Desk;
 use crate::quota::Tolerance;
@@ -49,7 +49,7 @@
     /// What is borne of a version that is on trial; none where roll-outs are not to be had.
     pub rollouts: Option<rollout::Bounds>,
     /// How many sendings past the first are allowed; none where nothing says so.
-    pub retries: Option<Allowed>,
+    pub retries: Option<RetryAllowance>,
     /// What more than its rate a cold server bears.
     pub cold: limit::Slack,
     /// What the host's link carries, in bytes a second; 0 where that is not known.
--- a/crates/core/src/gateway/retries.rs
+++ b/crates/core/src/gateway/retries.rs
@@ -4,7 +4,7 @@
 
 use crate::clock::Instant;
 use crate::id;
-use crate::pool::Allowed;
+use crate::pool::RetryAllowance;
 use crate::quota::Bucket;
 
 /// The part of the floor that the hub grants in a window; half of it may go out at once.
@@ -18,14 +18,14 @@
 /// more than one would.
 #[derive(Clone, Debug)]
 pub(super) struct Retries {
-    allowed: Option<Allowed>,
+    allowed: Option<RetryAllowance>,
     began: Instant,
     accounts: BTreeMap<id::Service, Bucket>,
 }
 
 impl Retries {
     /// Those of a hub that begins at `began`; none at all where nothing says what is `allowed`.
-    pub(super) fn new(allowed: Option<Allowed>, began: Instant) -> Self {
+    pub(super) fn new(allowed: Option<RetryAllowance>, began: Instant) -> Self {
         Self {
             allowed,
             began,
--- a/crates/core/src/pool/choose.rs
+++ b/crates/core/src/pool/choose.rs
@@ -5,9 +5,9 @@
 use crate::clock::Instant;
 use crate::gateway::Server;
 
-use super::Ask;
 use super::Pool;
-use super::server::Known;
+use super::Request;
+use super::server_state::ServerState;
 
 /// The weight of the lot that is drawn for each server, in requests: servers that look nearly the
 /// same are told apart by it.
@@ -39,7 +39,7 @@
 
     /// The place of the best server with room; where all are left alone, of those that have
     /// hardly broken. Of many some are looked at, and all where none of those will do.
-    pub(super) fn choose(&mut self, ask: &Ask, now: Instant) -> Option<usize> {
+    pub(super) fn choose(&mut self, ask: &Request, now: Instant) -> Option<usize> {
         let place = self.choose_on_trial(ask, now);
         if place.is_some() {
             return place;
@@ -50,7 +50,7 @@
         };
         let all_suspect = self.is_suspect(may, now);
         let trusted =
-            |known: &Known| may(&known.server) && known.trust.is_trusted(all_suspect, now);
+            |known: &ServerState| may(&known.server) && known.trust.is_trusted(all_suspect, now);
         let free = self.servers.free();
         if free.len() > ALL {
             let last = free.last().copied().unwrap_or_default();
@@ -84,9 +84,9 @@
     /// all send to the same one.
     fn best(
         &mut self,
-        ask: &Ask,
+        ask: &Request,
         places: Vec<usize>,
-        trusted: impl Fn(&Known) -> bool,
+        trusted: impl Fn(&ServerState) -> bool,
         now: Instant,
     ) -> Option<usize> {
         let mean = self.servers.mean_pace();
@@ -107,7 +107,7 @@
 
     /// How long a request is likely to take there, in the time of one request at a
     /// server of the usual pace.
-    fn score(&self, known: &Known, ask: &Ask, mean: f64) -> f64 {
+    fn score(&self, known: &ServerState, ask: &Request, mean: f64) -> f64 {
         let pace = known
             .pace()
             .map_or(1.0, |pace| pace / mean.max(f64::MIN_POSITIVE));
--- a/crates/core/src/pool/hopeless.rs
+++ b/crates/core/src/pool/doomed.rs
@@ -3,10 +3,10 @@
 use crate::clock::Instant;
 use crate::gateway::Server;
 
-use super::Ask;
 use super::Pool;
+use super::Request;
 use super::Ticket;
-use super::server::Known;
+use super::server_state::ServerState;
 
 impl Pool {
     /// Takes those out of line whose turn is not likely to come before they stop waiting, and those
@@ -40,7 +40,7 @@
     /// Whether it is for want of room that requests wait for the servers that are `open`, not for servers that are
     /// left alone.
     fn is_full(&self, open: impl Fn(&Server) -> bool, now: Instant) -> bool {
-        let is_trusted = |known: &Known| open(&known.server) && !known.trust.is_suspect(now);
+        let is_trusted = |known: &ServerState| open(&known.server) && !known.trust.is_suspect(now);
         let mut free = self.servers.free().iter();
         let has_room = free.any(|place| {
             let known = self.servers.at(*place);
@@ -51,7 +51,7 @@
     }
 
     /// Whether no server is left that a request may be sent to while it waits.
-    fn waits_in_vain(&self, ask: &Ask) -> bool {
+    fn waits_in_vain(&self, ask: &Request) -> bool {
         let mut taking = self.servers.all().filter(|known| known.takes_work());
         let is_tried = !ask.tried.is_empty();
         let is_bound = is_tried || (ask.is_kept_from() && self.is_served());
--- a/crates/core/src/pool/lead.rs
+++ b/crates/core/src/pool/first_byte_time.rs
@@ -17,8 +17,8 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use curlewlift_core::pool::Lead;
-/// let mut lead = Lead::default();
+/// use curlewlift_core::pool::FirstByteTime;
+/// let mut lead = FirstByteTime::default();
 /// assert_eq!(lead.get(), Duration::ZERO);
 /// for _ in 0..50 {
 ///     lead.add(Duration::from_millis(80));
@@ -26,12 +26,12 @@
 /// assert!(lead.get() < Duration::from_millis(90));
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Lead {
+pub struct FirstByteTime {
     /// The mean in seconds, and how far measurements lie from it.
     known: Option<(f64, f64)>,
 }
 
-impl Lead {
+impl FirstByteTime {
     /// Takes in a measurement.
     pub fn add(&mut self, time: Duration) {
         let time = time.as_secs_f64();
--- a/crates/core/src/pool/forecast.rs
+++ b/crates/core/src/pool/forecast.rs
@@ -6,7 +6,7 @@
 use crate::clock::Instant;
 use crate::route::Rank;
 
-use super::waiting::Place;
+use super::queue::Position;
 
 /// The time in which what was counted fades to a third, in seconds: long enough for some tens of
 /// turns of a busy service, short enough for the beginning of a crowd to show before callers have
@@ -90,7 +90,7 @@
 
     /// How long the request at `place` is likely to wait, with `ahead` others before it: those who
     /// will come and go before it take their part of the turns. None where nothing is known.
-    pub(super) fn wait(&self, place: &Place, ahead: usize) -> Option<Duration> {
+    pub(super) fn wait(&self, place: &Position, ahead: usize) -> Option<Duration> {
         let before = self.asked.iter();
         let before = before.filter(|(rank, _)| place.goes_after(*rank));
         let taken: f64 = before.map(|(_, rate)| rate).sum();
--- a/crates/core/src/pool/held.rs
+++ b/crates/core/src/pool/limit_wait.rs
@@ -6,12 +6,12 @@
 
 /// Adds up the time in which requests waited while a server had room, and had got what it takes.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Held {
+pub(super) struct LimitWait {
     since: Option<Instant>,
     total: Duration,
 }
 
-impl Held {
+impl LimitWait {
     /// Says whether requests wait so from `now` on.
     pub(super) fn set(&mut self, is_held: bool, now: Instant) {
         if let Some(since) = self.since.take() {
--- a/crates/core/src/pool/waiting.rs
+++ b/crates/core/src/pool/queue.rs
@@ -6,12 +6,12 @@
 use crate::clock::Instant;
 use crate::route::Rank;
 
-use super::Ask;
+use super::Request;
 use super::Ticket;
 
 /// A place in line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Place {
+pub(super) struct Position {
     pub(super) rank: Rank,
     /// Whether its answer would begin too late by now.
     pub(super) late: bool,
@@ -19,7 +19,7 @@
     pub(super) ticket: Ticket,
 }
 
-impl Place {
+impl Position {
     /// Whether a request of `rank` that arrives now goes before it.
     pub(super) fn goes_after(&self, rank: Rank) -> bool {
         rank < self.rank || (self.late && rank == self.rank)
@@ -28,13 +28,13 @@
 
 /// Requests that wait.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Waiting {
-    order: BTreeMap<Place, Ask>,
+pub(super) struct Queue {
+    order: BTreeMap<Position, Request>,
 }
 
-impl Waiting {
-    pub(super) fn add(&mut self, ticket: Ticket, ask: Ask, now: Instant) {
-        let place = Place {
+impl Queue {
+    pub(super) fn add(&mut self, ticket: Ticket, ask: Request, now: Instant) {
+        let place = Position {
             rank: ask.rank,
             late: ask.wanted <= now,
             arrived: ask.arrived,
@@ -51,7 +51,7 @@
         self.order.remove(&place).is_some()
     }
 
-    pub(super) fn get_mut(&mut self, ticket: Ticket) -> Option<&mut Ask> {
+    pub(super) fn get_mut(&mut self, ticket: Ticket) -> Option<&mut Request> {
         let mut asks = self.order.iter_mut();
         let ask = asks.find(|(place, _)| place.ticket == ticket);
         ask.map(|(_, ask)| ask)
@@ -67,14 +67,14 @@
     }
 
     /// The first one, or the next after a place in line.
-    pub(super) fn after(&self, place: Option<Place>) -> Option<(Place, &Ask)> {
+    pub(super) fn after(&self, place: Option<Position>) -> Option<(Position, &Request)> {
         let from = place.map_or(Bound::Unbounded, Bound::Excluded);
         let next = self.order.range((from, Bound::Unbounded)).next();
         next.map(|(place, ask)| (*place, ask))
     }
 
     /// All of them, in order.
-    pub(super) fn all(&self) -> impl Iterator<Item = (&Place, &Ask)> {
+    pub(super) fn all(&self) -> impl Iterator<Item = (&Position, &Request)> {
         self.order.iter()
     }
 
@@ -85,7 +85,7 @@
         let late: Vec<_> = late.map(|(place, _)| *place).collect();
         for place in late {
             if let Some(ask) = self.order.remove(&place) {
-                let place = Place {
+                let place = Position {
                     late: true,
                     ..place
                 };
--- a/crates/core/src/pool/ask.rs
+++ b/crates/core/src/pool/request.rs
@@ -18,7 +18,7 @@
 
 /// A request that wants a backend server.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct Request {
     /// The rule that it came under, where that is of use.
     pub rule: Option<Arc<str>>,
     /// How urgent it is.
@@ -43,7 +43,7 @@
     pub halls: Option<Arc<[Arc<str>]>>,
 }
 
-impl Ask {
+impl Request {
     /// Whether it may be sent to `server` at `now`.
     pub(super) fn may_go_to(&self, server: &Server, now: Instant) -> bool {
         let incarnation = &server.incarnation;
@@ -89,7 +89,7 @@
 
 /// A request's turn.
 #[derive(Clone, Debug)]
-pub struct Turn {
+pub struct Assignment {
     /// Whose it is.
     pub ticket: Ticket,
     /// Where to send it.
@@ -102,7 +102,7 @@
 
 /// How a sending ended, as far as it says something of the backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum End {
+pub enum AttemptOutcome {
     /// Answered; with the time to the first byte, and between the pieces of a stream.
     Good {
         /// From the sending to the first byte of the answer.
--- a/crates/core/src/pool/budget.rs
+++ b/crates/core/src/pool/retry_budget.rs
@@ -14,7 +14,7 @@
 
 /// What a deployment allows.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Allowed {
+pub struct RetryAllowance {
     /// Further sendings for each first one.
     pub ratio: f64,
     /// Further sendings in a window at all times, over all gateways.
@@ -36,15 +36,15 @@
 /// A gateway's part of a service's budget: so much for each request that it took itself, and its
 /// part of the floor. No word with others is needed.
 #[derive(Clone, Debug)]
-pub struct Budget {
-    allowed: Allowed,
+pub struct RetryBudget {
+    allowed: RetryAllowance,
     steps: VecDeque<Step>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// A budget of which nothing is spent.
     #[must_use]
-    pub fn new(allowed: Allowed) -> Self {
+    pub fn new(allowed: RetryAllowance) -> Self {
         Self {
             allowed,
             steps: VecDeque::new(),
--- a/crates/core/src/pool/trust.rs
+++ b/crates/core/src/pool/server_health.rs
@@ -21,7 +21,7 @@
 
 /// What is known of a server's failures.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Trust {
+pub struct ServerHealth {
     breaks: u32,
     until: Option<Instant>,
     failures: f64,
@@ -29,7 +29,7 @@
     wary: bool,
 }
 
-impl Trust {
+impl ServerHealth {
     /// An answer came.
     pub fn good(&mut self) {
         self.breaks = 0;
--- a/crates/core/src/pool/pace.rs
+++ b/crates/core/src/pool/server_latency.rs
@@ -10,11 +10,11 @@
 
 /// A mean that forgets.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Pace {
+pub struct ServerLatency {
     mean: Option<f64>,
 }
 
-impl Pace {
+impl ServerLatency {
     /// Takes in a measurement.
     pub fn add(&mut self, time: Duration) {
         let time = time.as_secs_f64();
--- a/crates/core/src/pool/roster.rs
+++ b/crates/core/src/pool/server_set.rs
@@ -6,15 +6,15 @@
 
 use crate::gateway::Server;
 
-use super::server::Known;
+use super::server_state::ServerState;
 
 /// The backend servers of a pool.
 ///
 /// At its worst load all servers are full, and each request that ends makes room at one: what is changed
 /// one server at a time keeps a turn's cost from growing with their number.
 #[derive(Debug)]
-pub(super) struct Roster {
-    servers: Vec<Known>,
+pub(super) struct ServerSet {
+    servers: Vec<ServerState>,
     /// The place of each incarnation among the servers.
     places: HashMap<Arc<str>, usize>,
     /// The places of those that have room for new work.
@@ -26,7 +26,7 @@
     over: u32,
 }
 
-impl Roster {
+impl ServerSet {
     /// No servers yet; each may have `over` requests in flight beyond its slots.
     pub(super) fn new(over: u32) -> Self {
         Self {
@@ -40,12 +40,12 @@
     }
 
     /// All of them.
-    pub(super) fn all(&self) -> impl Iterator<Item = &Known> {
+    pub(super) fn all(&self) -> impl Iterator<Item = &ServerState> {
         self.servers.iter()
     }
 
     /// The server at a place.
-    pub(super) fn at(&self, place: usize) -> &Known {
+    pub(super) fn at(&self, place: usize) -> &ServerState {
         &self.servers[place]
     }
 
@@ -65,7 +65,7 @@
     }
 
     /// What is known of an incarnation.
-    pub(super) fn get(&self, incarnation: &str) -> Option<&Known> {
+    pub(super) fn get(&self, incarnation: &str) -> Option<&ServerState> {
         let place = self.places.get(incarnation)?;
         self.servers.get(*place)
     }
@@ -79,7 +79,7 @@
     pub(super) fn update<T>(
         &mut self,
         incarnation: &str,
-        change: impl FnOnce(&mut Known) -> T,
+        change: impl FnOnce(&mut ServerState) -> T,
     ) -> Option<T> {
         let place = *self.places.get(incarnation)?;
         self.update_at(place, change)
@@ -89,7 +89,7 @@
     pub(super) fn update_at<T>(
         &mut self,
         place: usize,
-        change: impl FnOnce(&mut Known) -> T,
+        change: impl FnOnce(&mut ServerState) -> T,
     ) -> Option<T> {
         let known = self.servers.get_mut(place)?;
         let before = known.pace();
@@ -113,7 +113,7 @@
     }
 
     /// Changes what is known of each of them.
-    pub(super) fn update_all(&mut self, change: impl Fn(&mut Known)) {
+    pub(super) fn update_all(&mut self, change: impl Fn(&mut ServerState)) {
         for known in &mut self.servers {
             change(known);
         }
@@ -130,20 +130,20 @@
         for server in servers {
             let mut known = match former.remove(&server.incarnation) {
                 Some(known) => known,
-                None => Known::new(Arc::clone(&server)),
+                None => ServerState::new(Arc::clone(&server)),
             };
             known.server = server;
             known.listed = true;
             self.servers.push(known);
         }
         let stay = former.into_values().filter(|known| known.own > 0);
-        self.servers.extend(stay.map(Known::unlisted));
+        self.servers.extend(stay.map(ServerState::unlisted));
         self.index();
     }
 
     /// Adds a server that is not on the list, and was named with a place.
     pub(super) fn add_named(&mut self, server: Arc<Server>) {
-        self.servers.push(Known::new(server).unlisted());
+        self.servers.push(ServerState::new(server).unlisted());
         self.index();
     }
 
--- a/crates/core/src/pool/server.rs
+++ b/crates/core/src/pool/server_state.rs
@@ -7,13 +7,13 @@
 use crate::gateway::Server;
 use crate::unit::Tokens;
 
-use super::End;
-use super::Pace;
-use super::Trust;
+use super::AttemptOutcome;
+use super::ServerHealth;
+use super::ServerLatency;
 
 /// One backend server of a pool.
 #[derive(Clone, Debug)]
-pub(super) struct Known {
+pub(super) struct ServerState {
     pub(super) server: Arc<Server>,
     /// Whether it is on the list; others take only what they are named for with a place.
     pub(super) listed: bool,
@@ -26,13 +26,13 @@
     /// The same of other gateways, by the last word.
     pub(super) others_reading: u64,
     /// The time to the first byte of an answer.
-    pub(super) first: Pace,
+    pub(super) first: ServerLatency,
     /// The time between two pieces of a stream.
-    pub(super) gap: Pace,
-    pub(super) trust: Trust,
+    pub(super) gap: ServerLatency,
+    pub(super) trust: ServerHealth,
 }
 
-impl Known {
+impl ServerState {
     /// A server that is on the list.
     pub(super) fn new(server: Arc<Server>) -> Self {
         Self {
@@ -42,9 +42,9 @@
             others: 0,
             own_reading: 0,
             others_reading: 0,
-            first: Pace::default(),
-            gap: Pace::default(),
-            trust: Trust::default(),
+            first: ServerLatency::default(),
+            gap: ServerLatency::default(),
+            trust: ServerHealth::default(),
         }
     }
 
@@ -120,21 +120,21 @@
     }
 
     /// Takes note of how a sending ended.
-    pub(super) fn judge(&mut self, end: End, now: Instant) {
+    pub(super) fn judge(&mut self, end: AttemptOutcome, now: Instant) {
         match end {
-            End::Good { first, gap } => {
+            AttemptOutcome::Good { first, gap } => {
                 self.trust.good();
                 self.first.add(first);
                 if let Some(gap) = gap {
                     self.gap.add(gap);
                 }
             }
-            End::Full => self.trust.full(now),
-            End::Rests(_) => self.trust.rests(now),
-            End::Failed => self.trust.failed(),
-            End::Broken | End::Silent => self.trust.broke(now),
-            End::Gone => self.leave(),
-            End::Nothing => {}
+            AttemptOutcome::Full => self.trust.full(now),
+            AttemptOutcome::Rests(_) => self.trust.rests(now),
+            AttemptOutcome::Failed => self.trust.failed(),
+            AttemptOutcome::Broken | AttemptOutcome::Silent => self.trust.broke(now),
+            AttemptOutcome::Gone => self.leave(),
+            AttemptOutcome::Nothing => {}
         }
     }
 }
--- a/crates/core/src/pool/servers.rs
+++ b/crates/core/src/pool/servers.rs
@@ -16,34 +16,34 @@
 use crate::limit::Warmup;
 use crate::unit::Tokens;
 
-use super::Ask;
-use super::End;
+use super::Assignment;
+use super::AttemptOutcome;
 use super::Notice;
 use super::Notices;
+use super::Request;
 use super::Ticket;
 use super::Tuning;
-use super::Turn;
 use super::forecast::Forecast;
-use super::held::Held;
-use super::on_trial::OnTrial;
-use super::roster::Roster;
-use super::server::Known;
-use super::waiting::Waiting;
+use super::limit_wait::LimitWait;
+use super::queue::Queue;
+use super::server_set::ServerSet;
+use super::server_state::ServerState;
+use super::trial_version::TrialVersion;
 
 /// The backend servers of one service, and the requests that wait for one.
 #[derive(Debug)]
 pub struct Pool {
     pub(super) tuning: Tuning,
-    pub(super) servers: Roster,
+    pub(super) servers: ServerSet,
     /// What servers have said of themselves to this host.
     notices: Notices,
     /// What those may still get that have named a limit.
     pub(super) limits: Ledger,
-    held: Held,
-    pub(super) waiting: Waiting,
+    held: LimitWait,
+    pub(super) waiting: Queue,
     pub(super) forecast: Forecast,
     /// The version that gets no more than so many requests.
-    pub(super) on_trial: Option<OnTrial>,
+    pub(super) on_trial: Option<TrialVersion>,
     next: u64,
     pub(super) random: SmallRng,
 }
@@ -54,11 +54,11 @@
     pub fn new(tuning: Tuning, seed: u64) -> Self {
         Self {
             tuning,
-            servers: Roster::new(tuning.over),
+            servers: ServerSet::new(tuning.over),
             notices: Notices::default(),
             limits: Ledger::closed(),
-            held: Held::default(),
-            waiting: Waiting::default(),
+            held: LimitWait::default(),
+            waiting: Queue::default(),
             forecast: Forecast::default(),
             on_trial: None,
             next: 0,
@@ -106,7 +106,7 @@
     pub fn hear(&mut self, loads: &[Load]) {
         self.servers.update_all(|known| known.hear(None));
         for load in loads {
-            let hear = |known: &mut Known| known.hear(Some(load));
+            let hear = |known: &mut ServerState| known.hear(Some(load));
             self.servers.update(&load.incarnation, hear);
         }
     }
@@ -121,7 +121,7 @@
     }
 
     /// The version that gets no more than some requests; none where all versions are alike.
-    pub fn set_on_trial(&mut self, on_trial: Option<OnTrial>) {
+    pub fn set_on_trial(&mut self, on_trial: Option<TrialVersion>) {
         self.on_trial = on_trial;
     }
 
@@ -194,7 +194,7 @@
     /// Takes note of what a server says of itself; gives what of it is new.
     pub fn notice(&mut self, server: &Server, notice: Notice, now: Instant) -> Option<Notice> {
         if notice == Notice::Leaves {
-            self.servers.update(&server.incarnation, Known::leave);
+            self.servers.update(&server.incarnation, ServerState::leave);
         }
         if let Notice::Rest(_) = notice {
             // It may come from a life that has begun since the request was sent.
@@ -256,7 +256,7 @@
     /// Whether it has a server that takes new work.
     #[must_use]
     pub fn is_served(&self) -> bool {
-        self.servers.all().any(Known::takes_work)
+        self.servers.all().any(ServerState::takes_work)
     }
 
     /// What is in flight from here.
@@ -277,7 +277,7 @@
     }
 
     /// Takes note of how a sending ended.
-    pub fn ended(&mut self, incarnation: &str, end: End, now: Instant) {
+    pub fn ended(&mut self, incarnation: &str, end: AttemptOutcome, now: Instant) {
         self.note_gone(incarnation, end, now);
         let is_done = self.servers.update(incarnation, |known| {
             known.end();
@@ -290,17 +290,17 @@
     }
 
     /// Takes note of something that is seen while a request still runs.
-    pub fn seen(&mut self, incarnation: &str, end: End, now: Instant) {
+    pub fn seen(&mut self, incarnation: &str, end: AttemptOutcome, now: Instant) {
         self.note_gone(incarnation, end, now);
         self.servers
             .update(incarnation, |known| known.judge(end, now));
     }
 
     /// Takes note that an incarnation is gone or leaves, where an end says so.
-    fn note_gone(&mut self, incarnation: &str, end: End, now: Instant) {
+    fn note_gone(&mut self, incarnation: &str, end: AttemptOutcome, now: Instant) {
         let known = self.servers.get(incarnation);
         if let Some(server) = known.map(|known| Arc::clone(&known.server))
-            && end == End::Gone
+            && end == AttemptOutcome::Gone
         {
             self.notice(&server, Notice::Leaves, now);
         }
@@ -323,7 +323,7 @@
     }
 
     /// Puts a request in line at `now`; tells who is turned away for want of room.
-    pub fn ask(&mut self, ask: Ask, now: Instant) -> (Ticket, Option<Ticket>) {
+    pub fn ask(&mut self, ask: Request, now: Instant) -> (Ticket, Option<Ticket>) {
         self.next += 1;
         let ticket = Ticket(self.next);
         self.forecast.asked(ask.rank, now);
@@ -342,7 +342,7 @@
     }
 
     /// Gives turns to those in line for whom there is room.
-    pub fn serve(&mut self, now: Instant) -> Vec<Turn> {
+    pub fn serve(&mut self, now: Instant) -> Vec<Assignment> {
         let mut turns = Vec::new();
         let mut last = None;
         let resting = self.resting(now);
@@ -371,7 +371,7 @@
                 known.trust.given(now);
                 known.begin(ask.prompt);
             });
-            turns.push(Turn {
+            turns.push(Assignment {
                 ticket,
                 server: Arc::clone(&self.servers.at(place).server),
                 prompt: ask.prompt,
--- a/crates/core/src/pool/on_trial.rs
+++ b/crates/core/src/pool/trial_version.rs
@@ -15,9 +15,9 @@
 use crate::gateway::version;
 use crate::rollout::Version;
 
-use super::Ask;
 use super::Pool;
-use super::server::Known;
+use super::Request;
+use super::server_state::ServerState;
 
 /// One of so many requests of other rules is tried while too little is known under some: with none of them, a
 /// version that turned slow meanwhile got all requests in one trial of ten.
@@ -25,7 +25,7 @@
 
 /// A version that gets no more than some of the requests.
 #[derive(Clone, Debug)]
-pub struct OnTrial {
+pub struct TrialVersion {
     /// The version.
     pub version: Version,
     /// How many requests it may get now.
@@ -34,9 +34,9 @@
     pub lacking: Vec<Arc<str>>,
 }
 
-impl OnTrial {
+impl TrialVersion {
     /// Whether a request is of those that are to be tried first.
-    fn lacks(&self, ask: &Ask) -> bool {
+    fn lacks(&self, ask: &Request) -> bool {
         let is_lacking = |rule: &Arc<str>| self.lacking.contains(rule);
         self.lacking.is_empty() || ask.rule.as_ref().is_some_and(is_lacking)
     }
@@ -44,12 +44,12 @@
 
 impl Pool {
     /// Whether requests go to `server` without a bound.
-    pub(super) fn is_open(on_trial: Option<&OnTrial>, server: &Server) -> bool {
+    pub(super) fn is_open(on_trial: Option<&TrialVersion>, server: &Server) -> bool {
         on_trial.is_none_or(|on_trial| on_trial.version != server.version)
     }
 
     /// The place of the server that a request is tried at, where it is.
-    pub(super) fn choose_on_trial(&mut self, ask: &Ask, now: Instant) -> Option<usize> {
+    pub(super) fn choose_on_trial(&mut self, ask: &Request, now: Instant) -> Option<usize> {
         let on_trial = self.on_trial.as_ref();
         let on_trial = on_trial.filter(|on_trial| {
             let is_first = on_trial.lacks(ask) || self.random.random_ratio(1, OTHERS);
@@ -73,7 +73,7 @@
         // among others: at half of all servers failing half of their answers, three good versions in ten
         // looked bad beside others whose failing servers got nothing any more.
         let second = now.0 / 1_000_000;
-        let order = |known: &Known| {
+        let order = |known: &ServerState| {
             let load = known.in_flight();
             let is_idle = f64::from(load) < usual;
             let lot = version(&(second, &known.server.incarnation));
@@ -85,7 +85,7 @@
     }
 
     /// How many requests a server of another version runs in the mean.
-    fn usual_load(&self, on_trial: &OnTrial) -> f64 {
+    fn usual_load(&self, on_trial: &TrialVersion) -> f64 {
         let open = self
             .servers
             .all()
--- a/crates/core/src/pool/patience.rs
+++ b/crates/core/src/pool/wait_limit.rs
@@ -25,8 +25,8 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use curlewlift_core::pool::Patience;
-/// let patience = Patience {
+/// use curlewlift_core::pool::WaitLimit;
+/// let patience = WaitLimit {
 ///     objective: Duration::from_millis(1_000),
 ///     waited: Duration::from_millis(150),
 ///     left: Duration::from_millis(7_850),
@@ -36,7 +36,7 @@
 /// assert_eq!(patience.come_back(), Duration::from_secs(2));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
+pub struct WaitLimit {
     /// The time within which an answer is wanted.
     pub objective: Duration,
     /// The time since it arrived.
@@ -47,7 +47,7 @@
     pub lead: Duration,
 }
 
-impl Patience {
+impl WaitLimit {
     /// For how much longer an answer can still begin in time.
     #[must_use]
     pub fn in_time(&self) -> Duration {
--- a/crates/core/src/rollout/judge.rs
+++ b/crates/core/src/rollout/judge.rs
@@ -93,7 +93,7 @@
 /// # Examples
 ///
 /// ```
-/// use curlewlift_core::pool::End;
+/// use curlewlift_core::pool::AttemptOutcome;
 /// use curlewlift_core::rollout::Judge;
 /// use curlewlift_core::rollout::Sample;
 /// use curlewlift_core::rollout::Yardstick;
--- a/crates/core/src/rollout/trials.rs
+++ b/crates/core/src/rollout/trials.rs
@@ -10,7 +10,7 @@
 use crate::gateway::Listing;
 use crate::gateway::Server;
 use crate::id;
-use crate::pool::OnTrial;
+use crate::pool::TrialVersion;
 
 use super::Bounds;
 use super::Order;
@@ -99,9 +99,9 @@
     }
 
     /// The services with a version on trial, and what it may get now.
-    pub fn on_trial(&self) -> impl Iterator<Item = (&id::Service, OnTrial)> {
+    pub fn on_trial(&self) -> impl Iterator<Item = (&id::Service, TrialVersion)> {
         self.under_way.iter().filter_map(|(service, under_way)| {
-            let on_trial = OnTrial {
+            let on_trial = TrialVersion {
                 version: under_way.target.clone(),
                 credit: under_way.trial.credit()?,
                 lacking: under_way.trial.lacking(),
--- a/crates/core/src/rollout/yardstick.rs
+++ b/crates/core/src/rollout/yardstick.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::pool::End;
+use crate::pool::AttemptOutcome;
 
 /// How many answers of one server to requests of one rule count: one fast server must not outvote the rest.
 const EACH: usize = 6;
@@ -41,7 +41,7 @@
     /// The incarnation that answered.
     pub server: Arc<str>,
     /// How it ended.
-    pub end: End,
+    pub end: AttemptOutcome,
 }
 
 /// The times of one answer.
@@ -54,14 +54,19 @@
 
 impl Shown {
     /// None where the end says nothing of the version.
-    fn of(end: End) -> Option<Self> {
+    fn of(end: AttemptOutcome) -> Option<Self> {
         match end {
-            End::Good { first, gap } => {
+            AttemptOutcome::Good { first, gap } => {
                 let gap = gap.as_ref().map(Duration::as_secs_f64);
                 Some(Self::Answered(first.as_secs_f64(), gap))
             }
-            End::Failed | End::Broken | End::Silent => Some(Self::Failed),
-            End::Full | End::Rests(_) | End::Gone | End::Nothing => None,
+            AttemptOutcome::Failed | AttemptOutcome::Broken | AttemptOutcome::Silent => {
+                Some(Self::Failed)
+            }
+            AttemptOutcome::Full
+            | AttemptOutcome::Rests(_)
+            | AttemptOutcome::Gone
+            | AttemptOutcome::Nothing => None,
         }
     }
 
--- a/crates/core/tests/cold_servers.rs
+++ b/crates/core/tests/cold_servers.rs
@@ -16,8 +16,8 @@
 use curlewlift_core::limit::Slack;
 use curlewlift_core::limit::Warmup;
 use curlewlift_core::pool;
-use curlewlift_core::pool::Ask;
 use curlewlift_core::pool::Pool;
+use curlewlift_core::pool::Request;
 use curlewlift_core::route::Limits;
 use curlewlift_core::route::Parts;
 use curlewlift_core::route::Provider;
@@ -163,9 +163,9 @@
         Arc::new(server("warm", false)),
     ]);
     for _ in 0..100 {
-        let ask = Ask {
+        let ask = Request {
             until: Instant::default() + SECOND,
-            ..Ask::default()
+            ..Request::default()
         };
         pool.ask(ask, Instant::default());
     }
--- a/crates/core/tests/evacuated_halls.rs
+++ b/crates/core/tests/evacuated_halls.rs
@@ -16,8 +16,8 @@
 use curlewlift_core::gateway::Want;
 use curlewlift_core::gateway::Wanted;
 use curlewlift_core::pool;
-use curlewlift_core::pool::Ask;
 use curlewlift_core::pool::Pool;
+use curlewlift_core::pool::Request;
 use curlewlift_core::rollout::Policy;
 use curlewlift_core::state::Machine;
 use curlewlift_core::state::Record;
@@ -156,10 +156,10 @@
         Arc::new(server("s2", "b")),
     ]);
     for _ in 0..2 {
-        let ask = Ask {
+        let ask = Request {
             halls: Some(["b".into()].into()),
             until: ms(1_000),
-            ..Ask::default()
+            ..Request::default()
         };
         pool.ask(ask, ms(0));
     }
--- a/crates/core/tests/hub_places.rs
+++ b/crates/core/tests/hub_places.rs
@@ -24,7 +24,7 @@
 use curlewlift_core::gateway::Tuning;
 use curlewlift_core::gateway::Want;
 use curlewlift_core::gateway::Wanted;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::unit::Tokens;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -211,7 +211,7 @@
         service: "chat".parse().expect("a name"),
         incarnation: "s1".into(),
         watched: None,
-        end: End::Broken,
+        end: AttemptOutcome::Broken,
     });
     hub.report(&broke, ms(1));
     for _ in 0..3 {
--- a/crates/core/tests/line_forecast.rs
+++ b/crates/core/tests/line_forecast.rs
@@ -5,14 +5,14 @@
 
 use curlewlift_core::clock::Instant;
 use curlewlift_core::gateway::Server;
-use curlewlift_core::pool::Ask;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::pool::Pool;
+use curlewlift_core::pool::Request;
 use curlewlift_core::pool::Ticket;
 use curlewlift_core::pool::Tuning;
 use curlewlift_core::route::Rank;
 
-const GOOD: End = End::Good {
+const GOOD: AttemptOutcome = AttemptOutcome::Good {
     first: Duration::from_millis(5),
     gap: None,
 };
@@ -45,12 +45,12 @@
 
 /// Asks at `now` for a turn within `wanted` milliseconds, and waits for `until`.
 fn ask(pool: &mut Pool, rank: u8, now: u64, wanted: u64, until: u64) -> Ticket {
-    let ask = Ask {
+    let ask = Request {
         rank: rank.into(),
         arrived: ms(now),
         wanted: ms(now + wanted),
         until: ms(now + until),
-        ..Ask::default()
+        ..Request::default()
     };
     pool.ask(ask, ms(now)).0
 }
@@ -123,11 +123,11 @@
 #[test]
 fn tried_all() {
     let mut pool = pool();
-    let again = |tried: &[&str]| Ask {
+    let again = |tried: &[&str]| Request {
         wanted: ms(500),
         until: ms(500),
         tried: tried.iter().map(|name| (*name).into()).collect(),
-        ..Ask::default()
+        ..Request::default()
     };
     let told = pool.ask(again(&["s1"]), ms(0)).0;
     pool.ask(again(&["s0"]), ms(0));
@@ -146,9 +146,9 @@
 fn left_alone() {
     let mut pool = pool();
     let now = busy(&mut pool);
-    pool.ended("s1", End::Broken, ms(now));
-    pool.seen("s1", End::Broken, ms(now));
-    pool.seen("s1", End::Broken, ms(now));
+    pool.ended("s1", AttemptOutcome::Broken, ms(now));
+    pool.seen("s1", AttemptOutcome::Broken, ms(now));
+    pool.seen("s1", AttemptOutcome::Broken, ms(now));
     ask(&mut pool, 2, now, 500, 900);
     assert!(pool.serve(ms(now)).is_empty(), "it has just broken");
     assert!(pool.give_up(ms(now)).is_empty());
@@ -172,12 +172,12 @@
     ask(&mut pool, 1, 0, 500, 500);
     assert_eq!(pool.serve(ms(0)).len(), 1);
     let mut ask = |customer, rule| {
-        let ask = Ask {
+        let ask = Request {
             rank: Rank { customer, rule },
             arrived: ms(1),
             wanted: ms(500),
             until: ms(500),
-            ..Ask::default()
+            ..Request::default()
         };
         pool.ask(ask, ms(1)).0
     };
--- a/crates/core/tests/line_patience.rs
+++ b/crates/core/tests/line_patience.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-use curlewlift_core::pool::Lead;
-use curlewlift_core::pool::Patience;
+use curlewlift_core::pool::FirstByteTime;
+use curlewlift_core::pool::WaitLimit;
 
 const fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
 /// A request whose answer is wanted within a second, takes 300 ms to begin, and that has eight.
-fn patience(waited: Duration) -> Patience {
-    Patience {
+fn patience(waited: Duration) -> WaitLimit {
+    WaitLimit {
         objective: ms(1_000),
         waited,
         left: ms(8_000).saturating_sub(waited),
@@ -35,7 +35,7 @@
 
 #[test]
 fn little_time_left() {
-    let patience = Patience {
+    let patience = WaitLimit {
         left: ms(60),
         ..patience(ms(0))
     };
@@ -53,7 +53,7 @@
 fn come_back_later() {
     // A caller keeps to it up to a third of the time that it has left.
     assert_eq!(patience(ms(0)).come_back(), ms(2_000));
-    let short = Patience {
+    let short = WaitLimit {
         left: ms(200),
         ..patience(ms(0))
     };
@@ -66,7 +66,7 @@
 /// Answers that take longer and longer to begin are wanted earlier and earlier.
 #[test]
 fn lead_follows() {
-    let mut lead = Lead::default();
+    let mut lead = FirstByteTime::default();
     for _ in 0..40 {
         lead.add(ms(50));
     }
@@ -81,7 +81,7 @@
 /// Uneven ones count more than their mean.
 #[test]
 fn lead_of_uneven() {
-    let mut lead = Lead::default();
+    let mut lead = FirstByteTime::default();
     for turn in 0..100 {
         lead.add(ms(if turn % 2 == 0 { 50 } else { 150 }));
     }
--- a/crates/core/tests/retry_budget.rs
+++ b/crates/core/tests/retry_budget.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use curlewlift_core::clock::Instant;
-use curlewlift_core::pool::Allowed;
-use curlewlift_core::pool::Budget;
+use curlewlift_core::pool::RetryAllowance;
+use curlewlift_core::pool::RetryBudget;
 
-const ALLOWED: Allowed = Allowed {
+const ALLOWED: RetryAllowance = RetryAllowance {
     ratio: 0.2,
     floor: 60.0,
     window: Duration::from_secs(10),
@@ -17,7 +17,7 @@
 /// Everything fails: each request wants two further sendings.
 #[test]
 fn everything_fails() {
-    let mut budgets = vec![Budget::new(ALLOWED); GATEWAYS as usize];
+    let mut budgets = vec![RetryBudget::new(ALLOWED); GATEWAYS as usize];
     let mut further: Vec<u64> = Vec::new();
     for second in 0..30 {
         for step in 0..10_u64 {
@@ -45,7 +45,7 @@
 
 #[test]
 fn alone_and_unsure() {
-    let mut budget = Budget::new(ALLOWED);
+    let mut budget = RetryBudget::new(ALLOWED);
     let now = Instant::default();
     budget.first(now);
     assert!(!budget.take(0.0, now), "no floor without a part");
@@ -54,8 +54,8 @@
 
 #[test]
 fn forgets() {
-    let mut budget = Budget::new(ALLOWED);
-    let taken = |budget: &mut Budget, now| (0..100).filter(|_| budget.take(1.0, now)).count();
+    let mut budget = RetryBudget::new(ALLOWED);
+    let taken = |budget: &mut RetryBudget, now| (0..100).filter(|_| budget.take(1.0, now)).count();
     assert_eq!(taken(&mut budget, Instant::default()), 30);
     assert_eq!(taken(&mut budget, Instant(5_000_000)), 0);
     assert_eq!(taken(&mut budget, Instant(10_000_001)), 30);
@@ -66,7 +66,7 @@
 /// out again within the window.
 #[test]
 fn no_step_too_early() {
-    let mut budget = Budget::new(ALLOWED);
+    let mut budget = RetryBudget::new(ALLOWED);
     let at = |millis| Instant::default() + Duration::from_millis(millis);
     for _ in 0..1_000 {
         budget.first(at(0));
--- a/crates/core/tests/rollout_bounds.rs
+++ b/crates/core/tests/rollout_bounds.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::rollout::Bounds;
 use curlewlift_core::rollout::Judge;
 use curlewlift_core::rollout::Phase;
@@ -23,14 +23,14 @@
 
 const LENGTH: Duration = Duration::from_secs(10);
 
-fn good(first_ms: u64) -> End {
-    End::Good {
+fn good(first_ms: u64) -> AttemptOutcome {
+    AttemptOutcome::Good {
         first: Duration::from_millis(first_ms),
         gap: None,
     }
 }
 
-fn sample(server: &str, end: End) -> Sample {
+fn sample(server: &str, end: AttemptOutcome) -> Sample {
     Sample {
         rule: "chat".into(),
         server: server.into(),
@@ -93,7 +93,7 @@
         trial.spend();
         given += 1;
         let server = if given % 2 == 0 { "s2" } else { "s3" };
-        trial.target(&sample(server, End::Failed), 2);
+        trial.target(&sample(server, AttemptOutcome::Failed), 2);
     }
     assert!(given < 10, "{given} failures");
     let next = trial.next(&Scene::default());
@@ -106,11 +106,11 @@
     let usual = Yardstick::default();
     let mut judge = Judge::default();
     for _ in 0..50 {
-        judge.take(&sample("s2", End::Failed), &usual, 3, true);
+        judge.take(&sample("s2", AttemptOutcome::Failed), &usual, 3, true);
     }
     assert!(judge.against().is_none());
-    judge.take(&sample("s3", End::Failed), &usual, 3, true);
-    judge.take(&sample("s3", End::Failed), &usual, 3, true);
+    judge.take(&sample("s3", AttemptOutcome::Failed), &usual, 3, true);
+    judge.take(&sample("s3", AttemptOutcome::Failed), &usual, 3, true);
     assert!(judge.against().is_some(), "two servers do");
 }
 
@@ -150,7 +150,10 @@
     );
     assert!(!against(&moving));
     for round in 0..10 {
-        moving.target(&sample(&format!("n{}", round % 5), End::Failed), 5);
+        moving.target(
+            &sample(&format!("n{}", round % 5), AttemptOutcome::Failed),
+            5,
+        );
     }
     assert!(against(&moving));
 }
--- a/crates/core/tests/server_lives.rs
+++ b/crates/core/tests/server_lives.rs
@@ -98,7 +98,7 @@
 fn nothing_believed() {
     use std::sync::Arc;
 
-    use curlewlift_core::pool::End;
+    use curlewlift_core::pool::AttemptOutcome;
     use curlewlift_core::pool::Pool;
     use curlewlift_core::pool::Tuning;
     use curlewlift_core::unit::Tokens;
@@ -108,7 +108,7 @@
     let other = Arc::new(life("s2", 10));
     pool.adopt(vec![Arc::clone(&former), Arc::clone(&other)]);
     assert!(pool.take(&former, Tokens(100), now));
-    pool.seen(&former.incarnation, End::Silent, now);
+    pool.seen(&former.incarnation, AttemptOutcome::Silent, now);
     assert_eq!(pool.avoided(&[], now).count(), 1);
     pool.adopt(vec![Arc::new(life("s1", 20)), other]);
     let avoided = |pool: &Pool| {
@@ -117,7 +117,7 @@
     };
     assert!(!avoided(&pool), "trusted as any new one");
     assert_eq!(pool.loads().count(), 1, "what runs at the former one");
-    pool.ended(&former.incarnation, End::Broken, now);
+    pool.ended(&former.incarnation, AttemptOutcome::Broken, now);
     assert_eq!(
         pool.avoided(&[], now).count(),
         0,
--- a/crates/core/tests/server_pool.rs
+++ b/crates/core/tests/server_pool.rs
@@ -6,10 +6,10 @@
 use curlewlift_core::clock::Instant;
 use curlewlift_core::gateway::Load;
 use curlewlift_core::gateway::Server;
-use curlewlift_core::pool::Ask;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::pool::Notice;
 use curlewlift_core::pool::Pool;
+use curlewlift_core::pool::Request;
 use curlewlift_core::pool::Ticket;
 use curlewlift_core::pool::Tuning;
 use curlewlift_core::unit::Tokens;
@@ -41,10 +41,10 @@
 }
 
 fn ask(pool: &mut Pool, rank: u8, arrived: u64) -> Ticket {
-    let ask = Ask {
+    let ask = Request {
         rank: rank.into(),
         arrived: Instant(arrived),
-        ..Ask::default()
+        ..Request::default()
     };
     pool.ask(ask, Instant(arrived)).0
 }
@@ -56,7 +56,7 @@
     named.collect()
 }
 
-const GOOD: End = End::Good {
+const GOOD: AttemptOutcome = AttemptOutcome::Good {
     first: Duration::from_millis(50),
     gap: None,
 };
@@ -66,9 +66,9 @@
     let mut pool = pool(&["s1", "s2"]);
     for place in 0..6 {
         pool.ask(
-            Ask {
+            Request {
                 arrived: Instant(place),
-                ..Ask::default()
+                ..Request::default()
             },
             Instant(0),
         );
@@ -102,7 +102,7 @@
     for place in 0..3 {
         ask(&mut pool, 1, place);
     }
-    let (_, turned_away) = pool.ask(Ask::default(), Instant(0));
+    let (_, turned_away) = pool.ask(Request::default(), Instant(0));
     assert_eq!(turned_away, Some(low));
 }
 
@@ -148,7 +148,7 @@
     let mut pool = pool(&["s1", "s2"]);
     let second = Duration::from_secs(1);
     let start = Instant::default() + second;
-    pool.seen("s1", End::Broken, start);
+    pool.seen("s1", AttemptOutcome::Broken, start);
     for place in 0..2 {
         ask(&mut pool, 0, place);
     }
@@ -171,7 +171,7 @@
         for _ in 0..20 {
             let gap = Some(Duration::from_millis(*gap));
             let first = Duration::from_millis(50);
-            pool.seen(name, End::Good { first, gap }, now);
+            pool.seen(name, AttemptOutcome::Good { first, gap }, now);
         }
     }
     pool
@@ -186,7 +186,7 @@
         ask(&mut pool, 0, place);
         let turn = served(&mut pool, now);
         first += u32::from(turn[0].1 == "s1");
-        pool.ended(&turn[0].1, End::Nothing, now);
+        pool.ended(&turn[0].1, AttemptOutcome::Nothing, now);
     }
     assert_eq!(first, 50);
 }
@@ -204,15 +204,15 @@
     for _ in 0..50 {
         pool.hear(std::slice::from_ref(&load));
         pool.ask(
-            Ask {
+            Request {
                 prompt: Tokens(18_000),
-                ..Ask::default()
+                ..Request::default()
             },
             Instant(0),
         );
         let turn = served(&mut pool, now);
         assert_eq!(turn[0].1, "s1");
-        pool.ended("s1", End::Nothing, now);
+        pool.ended("s1", AttemptOutcome::Nothing, now);
     }
 }
 
@@ -220,17 +220,17 @@
 fn tried_goes_elsewhere() {
     let mut pool = pool(&["s1", "s2"]);
     pool.ask(
-        Ask {
+        Request {
             tried: vec!["s1".into()],
-            ..Ask::default()
+            ..Request::default()
         },
         Instant(0),
     );
     assert_eq!(served(&mut pool, Instant(1))[0].1, "s2");
     pool.ask(
-        Ask {
+        Request {
             tried: vec!["s1".into(), "s2".into()],
-            ..Ask::default()
+            ..Request::default()
         },
         Instant(0),
     );
@@ -248,7 +248,7 @@
 fn all_broke() {
     let mut pool = pool(&["s1", "s2"]);
     let broke = |pool: &mut Pool, name: &str, now| {
-        pool.seen(name, End::Broken, Instant(now));
+        pool.seen(name, AttemptOutcome::Broken, Instant(now));
     };
     broke(&mut pool, "s1", 0);
     broke(&mut pool, "s2", 1);
@@ -267,7 +267,7 @@
 #[test]
 fn last_one_left() {
     let mut pool = pool(&["s1", "s2"]);
-    pool.seen("s2", End::Broken, Instant(0));
+    pool.seen("s2", AttemptOutcome::Broken, Instant(0));
     ask(&mut pool, 0, 1);
     assert_eq!(
         served(&mut pool, Instant(1))[0].1,
@@ -275,9 +275,9 @@
         "the other is free"
     );
     pool.ask(
-        Ask {
+        Request {
             tried: vec!["s1".into()],
-            ..Ask::default()
+            ..Request::default()
         },
         Instant(0),
     );
@@ -296,7 +296,7 @@
     let first = |pool: &mut Pool| {
         ask(pool, 0, 1);
         let turn = served(pool, Instant(1));
-        pool.ended(&turn[0].1, End::Nothing, Instant(1));
+        pool.ended(&turn[0].1, AttemptOutcome::Nothing, Instant(1));
         turn[0].1.clone()
     };
     for _ in 0..20 {
@@ -309,9 +309,9 @@
         .map(|_| {
             pool.hear(&[]);
             pool.ask(
-                Ask {
+                Request {
                     prompt: Tokens(6_000),
-                    ..Ask::default()
+                    ..Request::default()
                 },
                 Instant(0),
             );
@@ -332,13 +332,17 @@
 fn one_by_one() {
     let mut pool = pool(&["s1"]);
     let (over, later) = (Instant(120_000), Instant(240_000));
-    pool.seen("s1", End::Rests(Duration::from_secs(3)), Instant(0));
+    pool.seen(
+        "s1",
+        AttemptOutcome::Rests(Duration::from_secs(3)),
+        Instant(0),
+    );
     for arrived in 0..4 {
         ask(&mut pool, 0, arrived);
     }
     assert_eq!(served(&mut pool, over).len(), 1);
     assert!(served(&mut pool, over).is_empty());
-    pool.ended("s1", End::Full, over);
+    pool.ended("s1", AttemptOutcome::Full, over);
     assert_eq!(served(&mut pool, later).len(), 1);
     pool.ended("s1", GOOD, later);
     assert_eq!(served(&mut pool, later).len(), 2, "as any other");
@@ -371,9 +375,9 @@
         pool.notice(&server(name, false), rest, Instant(0));
     }
     assert_eq!(pool.all_rest(Instant(0)), Some(Duration::from_secs(3)));
-    let patient = |until| Ask {
+    let patient = |until| Request {
         until: Instant(until),
-        ..Ask::default()
+        ..Request::default()
     };
     let (hopeless, _) = pool.ask(patient(1_000_000), Instant(0));
     pool.ask(patient(4_000_000), Instant(0));
@@ -389,7 +393,7 @@
     let mut pool = pool(&names);
     for (place, name) in names.iter().enumerate().take(1_000) {
         let first = Duration::from_millis(if place.is_multiple_of(50) { 20 } else { 60 });
-        pool.seen(name, End::Good { first, gap: None }, Instant(1));
+        pool.seen(name, AttemptOutcome::Good { first, gap: None }, Instant(1));
     }
     let mut fast = 0;
     for number in 0..40 {
--- a/crates/core/tests/support/limited.rs
+++ b/crates/core/tests/support/limited.rs
@@ -23,8 +23,7 @@
 use curlewlift_core::limit::Local;
 use curlewlift_core::limit::Said;
 use curlewlift_core::pool;
-use curlewlift_core::pool::Ask;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::pool::Pool;
 use curlewlift_core::state::Publication;
 use curlewlift_core::unit::Tokens;
@@ -170,7 +169,7 @@
     Connecting(Arc<Server>, Option<Grant>, Instant),
     Sent(Arc<Server>, Option<Grant>, Instant, Instant),
     /// On its way back, with what the server says.
-    Answered(Arc<Server>, Mark, Instant, Word, End),
+    Answered(Arc<Server>, Mark, Instant, Word, AttemptOutcome),
 }
 
 /// What an answer says of its server's limit, and which life of the server said it.
@@ -494,12 +493,12 @@
         let (due, stage) = if self.hears(place) {
             (now + self.millis(1, 20), Stage::Wanted)
         } else {
-            let ask = Ask {
+            let ask = pool::Request {
                 arrived: now,
                 wanted: now + HELD,
                 until: now + HELD,
                 tried: tried.clone(),
-                ..Ask::default()
+                ..pool::Request::default()
             };
             let ticket = self.nodes[place].pool.ask(ask, now).0;
             (now + HELD, Stage::InLineHere(ticket))
@@ -586,7 +585,7 @@
             Stage::Connecting(server, grant, given) => {
                 if now.since(given) >= Duration::from_millis(750) {
                     // The host was suspended: its connection has timed out.
-                    self.ended(place, &server, End::Nothing);
+                    self.ended(place, &server, AttemptOutcome::Nothing);
                     return None;
                 }
                 self.send(place, server, grant, given)?
@@ -600,12 +599,12 @@
             Stage::Answered(server, mark, given, word, end) => {
                 self.hear(place, &server, &word, mark, given);
                 self.ended(place, &server, end);
-                let again = end == End::Failed && tried.len() < 2;
+                let again = end == AttemptOutcome::Failed && tried.len() < 2;
                 if again {
                     let tried = [tried, vec![Arc::clone(&server.incarnation)]].concat();
                     return Some(self.ask(place, tried));
                 }
-                self.served += u32::from(end != End::Failed);
+                self.served += u32::from(end != AttemptOutcome::Failed);
                 return None;
             }
         };
@@ -668,7 +667,7 @@
         );
         if is_beyond && looks {
             self.refused += 1;
-            self.ended(place, &server, End::Nothing);
+            self.ended(place, &server, AttemptOutcome::Nothing);
             return None;
         }
         Some((Stage::Sent(server, grant, given, self.now), due))
@@ -695,9 +694,9 @@
         let longest = if self.draw(20) == 0 { 6_000 } else { 400 };
         let due = now + self.millis(2, longest);
         let end = if self.draw(10) == 0 {
-            End::Failed
+            AttemptOutcome::Failed
         } else {
-            End::Good {
+            AttemptOutcome::Good {
                 first: Duration::from_millis(50),
                 gap: None,
             }
@@ -777,7 +776,7 @@
     }
 
     /// A sending has ended, which is reported.
-    fn ended(&mut self, place: usize, server: &Server, end: End) {
+    fn ended(&mut self, place: usize, server: &Server, end: AttemptOutcome) {
         let pool = &mut self.nodes[place].pool;
         pool.ended(&server.incarnation, end, self.now);
         self.report(place);
--- a/crates/core/tests/support/resting.rs
+++ b/crates/core/tests/support/resting.rs
@@ -18,8 +18,7 @@
 use curlewlift_core::gateway::Wanted;
 use curlewlift_core::id;
 use curlewlift_core::pool;
-use curlewlift_core::pool::Ask;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::pool::Notice;
 use curlewlift_core::pool::Pool;
 use curlewlift_core::unit::Tokens;
@@ -120,7 +119,7 @@
     /// On its way to the server.
     Sent(Arc<Server>),
     /// On its way back, with what the server says.
-    Answered(Arc<Server>, End, Vec<Notice>),
+    Answered(Arc<Server>, AttemptOutcome, Vec<Notice>),
 }
 
 struct Request {
@@ -405,11 +404,11 @@
                 _ => return,
             },
             _ => {
-                let ask = Ask {
+                let ask = pool::Request {
                     arrived: now,
                     wanted: now + HELD,
                     until: now + HELD,
-                    ..Ask::default()
+                    ..pool::Request::default()
                 };
                 Stage::InLineHere(node.pool.ask(ask, now).0)
             }
@@ -487,7 +486,7 @@
             Stage::Connecting(server) => self.send(place, server)?,
             Stage::Sent(server) => self.arrive(place, request.began, server),
             Stage::Answered(server, end, notices) => {
-                if matches!(end, End::Good { .. }) {
+                if matches!(end, AttemptOutcome::Good { .. }) {
                     self.served += 1;
                     self.taken += now.since(request.began);
                 }
@@ -507,7 +506,7 @@
             node.mark = grant.mark;
         }
         if !node.pool.take(&server, Tokens(0), now) && looks {
-            self.report(place, &server, End::Nothing);
+            self.report(place, &server, AttemptOutcome::Nothing);
             return None;
         }
         Some((Stage::Connecting(server), due))
@@ -522,7 +521,7 @@
         if closes && self.flaw.is_none() {
             self.nodes[place]
                 .pool
-                .ended(&server.incarnation, End::Nothing, now);
+                .ended(&server.incarnation, AttemptOutcome::Nothing, now);
             return None;
         }
         Some((Stage::Sent(server), due))
@@ -552,7 +551,7 @@
         }
         let asks_for = engine.asks_for.filter(|_| lot < engine.turns_away);
         let Some(asks_for) = asks_for else {
-            let end = End::Good {
+            let end = AttemptOutcome::Good {
                 first: Duration::from_millis(50),
                 gap: None,
             };
@@ -568,11 +567,17 @@
             came: 0,
         });
         notices.push(Notice::Rest(length));
-        (Stage::Answered(server, End::Full, notices), due)
+        (Stage::Answered(server, AttemptOutcome::Full, notices), due)
     }
 
     /// A gateway hears an answer.
-    fn hear(&mut self, place: usize, server: &Arc<Server>, end: End, notices: Vec<Notice>) {
+    fn hear(
+        &mut self,
+        place: usize,
+        server: &Arc<Server>,
+        end: AttemptOutcome,
+        notices: Vec<Notice>,
+    ) {
         let now = self.now;
         for notice in notices {
             if notice == Notice::Leaves {
@@ -584,8 +589,8 @@
                 }
             }
             let told = match &notice {
-                Notice::Rest(length) => End::Rests(*length),
-                _ => End::Gone,
+                Notice::Rest(length) => AttemptOutcome::Rests(*length),
+                _ => AttemptOutcome::Gone,
             };
             self.nodes[place].pool.notice(server, notice, now);
             self.report(place, server, told);
@@ -595,7 +600,7 @@
     }
 
     /// A gateway tells the hub how a sending ended, where that gets there.
-    fn report(&mut self, place: usize, server: &Server, end: End) {
+    fn report(&mut self, place: usize, server: &Server, end: AttemptOutcome) {
         if !self.hears(place) || self.draw(4) == 0 {
             return;
         }
--- a/crates/core/tests/thousand_gateways.rs
+++ b/crates/core/tests/thousand_gateways.rs
@@ -25,8 +25,8 @@
 use curlewlift_core::gateway::Wanted;
 use curlewlift_core::gateway::apart;
 use curlewlift_core::id;
-use curlewlift_core::pool::Allowed;
-use curlewlift_core::pool::Budget;
+use curlewlift_core::pool::RetryAllowance;
+use curlewlift_core::pool::RetryBudget;
 use curlewlift_core::state::Publication;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -373,7 +373,7 @@
     }
 }
 
-const ALLOWED: Allowed = Allowed {
+const ALLOWED: RetryAllowance = RetryAllowance {
     ratio: 0.2,
     floor: 1_040.0,
     window: Duration::from_secs(10),
@@ -395,7 +395,7 @@
     for seed in 0..5 {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut hub = new_hub(ms(0));
-        let mut budgets = vec![Budget::new(ALLOWED); GATEWAYS];
+        let mut budgets = vec![RetryBudget::new(ALLOWED); GATEWAYS];
         let mut firsts: VecDeque<Instant> = VecDeque::new();
         let mut further: VecDeque<Instant> = VecDeque::new();
         let (mut wanted, mut granted) = (0, 0);
--- a/crates/curlewlift/src/gateway/admit.rs
+++ b/crates/curlewlift/src/gateway/admit.rs
@@ -15,7 +15,7 @@
 use curlewlift_core::code::Code;
 use curlewlift_core::code::Refusal;
 use curlewlift_core::event::Kind;
-use curlewlift_core::pool::Patience;
+use curlewlift_core::pool::WaitLimit;
 use curlewlift_core::quarantine::Identity;
 use curlewlift_core::quota::Charge;
 use curlewlift_core::route::Account;
@@ -108,8 +108,8 @@
     }
 
     /// What is known of its time now.
-    pub(super) fn patience(&self, node: &Node) -> Patience {
-        Patience {
+    pub(super) fn patience(&self, node: &Node) -> WaitLimit {
+        WaitLimit {
             objective: self.rule.objective,
             waited: self.deadline.age(),
             left: self.deadline.left(),
--- a/crates/curlewlift/src/gateway/daemon.rs
+++ b/crates/curlewlift/src/gateway/daemon.rs
@@ -11,7 +11,7 @@
 use curlewlift_core::gateway;
 use curlewlift_core::gateway::Holding;
 use curlewlift_core::id;
-use curlewlift_core::pool::Allowed;
+use curlewlift_core::pool::RetryAllowance;
 use curlewlift_core::quota::Tolerance;
 use curlewlift_core::route::Limits;
 use curlewlift_core::route::Regions;
@@ -56,7 +56,7 @@
     /// How heads are read and written.
     pub(crate) dialect: Dialect,
     /// How many sendings past the first are allowed.
-    pub(crate) allowed: Allowed,
+    pub(crate) allowed: RetryAllowance,
     /// How much more than an allowance may be let in.
     pub(crate) tolerance: Tolerance,
     /// How long a planned stop takes.
--- a/crates/curlewlift/src/gateway/exchange.rs
+++ b/crates/curlewlift/src/gateway/exchange.rs
@@ -12,7 +12,7 @@
 use axum::http::StatusCode;
 use axum::http::response;
 use bytes::Bytes;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use http_body_util::BodyExt;
 use http_body_util::Full;
 use http_body_util::LengthLimitError;
@@ -154,7 +154,7 @@
         answer
     } else {
         if Instant::now() < until {
-            place.seen(End::Silent);
+            place.seen(AttemptOutcome::Silent);
         }
         let late = tokio::time::timeout_at(until, answer).await;
         late.map_err(|_| Failure::Late)?
--- a/crates/curlewlift/src/gateway/judge.rs
+++ b/crates/curlewlift/src/gateway/judge.rs
@@ -4,7 +4,7 @@
 
 use curlewlift_core::code::Code;
 use curlewlift_core::event::Kind;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::quarantine::Withheld;
 use rand::RngExt;
 
@@ -180,14 +180,21 @@
 }
 
 /// What a failure says of the server, and why, for the log and the caller.
-pub(super) fn meaning(failure: &Failure) -> (End, String) {
+pub(super) fn meaning(failure: &Failure) -> (AttemptOutcome, String) {
     match failure {
         Failure::NotSent(why) | Failure::Broke(why) | Failure::Unknown(why) => {
-            (End::Broken, why.clone())
+            (AttemptOutcome::Broken, why.clone())
         }
-        Failure::Closed => (End::Nothing, "the server wants no requests now".to_owned()),
-        Failure::NotRun { moved: true, .. } => (End::Gone, "another has its address".to_owned()),
-        Failure::NotRun { status, .. } => (End::Full, format!("it did not run it: {status}")),
-        Failure::Late => (End::Silent, "the deadline has passed".to_owned()),
+        Failure::Closed => (
+            AttemptOutcome::Nothing,
+            "the server wants no requests now".to_owned(),
+        ),
+        Failure::NotRun { moved: true, .. } => {
+            (AttemptOutcome::Gone, "another has its address".to_owned())
+        }
+        Failure::NotRun { status, .. } => {
+            (AttemptOutcome::Full, format!("it did not run it: {status}"))
+        }
+        Failure::Late => (AttemptOutcome::Silent, "the deadline has passed".to_owned()),
     }
 }
--- a/crates/curlewlift/src/gateway/node.rs
+++ b/crates/curlewlift/src/gateway/node.rs
@@ -19,8 +19,8 @@
 use curlewlift_core::gateway::Server;
 use curlewlift_core::id;
 use curlewlift_core::limit;
-use curlewlift_core::pool::Allowed;
-use curlewlift_core::pool::Lead;
+use curlewlift_core::pool::FirstByteTime;
+use curlewlift_core::pool::RetryAllowance;
 use curlewlift_core::quarantine;
 use curlewlift_core::quota::Charge;
 use curlewlift_core::quota::Part;
@@ -82,7 +82,7 @@
     /// How heads are read and written.
     pub(super) dialect: Dialect,
     /// How many sendings past the first are allowed.
-    pub(super) allowed: Allowed,
+    pub(super) allowed: RetryAllowance,
     pub(super) clock: Clock,
     /// Which region each data hall is in.
     pub(super) regions: Regions,
@@ -101,7 +101,7 @@
     /// The gateways that live, by the last word of the hub.
     pub(super) roll: RefCell<Roll>,
     /// How long answers take to begin, by rule.
-    pub(super) leads: RefCell<BTreeMap<Arc<str>, Lead>>,
+    pub(super) leads: RefCell<BTreeMap<Arc<str>, FirstByteTime>>,
     /// What customers may still ask for where the hub gives no word.
     pub(super) reserve: RefCell<Reserve>,
     /// Who else may let their requests in then.
@@ -139,7 +139,7 @@
         holding: Holding,
         gateway: gateway::Gateway,
         dialect: Dialect,
-        allowed: Allowed,
+        allowed: RetryAllowance,
         tolerance: Tolerance,
         known: Known,
         rpc: rpc::Client,
@@ -282,7 +282,7 @@
     /// How long answers to requests of a rule take to begin, once they are sent.
     pub(super) fn lead(&self, rule: &str) -> Duration {
         let leads = self.leads.borrow();
-        leads.get(rule).map_or(Duration::ZERO, Lead::get)
+        leads.get(rule).map_or(Duration::ZERO, FirstByteTime::get)
     }
 
     /// Takes note that an answer to a request of `rule` began `first` after it was sent.
--- a/crates/curlewlift/src/gateway/place.rs
+++ b/crates/curlewlift/src/gateway/place.rs
@@ -14,7 +14,7 @@
 use curlewlift_core::limit::Change;
 use curlewlift_core::limit::Key;
 use curlewlift_core::limit::Said;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::pool::Notice;
 use curlewlift_core::quarantine::Identity;
 use curlewlift_core::unit::Tokens;
@@ -44,7 +44,7 @@
     whole: bool,
     /// The prompt that the server has not read yet.
     unread: Option<Tokens>,
-    end: End,
+    end: AttemptOutcome,
 }
 
 impl Place {
@@ -66,7 +66,7 @@
             broke: false,
             whole: false,
             unread: Some(prompt),
-            end: End::Nothing,
+            end: AttemptOutcome::Nothing,
         }
     }
 
@@ -99,7 +99,7 @@
 
     /// The server broke off, and may have begun the request.
     pub(super) fn broke(&mut self) {
-        self.end = End::Broken;
+        self.end = AttemptOutcome::Broken;
         self.broke = true;
     }
 
@@ -137,18 +137,18 @@
     }
 
     /// How it ended, told when it is given back.
-    pub(super) fn end(&mut self, end: End) {
+    pub(super) fn end(&mut self, end: AttemptOutcome) {
         self.end = end;
     }
 
     /// The server answered to the end; what that says of the server is told when it is given back.
-    pub(super) fn whole(&mut self, end: End) {
+    pub(super) fn whole(&mut self, end: AttemptOutcome) {
         self.end = end;
         self.whole = true;
     }
 
     /// Something that is seen while the request runs.
-    pub(super) fn seen(&self, end: End) {
+    pub(super) fn seen(&self, end: AttemptOutcome) {
         let now = self.node.now();
         let incarnation = &self.server.incarnation;
         self.node.with_service(&self.service, |service| {
--- a/crates/curlewlift/src/gateway/places.rs
+++ b/crates/curlewlift/src/gateway/places.rs
@@ -14,9 +14,9 @@
 use curlewlift_core::gateway::Want;
 use curlewlift_core::gateway::Watched;
 use curlewlift_core::id;
-use curlewlift_core::pool::Ask;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::pool::Notice;
+use curlewlift_core::pool::Request;
 use curlewlift_core::quarantine::Identity;
 use curlewlift_core::quarantine::Withheld;
 use curlewlift_core::quota::Charge;
@@ -82,7 +82,7 @@
 pub(super) async fn ask(
     node: &Node,
     wanted: Wanted<'_>,
-    ask: &Ask,
+    ask: &Request,
     charge: Option<&Charge>,
     patience: Duration,
 ) -> Word {
@@ -143,7 +143,7 @@
     fn want(
         &self,
         wanted: Wanted<'_>,
-        ask: &Ask,
+        ask: &Request,
         charge: Option<&Charge>,
         patience: Duration,
     ) -> Want {
@@ -212,7 +212,7 @@
             let mut quarantine = self.quarantine.borrow_mut();
             quarantine.gave_back(identity, permit, now);
         }
-        self.tell(service, &server.incarnation, End::Nothing, None);
+        self.tell(service, &server.incarnation, AttemptOutcome::Nothing, None);
         if (self.tell_word(service, &server) || is_closed) && !is_late {
             return Word::Closed(grant.server);
         }
@@ -225,8 +225,8 @@
         let incarnation = &server.incarnation;
         let word = |service: &mut Service| service.pool.get_notices().word(incarnation, now);
         let end = match self.with_service(service, word).flatten() {
-            Some(Notice::Leaves) => End::Gone,
-            Some(Notice::Rest(left)) => End::Rests(left),
+            Some(Notice::Leaves) => AttemptOutcome::Gone,
+            Some(Notice::Rest(left)) => AttemptOutcome::Rests(left),
             Some(Notice::Unreadable(_)) | None => return false,
         };
         self.tell(service, incarnation, end, None);
@@ -259,7 +259,7 @@
         &self,
         service: &id::Service,
         incarnation: &str,
-        end: End,
+        end: AttemptOutcome,
         watched: Option<Watched>,
     ) {
         self.ends.borrow_mut().push(Ended {
--- a/crates/curlewlift/src/gateway/relay.rs
+++ b/crates/curlewlift/src/gateway/relay.rs
@@ -6,7 +6,7 @@
 use axum::http::StatusCode;
 use bytes::Bytes;
 use curlewlift_core::event::Kind;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::route;
 use http_body_util::BodyExt;
 use http_body_util::StreamBody;
@@ -142,7 +142,7 @@
         let gaps = self.pieces.saturating_sub(1);
         let gap = (gaps > 0).then(|| self.began.elapsed() / gaps);
         if let Some(place) = &mut self.place {
-            place.whole(End::Good {
+            place.whole(AttemptOutcome::Good {
                 first: self.first,
                 gap,
             });
@@ -161,7 +161,7 @@
         if let Some(place) = &mut self.place
             && !self.run.admitted.deadline.is_past()
         {
-            place.end(End::Broken);
+            place.end(AttemptOutcome::Broken);
         }
         self.place = None;
         self.connection = None;
@@ -243,7 +243,7 @@
         let foreign = coming.foreign(self.run.admitted.call.id.as_ref()).is_some();
         if foreign || coming.head.status != StatusCode::OK {
             let refusal = coming.refusal();
-            let end = refusal.map_or(End::Broken, |refusal| judge::meaning(&refusal).0);
+            let end = refusal.map_or(AttemptOutcome::Broken, |refusal| judge::meaning(&refusal).0);
             coming.place.end(end);
             return None;
         }
--- a/crates/curlewlift/src/gateway/run.rs
+++ b/crates/curlewlift/src/gateway/run.rs
@@ -10,8 +10,8 @@
 use bytes::Bytes;
 use curlewlift_core::event::Kind;
 use curlewlift_core::id;
-use curlewlift_core::pool::Ask;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool;
+use curlewlift_core::pool::AttemptOutcome;
 use http_body_util::Full;
 
 use super::admit::Admitted;
@@ -159,7 +159,7 @@
         } else {
             patience.in_time()
         };
-        let ask = Ask {
+        let ask = pool::Request {
             rule: None,
             rank: admitted.rank(),
             arrived: admitted.deadline.arrived,
@@ -247,7 +247,7 @@
         }
         if !coming.is_small() {
             let first = coming.first;
-            coming.place.end(End::Good { first, gap: None });
+            coming.place.end(AttemptOutcome::Good { first, gap: None });
             return Ok(Step::Answer(self.stream(coming)));
         }
         self.take_whole(coming).await
@@ -265,9 +265,9 @@
         };
         let failed = head.status.is_server_error();
         place.whole(if failed {
-            End::Failed
+            AttemptOutcome::Failed
         } else {
-            End::Good { first, gap: None }
+            AttemptOutcome::Good { first, gap: None }
         });
         if failed && self.may_run_again() {
             self.kept = Some((head, body));
--- a/crates/curlewlift/src/gateway/service.rs
+++ b/crates/curlewlift/src/gateway/service.rs
@@ -3,11 +3,11 @@
 use std::collections::HashMap;
 
 use curlewlift_core::pool;
-use curlewlift_core::pool::Allowed;
-use curlewlift_core::pool::Budget;
+use curlewlift_core::pool::Assignment;
 use curlewlift_core::pool::Pool;
+use curlewlift_core::pool::RetryAllowance;
+use curlewlift_core::pool::RetryBudget;
 use curlewlift_core::pool::Ticket;
-use curlewlift_core::pool::Turn;
 use rand::Rng;
 use tokio::sync::oneshot;
 
@@ -16,18 +16,18 @@
     /// Its backend servers, and the requests in line for them.
     pub(super) pool: Pool,
     /// What is left for sendings past the first.
-    pub(super) budget: Budget,
+    pub(super) budget: RetryBudget,
     /// How each request in line is told of its turn.
-    pub(super) waiters: HashMap<Ticket, oneshot::Sender<Turn>>,
+    pub(super) waiters: HashMap<Ticket, oneshot::Sender<Assignment>>,
 }
 
 impl Service {
     /// A service without servers yet, with so many sendings past the first.
-    pub(super) fn new(allowed: Allowed) -> Self {
+    pub(super) fn new(allowed: RetryAllowance) -> Self {
         let seed = rand::rng().next_u64();
         Self {
             pool: Pool::new(pool::Tuning::default(), seed),
-            budget: Budget::new(allowed),
+            budget: RetryBudget::new(allowed),
             waiters: HashMap::new(),
         }
     }
--- a/crates/curlewlift/src/gateway/services.rs
+++ b/crates/curlewlift/src/gateway/services.rs
@@ -9,9 +9,9 @@
 use curlewlift_core::limit::Slack;
 use curlewlift_core::limit::Warmup;
 use curlewlift_core::pool;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::Assignment;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::pool::Ticket;
-use curlewlift_core::pool::Turn;
 use curlewlift_core::unit::Tokens;
 use tokio::sync::oneshot;
 
@@ -89,8 +89,8 @@
     pub(super) fn ask(
         &self,
         name: &id::Service,
-        ask: pool::Ask,
-    ) -> Option<(Ticket, oneshot::Receiver<Turn>)> {
+        ask: pool::Request,
+    ) -> Option<(Ticket, oneshot::Receiver<Assignment>)> {
         let now = self.now();
         let mut services = self.services.borrow_mut();
         let service = services.get_mut(name)?;
@@ -125,7 +125,7 @@
         &self,
         name: &id::Service,
         incarnation: &str,
-        end: End,
+        end: AttemptOutcome,
         watched: Option<Watched>,
     ) {
         let now = self.now();
@@ -164,7 +164,9 @@
             let taken = waiter.is_some_and(|waiter| waiter.send(turn).is_ok());
             if !taken {
                 service.pool.begun(&incarnation, prompt);
-                service.pool.ended(&incarnation, End::Nothing, now);
+                service
+                    .pool
+                    .ended(&incarnation, AttemptOutcome::Nothing, now);
             }
         }
         for ticket in service.pool.give_up(now) {
--- a/crates/curlewlift/src/gateway/turn.rs
+++ b/crates/curlewlift/src/gateway/turn.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use curlewlift_core::id;
-use curlewlift_core::pool::Ask;
+use curlewlift_core::pool::Assignment;
+use curlewlift_core::pool::Request;
 use curlewlift_core::pool::Ticket;
-use curlewlift_core::pool::Turn;
 use curlewlift_core::quarantine::Identity;
 use curlewlift_core::quarantine::Withheld;
 use curlewlift_core::quota::Charge;
@@ -37,7 +37,7 @@
     identity: Identity,
     left: Duration,
     ticket: Ticket,
-    turn: oneshot::Receiver<Turn>,
+    turn: oneshot::Receiver<Assignment>,
 }
 
 impl Drop for Line {
@@ -84,7 +84,7 @@
 pub(super) async fn wait(
     node: &Rc<Node>,
     wanted: Wanted<'_>,
-    mut ask: Ask,
+    mut ask: Request,
     mut charge: Option<&Charge>,
     patience: Duration,
 ) -> Result<Place, NoTurn> {
@@ -139,7 +139,7 @@
 async fn wait_here(
     node: &Rc<Node>,
     wanted: Wanted<'_>,
-    ask: Ask,
+    ask: Request,
     patience: Duration,
 ) -> Result<Place, NoTurn> {
     let (ticket, turn) = node.ask(wanted.service, ask).ok_or(NoTurn::NoServer)?;
--- a/crates/curlewlift/src/platform/settings.rs
+++ b/crates/curlewlift/src/platform/settings.rs
@@ -11,7 +11,7 @@
 use curlewlift_core::code::Code;
 use curlewlift_core::code::Refusal;
 use curlewlift_core::limit;
-use curlewlift_core::pool::Allowed;
+use curlewlift_core::pool::RetryAllowance;
 use curlewlift_core::quota::Tolerance;
 use curlewlift_core::rollout;
 use serde::Deserialize;
@@ -256,8 +256,8 @@
     }
 
     /// How many sendings past the first are allowed.
-    pub(super) fn retries(&self) -> Allowed {
-        Allowed {
+    pub(super) fn retries(&self) -> RetryAllowance {
+        RetryAllowance {
             ratio: self.bounds.retry_ratio,
             floor: self.bounds.retry_floor,
             window: Duration::from_secs_f64(self.bounds.retry_seconds),
--- a/crates/lab/examples/verdicts.rs
+++ b/crates/lab/examples/verdicts.rs
@@ -10,7 +10,7 @@
 
 use std::collections::VecDeque;
 
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::rollout::Judge;
 use curlewlift_core::rollout::Sample;
 use curlewlift_core::rollout::Yardstick;
@@ -99,9 +99,9 @@
 
 fn sample(server: usize, is_bad: bool) -> Sample {
     let end = if is_bad {
-        End::Failed
+        AttemptOutcome::Failed
     } else {
-        End::Good {
+        AttemptOutcome::Good {
             first: std::time::Duration::from_millis(10),
             gap: None,
         }
--- a/crates/lab/src/rollout/engine.rs
+++ b/crates/lab/src/rollout/engine.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use curlewlift_core::gateway::Server;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
@@ -100,7 +100,7 @@
 /// What an answer comes to.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Play {
-    pub(super) end: End,
+    pub(super) end: AttemptOutcome,
     /// When it ends, in milliseconds after its begin.
     pub(super) takes: u64,
     /// Whether its version's fault made it so.
@@ -150,13 +150,13 @@
         let ms = |time: f64| Duration::from_secs_f64(time / 1_000.0);
         if fails {
             return Play {
-                end: End::Failed,
+                end: AttemptOutcome::Failed,
                 takes: first as u64 + 1,
                 is_bad: bad,
             };
         }
         Play {
-            end: End::Good {
+            end: AttemptOutcome::Good {
                 first: ms(first),
                 gap: (pieces > 1.0).then(|| ms(gap)),
             },
--- a/crates/lab/src/rollout/world.rs
+++ b/crates/lab/src/rollout/world.rs
@@ -23,7 +23,7 @@
 use curlewlift_core::gateway::Watched;
 use curlewlift_core::id;
 use curlewlift_core::limit::Words;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::quarantine::Identity;
 use curlewlift_core::rollout::Bounds;
 use curlewlift_core::rollout::Order;
@@ -440,7 +440,7 @@
         let is_down = self.now < engine.down_until;
         let play = if is_down {
             Play {
-                end: End::Broken,
+                end: AttemptOutcome::Broken,
                 takes: 1,
                 is_bad: false,
             }
