--- a/crates/core/src/evacuation/halls.rs
+++ b/crates/core/src/evacuation/halls.rs
@@ -15,9 +15,9 @@
 ///
 /// ```
 /// use curlewlift_core::evacuation::Action;
-/// use curlewlift_core::evacuation::Halls;
+/// use curlewlift_core::evacuation::EvacuatedHalls;
 /// use curlewlift_core::evacuation::Order;
-/// let mut halls = Halls::default();
+/// let mut halls = EvacuatedHalls::default();
 /// halls.apply(&Order {
 ///     hall: "a".into(),
 ///     action: Action::Start,
@@ -27,12 +27,12 @@
 /// assert!(!halls.has("b"));
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Halls {
+pub struct EvacuatedHalls {
     /// By hall, when its evacuation was ordered, in milliseconds of Unix time.
     since: BTreeMap<Arc<str>, u64>,
 }
 
-impl Halls {
+impl EvacuatedHalls {
     /// Applies an order.
     pub fn apply(&mut self, order: &Order) {
         match order.action {
--- a/crates/core/src/evacuation/mod.rs
+++ b/crates/core/src/evacuation/mod.rs
@@ -6,6 +6,6 @@
 mod halls;
 mod order;
 
-pub use halls::Halls;
+pub use halls::EvacuatedHalls;
 pub use order::Action;
 pub use order::Order;
--- a/crates/core/src/gateway/hub.rs
+++ b/crates/core/src/gateway/hub.rs
@@ -132,7 +132,7 @@
     pub(super) pace: Pace,
     pub(super) trials: Trials,
     /// The data halls that are evacuated.
-    pub(super) evacuated: evacuation::Halls,
+    pub(super) evacuated: evacuation::EvacuatedHalls,
     /// Where gateways may send by their own choice; of version 0 before anything was agreed.
     pub(super) policy: Policy,
     pub(super) retries: Retries,
@@ -171,7 +171,7 @@
             rolls: Rolls::default(),
             pace: Pace::default(),
             trials: Trials::new(tuning.rollouts),
-            evacuated: evacuation::Halls::default(),
+            evacuated: evacuation::EvacuatedHalls::default(),
             policy: Policy::default(),
             retries: Retries::new(tuning.retries, now),
             cases: quarantine::Desk::default(),
--- a/crates/core/src/gateway/rollouts.rs
+++ b/crates/core/src/gateway/rollouts.rs
@@ -2,7 +2,7 @@
 //! agreed.
 
 use crate::clock::Instant;
-use crate::evacuation::Halls;
+use crate::evacuation::EvacuatedHalls;
 use crate::id;
 use crate::rollout::Order;
 use crate::rollout::Plans;
@@ -27,7 +27,7 @@
     }
 
     /// Takes up which data halls are evacuated, as it is agreed.
-    pub fn adopt_evacuated(&mut self, halls: &Halls) {
+    pub fn adopt_evacuated(&mut self, halls: &EvacuatedHalls) {
         self.evacuated = halls.clone();
         self.renew_policy();
     }
--- a/crates/core/src/quota/desk.rs
+++ b/crates/core/src/quota/desk.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::Instant;
 use crate::id;
-use crate::route::Allowance;
+use crate::route::Quota;
 
 use super::Bucket;
 use super::Charge;
@@ -19,7 +19,7 @@
 /// What is kept for one customer.
 #[derive(Clone, Copy, Debug)]
 struct Held {
-    allowance: Allowance,
+    allowance: Quota,
     bucket: Bucket,
     /// Drawn, and neither spent nor given back yet.
     waiting: f64,
@@ -68,7 +68,7 @@
     /// Takes up the allowances of a table; a bucket never holds more than its burst.
     pub fn adopt<'a>(
         &mut self,
-        accounts: impl Iterator<Item = (&'a id::Customer, Allowance)>,
+        accounts: impl Iterator<Item = (&'a id::Customer, Quota)>,
         now: Instant,
     ) {
         self.fill(now);
--- a/crates/core/src/quota/reserve.rs
+++ b/crates/core/src/quota/reserve.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::Instant;
 use crate::id;
-use crate::route::Allowance;
+use crate::route::Quota;
 
 use super::Bucket;
 use super::Charge;
@@ -33,7 +33,7 @@
 /// A customer's two buckets.
 #[derive(Clone, Copy, Debug)]
 struct Own {
-    allowance: Allowance,
+    allowance: Quota,
     /// Of the tolerance, which is never the hub's.
     spare: Bucket,
     /// Of the allowance, while the hub sets it aside.
@@ -110,7 +110,7 @@
     }
 
     /// Whether a request is let in; if so it is counted.
-    pub fn draw(&mut self, charge: &Charge, allowance: &Allowance, now: Instant) -> bool {
+    pub fn draw(&mut self, charge: &Charge, allowance: &Quota, now: Instant) -> bool {
         let part = self.get_part(now);
         if part <= 0.0 {
             return false;
--- a/crates/core/src/quota/tolerance.rs
+++ b/crates/core/src/quota/tolerance.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::route::Allowance;
+use crate::route::Quota;
 
 /// The part of the tolerance that the hub gives out, evenly over time.
 const GIVEN_OUT: f64 = 0.65;
@@ -35,15 +35,15 @@
     /// ```
     /// use std::time::Duration;
     /// use curlewlift_core::quota::Tolerance;
-    /// use curlewlift_core::route::Allowance;
+    /// use curlewlift_core::route::Quota;
     /// use curlewlift_core::route::Unit;
-    /// let allowance = Allowance { unit: Unit::Requests, rate: 10.0, burst: 20.0 };
+    /// let allowance = Quota { unit: Unit::Requests, rate: 10.0, burst: 20.0 };
     /// let tolerance = Tolerance { window: Duration::from_secs(8), part: 0.1, slack: 0.0 };
     /// assert!((tolerance.rate(&allowance) - 10.8125).abs() < 1e-9);
     /// assert!((Tolerance::default().rate(&allowance) - 10.0).abs() < 1e-9);
     /// ```
     #[must_use]
-    pub fn rate(&self, allowance: &Allowance) -> f64 {
+    pub fn rate(&self, allowance: &Quota) -> f64 {
         let window = self.window.as_secs_f64();
         if window <= 0.0 {
             return allowance.rate;
@@ -54,7 +54,7 @@
     /// What all gateways together hold for the time in which the hub gives no word: at what rate it
     /// fills, and how much it is at the most.
     #[must_use]
-    pub fn spare(&self, allowance: &Allowance) -> (f64, f64) {
+    pub fn spare(&self, allowance: &Quota) -> (f64, f64) {
         let window = self.window.as_secs_f64();
         if window <= 0.0 {
             return (0.0, 0.0);
@@ -64,11 +64,11 @@
     }
 
     /// What the allowance itself gives in a window.
-    fn gives(&self, allowance: &Allowance) -> f64 {
+    fn gives(&self, allowance: &Quota) -> f64 {
         allowance.rate * self.window.as_secs_f64() + allowance.burst
     }
 
-    fn tolerated(&self, allowance: &Allowance) -> f64 {
+    fn tolerated(&self, allowance: &Quota) -> f64 {
         self.part * self.gives(allowance) + self.slack
     }
 }
--- a/crates/core/src/rollout/policy.rs
+++ b/crates/core/src/rollout/policy.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::evacuation::Halls;
+use crate::evacuation::EvacuatedHalls;
 use crate::gateway::Server;
 use crate::gateway::version;
 use crate::id;
@@ -60,7 +60,7 @@
 
     /// The same, with these data halls evacuated.
     #[must_use]
-    pub fn closing(self, halls: &Halls) -> Self {
+    pub fn closing(self, halls: &EvacuatedHalls) -> Self {
         let closed = halls.iter().map(|(hall, _)| Arc::clone(hall)).collect();
         Self { closed, ..self }.number()
     }
--- a/crates/core/src/route/customer.rs
+++ b/crates/core/src/route/customer.rs
@@ -15,7 +15,7 @@
 
 /// How much a customer may ask for, over all entries together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Allowance {
+pub struct Quota {
     /// In what it is counted.
     pub unit: Unit,
     /// A second; 0 is no limit.
@@ -24,7 +24,7 @@
     pub burst: f64,
 }
 
-impl Allowance {
+impl Quota {
     /// What a request with `tokens` (in and out together, where it names them) counts.
     #[must_use]
     pub fn cost(&self, tokens: Option<u64>) -> u64 {
@@ -43,7 +43,7 @@
 
 /// A customer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Account {
+pub struct CustomerPolicy {
     /// Its name.
     pub name: id::Customer,
     /// The keys by which its requests are known.
@@ -51,7 +51,7 @@
     /// The rank of its requests, which is compared before their rules'.
     pub rank: Option<u8>,
     /// How much it may ask for.
-    pub allowance: Allowance,
+    pub allowance: Quota,
     /// The regions that its requests must stay in.
     pub homes: Homes,
 }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -7,8 +7,8 @@
 mod rule;
 mod table;
 
-pub use customer::Account;
-pub use customer::Allowance;
+pub use customer::CustomerPolicy;
+pub use customer::Quota;
 pub use customer::Unit;
 pub use homes::Homes;
 pub use homes::Regions;
@@ -18,5 +18,5 @@
 pub use rule::Target;
 pub use table::Limits;
 pub use table::Parts;
-pub use table::Provider;
+pub use table::ServicePolicy;
 pub use table::Table;
--- a/crates/core/src/route/rank.rs
+++ b/crates/core/src/route/rank.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::Account;
+use super::CustomerPolicy;
 use super::Rule;
 
 /// How urgent a request is: its customer's rank first, and among customers of the same rank its
@@ -37,7 +37,7 @@
     /// The rank of a request that `rule` takes; a customer that has none of its own counts by the
     /// rule's.
     #[must_use]
-    pub fn new(rule: &Rule, account: Option<&Account>) -> Self {
+    pub fn new(rule: &Rule, account: Option<&CustomerPolicy>) -> Self {
         let customer = account.and_then(|account| account.rank);
         Self {
             customer: customer.unwrap_or(rule.rank),
--- a/crates/core/src/route/table.rs
+++ b/crates/core/src/route/table.rs
@@ -10,7 +10,7 @@
 use crate::id;
 use crate::limit::Rate;
 
-use super::Account;
+use super::CustomerPolicy;
 use super::Rule;
 
 /// What a caller may send, and how long it may take.
@@ -39,7 +39,7 @@
 
 /// A service as a routing table has it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Provider {
+pub struct ServicePolicy {
     /// How many connections one of its backend servers takes from all entries together.
     pub connections: u32,
     /// The path of its health check.
@@ -57,11 +57,11 @@
     /// The rules.
     pub rules: Vec<Rule>,
     /// The services.
-    pub services: BTreeMap<id::Service, Provider>,
+    pub services: BTreeMap<id::Service, ServicePolicy>,
     /// What callers may send.
     pub limits: Limits,
     /// The customers; none where requests need no key.
-    pub accounts: Option<Vec<Account>>,
+    pub accounts: Option<Vec<CustomerPolicy>>,
 }
 
 /// A routing table whose parts fit together.
@@ -69,9 +69,9 @@
 pub struct Table {
     number: u64,
     hosts: HashMap<Arc<str>, Vec<Arc<Rule>>>,
-    services: BTreeMap<id::Service, Provider>,
+    services: BTreeMap<id::Service, ServicePolicy>,
     limits: Limits,
-    accounts: Option<Vec<Arc<Account>>>,
+    accounts: Option<Vec<Arc<CustomerPolicy>>>,
     keys: HashMap<String, usize>,
 }
 
@@ -124,7 +124,7 @@
 
     /// The services.
     #[must_use]
-    pub fn get_services(&self) -> &BTreeMap<id::Service, Provider> {
+    pub fn get_services(&self) -> &BTreeMap<id::Service, ServicePolicy> {
         &self.services
     }
 
@@ -134,7 +134,7 @@
     }
 
     /// The customers.
-    pub fn accounts(&self) -> impl Iterator<Item = &Arc<Account>> {
+    pub fn accounts(&self) -> impl Iterator<Item = &Arc<CustomerPolicy>> {
         self.accounts.iter().flatten()
     }
 
@@ -161,13 +161,13 @@
 
     /// The customer with `key`.
     #[must_use]
-    pub fn account(&self, key: &str) -> Option<&Arc<Account>> {
+    pub fn account(&self, key: &str) -> Option<&Arc<CustomerPolicy>> {
         let place = self.keys.get(key)?;
         self.accounts.as_ref()?.get(*place)
     }
 }
 
-fn check(rule: &Rule, services: &BTreeMap<id::Service, Provider>) -> Result<(), Refusal> {
+fn check(rule: &Rule, services: &BTreeMap<id::Service, ServicePolicy>) -> Result<(), Refusal> {
     let name = &rule.name;
     let slashes = rule.prefix.starts_with('/') && rule.prefix.ends_with('/');
     if !slashes {
@@ -196,7 +196,7 @@
     Ok(())
 }
 
-fn keys(accounts: &[Account]) -> Result<HashMap<String, usize>, Refusal> {
+fn keys(accounts: &[CustomerPolicy]) -> Result<HashMap<String, usize>, Refusal> {
     let mut keys = HashMap::new();
     for (place, account) in accounts.iter().enumerate() {
         for key in &account.keys {
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -10,7 +10,7 @@
 use crate::code::Refusal;
 use crate::config::Right;
 use crate::config::Snapshot;
-use crate::evacuation::Halls;
+use crate::evacuation::EvacuatedHalls;
 use crate::gateway::Parts;
 use crate::id;
 use crate::lang;
@@ -78,7 +78,7 @@
     #[serde(default)]
     quarantine: quarantine::List,
     #[serde(default)]
-    evacuated: Halls,
+    evacuated: EvacuatedHalls,
 }
 
 impl Machine {
@@ -209,7 +209,7 @@
 
     /// The data halls that are evacuated.
     #[must_use]
-    pub fn get_evacuated(&self) -> &Halls {
+    pub fn get_evacuated(&self) -> &EvacuatedHalls {
         &self.evacuated
     }
 
--- a/crates/core/tests/allowances.rs
+++ b/crates/core/tests/allowances.rs
@@ -6,7 +6,7 @@
 
 use curlewlift_core::quota::Charge;
 use curlewlift_core::quota::Desk;
-use curlewlift_core::route::Allowance;
+use curlewlift_core::route::Quota;
 
 use support::asks::at;
 use support::gateways::ALLOWANCE;
@@ -53,7 +53,7 @@
 /// nothing else happens, 70 gateways let in more than the bound, 12 do not.
 #[test]
 fn sudden_crowd() {
-    let allowance = Allowance {
+    let allowance = Quota {
         rate: 276_000.0,
         burst: 276_000.0,
         ..ALLOWANCE
@@ -125,7 +125,7 @@
 /// 200 to 5,200: 1,716 tokens were let in, of 144,000 that were asked for.
 #[test]
 fn leaderless_second() {
-    let allowance = Allowance {
+    let allowance = Quota {
         rate: 276_000.0,
         burst: 276_000.0,
         ..ALLOWANCE
@@ -185,7 +185,7 @@
 fn lowered_limit() {
     let mut world = World::new(12, 3);
     world.go_on(seconds(10), 55_000.0);
-    world.limit(Allowance {
+    world.limit(Quota {
         rate: 20_000.0,
         burst: 20_000.0,
         ..ALLOWANCE
--- a/crates/core/tests/cold_servers.rs
+++ b/crates/core/tests/cold_servers.rs
@@ -20,7 +20,7 @@
 use curlewlift_core::pool::Request;
 use curlewlift_core::route::Limits;
 use curlewlift_core::route::Parts;
-use curlewlift_core::route::Provider;
+use curlewlift_core::route::ServicePolicy;
 use curlewlift_core::route::Table;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -59,7 +59,7 @@
 }
 
 fn table() -> Table {
-    let provider = Provider {
+    let provider = ServicePolicy {
         connections: 10,
         health: "/health".into(),
         cold_rate: Some(rate()),
--- a/crates/core/tests/evacuated_halls.rs
+++ b/crates/core/tests/evacuated_halls.rs
@@ -7,7 +7,7 @@
 
 use curlewlift_core::clock::Instant;
 use curlewlift_core::evacuation::Action;
-use curlewlift_core::evacuation::Halls;
+use curlewlift_core::evacuation::EvacuatedHalls;
 use curlewlift_core::evacuation::Order;
 use curlewlift_core::gateway::Hub;
 use curlewlift_core::gateway::Listing;
@@ -38,7 +38,7 @@
 
 fn hub() -> Hub {
     let mut hub = Hub::new(Tuning::default(), ms(0)).drawn(1);
-    hub.adopt_evacuated(&Halls::default());
+    hub.adopt_evacuated(&EvacuatedHalls::default());
     hub.list(Arc::new(Listing::new(vec![
         server("s1", "a"),
         server("s2", "b"),
@@ -54,8 +54,8 @@
     }
 }
 
-fn evacuated(hall: &str) -> Halls {
-    let mut halls = Halls::default();
+fn evacuated(hall: &str) -> EvacuatedHalls {
+    let mut halls = EvacuatedHalls::default();
     halls.apply(&order(hall, Action::Start, 0));
     halls
 }
@@ -78,9 +78,13 @@
 fn no_places() {
     let mut hub = hub();
     let mut policies = Vec::new();
-    for (step, halls) in [Halls::default(), evacuated("a"), Halls::default()]
-        .iter()
-        .enumerate()
+    for (step, halls) in [
+        EvacuatedHalls::default(),
+        evacuated("a"),
+        EvacuatedHalls::default(),
+    ]
+    .iter()
+    .enumerate()
     {
         hub.adopt_evacuated(halls);
         let now = ms(1_000 * (step as u64 + 1));
@@ -122,7 +126,7 @@
     halls.apply(&order("b", Action::End, 10));
     assert!(halls.has("a"), "another hall's end");
     halls.apply(&order("a", Action::End, 11));
-    assert_eq!(halls, Halls::default());
+    assert_eq!(halls, EvacuatedHalls::default());
 }
 
 /// A request that must stay in a hall goes nowhere else, and is told when nothing there can take it; those behind it in
--- a/crates/core/tests/route_tables.rs
+++ b/crates/core/tests/route_tables.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use curlewlift_core::code::Code;
-use curlewlift_core::route::Account;
-use curlewlift_core::route::Allowance;
+use curlewlift_core::route::CustomerPolicy;
 use curlewlift_core::route::Homes;
 use curlewlift_core::route::Kind;
 use curlewlift_core::route::Parts;
-use curlewlift_core::route::Provider;
+use curlewlift_core::route::Quota;
 use curlewlift_core::route::Rule;
+use curlewlift_core::route::ServicePolicy;
 use curlewlift_core::route::Table;
 use curlewlift_core::route::Target;
 use curlewlift_core::route::Unit;
@@ -39,12 +39,12 @@
     }
 }
 
-fn account(name: &str, keys: &[&str]) -> Account {
-    Account {
+fn account(name: &str, keys: &[&str]) -> CustomerPolicy {
+    CustomerPolicy {
         name: name.parse().expect("a name"),
         keys: keys.iter().map(|key| (*key).to_owned()).collect(),
         rank: None,
-        allowance: Allowance {
+        allowance: Quota {
             unit: Unit::Tokens(200),
             rate: 1_000.0,
             burst: 1_000.0,
@@ -54,7 +54,7 @@
 }
 
 fn parts(rules: Vec<Rule>) -> Parts {
-    let provider = Provider {
+    let provider = ServicePolicy {
         connections: 10,
         health: "/health".into(),
         cold_rate: None,
--- a/crates/core/tests/support/gateways.rs
+++ b/crates/core/tests/support/gateways.rs
@@ -20,10 +20,10 @@
 use curlewlift_core::quota::Charge;
 use curlewlift_core::quota::Reserve;
 use curlewlift_core::quota::Tolerance;
-use curlewlift_core::route::Account;
-use curlewlift_core::route::Allowance;
+use curlewlift_core::route::CustomerPolicy;
 use curlewlift_core::route::Homes;
 use curlewlift_core::route::Limits;
+use curlewlift_core::route::Quota;
 use curlewlift_core::route::Table;
 use curlewlift_core::route::Unit;
 use curlewlift_core::state::Publication;
@@ -48,7 +48,7 @@
 /// How long a change of the parts takes to stand in the log.
 const COMMIT: Duration = Duration::from_millis(30);
 
-pub(crate) const ALLOWANCE: Allowance = Allowance {
+pub(crate) const ALLOWANCE: Quota = Quota {
     unit: Unit::Tokens(200),
     rate: 60_000.0,
     burst: 60_000.0,
@@ -131,7 +131,7 @@
     pub(crate) total: u64,
     /// What is still to be asked for.
     asked: f64,
-    allowance: Allowance,
+    allowance: Quota,
 }
 
 impl World {
@@ -139,7 +139,7 @@
         Self::with(count, seed, ALLOWANCE)
     }
 
-    pub(crate) fn with(count: usize, seed: u64, allowance: Allowance) -> Self {
+    pub(crate) fn with(count: usize, seed: u64, allowance: Quota) -> Self {
         let now = Instant::default();
         let mut world = Self {
             nodes: (0..count).map(|place| Node::new(place, now)).collect(),
@@ -171,7 +171,7 @@
     }
 
     fn adopt(&mut self) {
-        let account = Account {
+        let account = CustomerPolicy {
             name: ann(),
             keys: Vec::new(),
             rank: None,
@@ -191,7 +191,7 @@
     }
 
     /// Another limit is in force everywhere.
-    pub(crate) fn limit(&mut self, allowance: Allowance) {
+    pub(crate) fn limit(&mut self, allowance: Quota) {
         self.allowance = allowance;
         self.table += 1;
         self.adopt();
--- a/crates/curlewlift/src/gateway/admit.rs
+++ b/crates/curlewlift/src/gateway/admit.rs
@@ -18,7 +18,7 @@
 use curlewlift_core::pool::WaitLimit;
 use curlewlift_core::quarantine::Identity;
 use curlewlift_core::quota::Charge;
-use curlewlift_core::route::Account;
+use curlewlift_core::route::CustomerPolicy;
 use curlewlift_core::route::Limits;
 use curlewlift_core::route::Rank;
 use curlewlift_core::route::Rule;
@@ -63,7 +63,7 @@
 pub(super) struct Admitted {
     pub(super) call: Call,
     pub(super) rule: Arc<Rule>,
-    pub(super) account: Option<Arc<Account>>,
+    pub(super) account: Option<Arc<CustomerPolicy>>,
     pub(super) cost: u64,
     /// What it is, whichever try of its caller this is.
     pub(super) identity: Identity,
@@ -163,7 +163,7 @@
 fn halls(
     node: &Node,
     rule: &Rule,
-    account: Option<&Account>,
+    account: Option<&CustomerPolicy>,
 ) -> Result<Option<Arc<[Arc<str>]>>, Refused> {
     let homes = account.map(|account| rule.homes.and(&account.homes));
     let halls = node.regions.halls(homes.as_ref().unwrap_or(&rule.homes));
@@ -175,7 +175,7 @@
 }
 
 /// What a request counts towards its customer's allowance; none where that has no limit.
-fn charge(account: &Account, cost: u64) -> Option<Charge> {
+fn charge(account: &CustomerPolicy, cost: u64) -> Option<Charge> {
     account.allowance.is_limited().then(|| Charge {
         customer: account.name.clone(),
         cost,
@@ -183,7 +183,7 @@
 }
 
 /// What a request counts in its customer's unit.
-fn cost(account: &Account, call: &Call) -> u64 {
+fn cost(account: &CustomerPolicy, call: &Call) -> u64 {
     let tokens = call
         .tokens
         .map(|(prompt, made)| prompt.saturating_add(made));
@@ -216,7 +216,7 @@
 }
 
 /// What a request is.
-fn identity(account: Option<&Account>, head: &request::Parts, body: &[u8]) -> Identity {
+fn identity(account: Option<&CustomerPolicy>, head: &request::Parts, body: &[u8]) -> Identity {
     let customer = account.map(|account| account.name.clone());
     let path = head.uri.path_and_query();
     let path = path.map(PathAndQuery::as_str).unwrap_or_default();
@@ -233,7 +233,11 @@
     })
 }
 
-fn account(table: &Table, rule: &Rule, call: &Call) -> Result<Option<Arc<Account>>, Refused> {
+fn account(
+    table: &Table,
+    rule: &Rule,
+    call: &Call,
+) -> Result<Option<Arc<CustomerPolicy>>, Refused> {
     let known = call.key.as_deref().and_then(|key| table.account(key));
     if !table.needs_key() || rule.public {
         return Ok(known.cloned());
--- a/crates/curlewlift/src/platform/document.rs
+++ b/crates/curlewlift/src/platform/document.rs
@@ -9,14 +9,14 @@
 use curlewlift_core::code::Code;
 use curlewlift_core::code::Refusal;
 use curlewlift_core::id;
-use curlewlift_core::route::Account;
-use curlewlift_core::route::Allowance;
+use curlewlift_core::route::CustomerPolicy;
 use curlewlift_core::route::Homes;
 use curlewlift_core::route::Kind;
 use curlewlift_core::route::Limits;
 use curlewlift_core::route::Parts;
-use curlewlift_core::route::Provider;
+use curlewlift_core::route::Quota;
 use curlewlift_core::route::Rule;
+use curlewlift_core::route::ServicePolicy;
 use curlewlift_core::route::Table;
 use curlewlift_core::route::Target;
 use curlewlift_core::route::Unit;
@@ -189,10 +189,10 @@
     })
 }
 
-fn service(service: Service) -> Result<(id::Service, Provider), Refusal> {
+fn service(service: Service) -> Result<(id::Service, ServicePolicy), Refusal> {
     let cold_rate = service.cold_per_s.filter(|rate| *rate != 0.0);
     let cold_rate = cold_rate.map(|rate| name(&rate.to_string())).transpose()?;
-    let provider = Provider {
+    let provider = ServicePolicy {
         cold_rate,
         connections: service.max_conns.unwrap_or(u32::MAX),
         health: service.health_path.unwrap_or_default().into(),
@@ -212,7 +212,7 @@
     })
 }
 
-fn account(tenant: Tenant) -> Result<Account, Refusal> {
+fn account(tenant: Tenant) -> Result<CustomerPolicy, Refusal> {
     let unit = match tenant.unit.as_deref() {
         Some("tokens") => Unit::Tokens(tenant.plain_tokens.unwrap_or(1)),
         _ => Unit::Requests,
@@ -225,11 +225,11 @@
         let why = format!("tenant {}: its limit is below 0", tenant.name);
         return Err(Refusal::new(Code::BadValue, why));
     }
-    Ok(Account {
+    Ok(CustomerPolicy {
         name: name(&tenant.name)?,
         keys: tenant.api_keys,
         rank: tenant.priority,
-        allowance: Allowance {
+        allowance: Quota {
             unit,
             rate: tenant.rate_per_s,
             burst: tenant.burst,
