--- a/crates/core/src/gateway/dispatch.rs
+++ b/crates/core/src/gateway/dispatch.rs
@@ -84,11 +84,11 @@
     pub(super) fn adopt(&mut self, listing: &Listing, limits: &limit::Table) {
         let mut by_service = listing.by_service();
         for (service, pool) in &mut self.pools {
-            pool.adopt(by_service.remove(service).unwrap_or_default());
+            pool.update_servers(by_service.remove(service).unwrap_or_default());
         }
         for (service, servers) in by_service {
-            let mut pool = Pool::new(pool::Tuning::default(), self.hub).of_all();
-            pool.adopt(servers);
+            let mut pool = Pool::new(pool::Tuning::default(), self.hub).for_all_gateways();
+            pool.update_servers(servers);
             for (key, limit, heard) in limits.of_service(&service) {
                 pool.set_limit(key, Some(limit), heard);
             }
@@ -117,7 +117,7 @@
     ) {
         let mut on_trial: BTreeMap<_, _> = on_trial.collect();
         for (service, pool) in &mut self.pools {
-            pool.set_on_trial(on_trial.remove(service));
+            pool.set_trial(on_trial.remove(service));
         }
     }
 
@@ -142,7 +142,7 @@
     pub(super) fn ended(&mut self, host: &id::Host, ends: &[Ended], now: Instant) {
         for ended in ends {
             if let Some(pool) = self.pools.get_mut(&ended.service) {
-                pool.seen(&ended.incarnation, ended.end, now);
+                pool.observe(&ended.incarnation, ended.end, now);
             }
             if let AttemptOutcome::Rests(length) = ended.end {
                 self.rests(host, ended, now + length);
@@ -159,7 +159,7 @@
         let in_line = in_line
             .filter(|(ticket, asking)| ticket.service == ended.service && asking.host == *host);
         for (ticket, _) in in_line {
-            pool.rests(ticket.number, &ended.incarnation, until);
+            pool.add_backoff(ticket.number, &ended.incarnation, until);
         }
     }
 
@@ -174,7 +174,7 @@
 
     /// For how long requests waited only because servers had named limits, since this was last asked for.
     pub(super) fn take_held(&mut self) -> Duration {
-        self.pools.values_mut().map(Pool::take_held).sum()
+        self.pools.values_mut().map(Pool::take_limit_wait).sum()
     }
 
     /// The number of the last grant.
@@ -226,7 +226,7 @@
             rests: want.rests.into_iter().map(until).collect(),
             halls: want.halls,
         };
-        let (number, last) = pool.ask(ask, now);
+        let (number, last) = pool.enqueue(ask, now);
         let hub = self.hub;
         let ticket = |number| Ticket {
             hub,
@@ -251,7 +251,7 @@
             return Given::default();
         };
         if let Some(pool) = self.pools.get_mut(&ticket.service) {
-            pool.leave(ticket.number);
+            pool.cancel(ticket.number);
         }
         asking.given
     }
@@ -300,7 +300,7 @@
     pub(super) fn give_up(&mut self, now: Instant) -> Vec<Left> {
         let mut hopeless = Vec::new();
         for (service, pool) in &mut self.pools {
-            let numbers = pool.give_up(now).into_iter();
+            let numbers = pool.remove_doomed(now).into_iter();
             hopeless.extend(numbers.map(|number| Ticket {
                 hub: self.hub,
                 service: service.clone(),
@@ -323,7 +323,7 @@
     /// The services that somebody waits for.
     fn wanted(&self) -> Vec<id::Service> {
         let pools = self.pools.iter();
-        let wanted = pools.filter(|(_, pool)| pool.waiting() > 0);
+        let wanted = pools.filter(|(_, pool)| pool.queue_len() > 0);
         wanted.map(|(service, _)| service.clone()).collect()
     }
 
@@ -332,7 +332,7 @@
         for incarnation in self.occupancy.changed() {
             let in_flight = self.occupancy.get(&incarnation);
             for pool in self.pools.values_mut() {
-                pool.occupy(&incarnation, in_flight);
+                pool.set_in_flight(&incarnation, in_flight);
             }
         }
     }
@@ -342,7 +342,7 @@
         let Some(pool) = self.pools.get_mut(service) else {
             return Vec::new();
         };
-        let turns = pool.serve(now);
+        let turns = pool.assign(now);
         for turn in &turns {
             // The pool has counted the turn itself; what is granted of it counts instead.
             self.occupancy.touch(&turn.server.incarnation);
--- a/crates/core/src/pool/doomed.rs
+++ b/crates/core/src/pool/doomed.rs
@@ -11,13 +11,13 @@
 impl Pool {
     /// Takes those out of line whose turn is not likely to come before they stop waiting, and those
     /// who have tried every server.
-    pub fn give_up(&mut self, now: Instant) -> Vec<Ticket> {
+    pub fn remove_doomed(&mut self, now: Instant) -> Vec<Ticket> {
         let mut hopeless = Vec::new();
         let mut ahead = 0;
         let full = self.is_full(|_| true, now);
         // Where all servers have named limits, turns cannot come faster than these, however few came lately.
-        let rates = self.forecast.rates(now).at_most(self.all_limited());
-        let resting = self.resting(now);
+        let rates = self.forecast.rates(now).at_most(self.total_limit_rate());
+        let resting = self.backoffs(now);
         for (place, ask) in self.waiting.all() {
             let ask = &*ask.with_rests(&resting);
             // A server that rests, or is in another hall, is no room for this one, however empty it is.
@@ -54,7 +54,7 @@
     fn waits_in_vain(&self, ask: &Request) -> bool {
         let mut taking = self.servers.all().filter(|known| known.takes_work());
         let is_tried = !ask.tried.is_empty();
-        let is_bound = is_tried || (ask.is_kept_from() && self.is_served());
+        let is_bound = is_tried || (ask.is_kept_from() && self.accepts_work());
         is_bound && taking.all(|known| ask.waits_in_vain(&known.server))
     }
 }
--- a/crates/core/src/pool/servers.rs
+++ b/crates/core/src/pool/servers.rs
@@ -68,7 +68,7 @@
 
     /// The same, of whoever gives out the places of all gateways: servers that have named a limit get it from there.
     #[must_use]
-    pub fn of_all(self) -> Self {
+    pub fn for_all_gateways(self) -> Self {
         Self {
             limits: Ledger::giving(),
             ..self
@@ -79,7 +79,7 @@
 /// # Servers
 impl Pool {
     /// Takes up a list; what is known of an incarnation that stays is kept.
-    pub fn adopt(&mut self, mut servers: Vec<Arc<Server>>) {
+    pub fn update_servers(&mut self, mut servers: Vec<Arc<Server>>) {
         for server in &mut servers {
             // A list that is older than the server's own word does not undo it.
             if self.notices.is_leaving(&server.incarnation) {
@@ -96,14 +96,14 @@
 
     /// Meets the servers of a list that is about to be taken up: another life may have said something under the
     /// name of the one before.
-    pub fn meet(&mut self, servers: &[Arc<Server>], now: Instant) {
+    pub fn inherit_notices(&mut self, servers: &[Arc<Server>], now: Instant) {
         for server in servers {
             self.notices.meet(server, now);
         }
     }
 
     /// Takes up what other gateways have in flight.
-    pub fn hear(&mut self, loads: &[Load]) {
+    pub fn update_other_loads(&mut self, loads: &[Load]) {
         self.servers.update_all(|known| known.hear(None));
         for load in loads {
             let hear = |known: &mut ServerState| known.hear(Some(load));
@@ -113,7 +113,7 @@
 
     /// Takes up what all gateways together have in flight at one incarnation; whoever gives it out
     /// counts what is sent, so nothing is in flight from here.
-    pub fn occupy(&mut self, incarnation: &str, in_flight: Option<&Load>) {
+    pub fn set_in_flight(&mut self, incarnation: &str, in_flight: Option<&Load>) {
         self.servers.update(incarnation, |known| {
             known.forget_own();
             known.hear(in_flight);
@@ -121,7 +121,7 @@
     }
 
     /// The version that gets no more than some requests; none where all versions are alike.
-    pub fn set_on_trial(&mut self, on_trial: Option<TrialVersion>) {
+    pub fn set_trial(&mut self, on_trial: Option<TrialVersion>) {
         self.on_trial = on_trial;
     }
 
@@ -138,7 +138,7 @@
 
     /// Counts a request that is sent to `server` by the word of another; false where the server is
     /// to take no new work from here.
-    pub fn take(&mut self, server: &Arc<Server>, prompt: Tokens, now: Instant) -> bool {
+    pub fn accept_grant(&mut self, server: &Arc<Server>, prompt: Tokens, now: Instant) -> bool {
         // Whoever gave the place may not have heard what the server told this host, or know another life of it.
         self.notices.meet(server, now);
         if self.notices.closes(&server.incarnation, now) {
@@ -179,7 +179,7 @@
 
     /// For how much longer a server is left alone at `now`.
     #[must_use]
-    pub fn left_alone(&self, incarnation: &str, now: Instant) -> Duration {
+    pub fn avoid_for(&self, incarnation: &str, now: Instant) -> Duration {
         let known = self.servers.get(incarnation);
         let left = known.map_or(Duration::ZERO, |known| known.trust.left_alone(now));
         left.max(self.notices.rest(incarnation, now))
@@ -192,7 +192,12 @@
     }
 
     /// Takes note of what a server says of itself; gives what of it is new.
-    pub fn notice(&mut self, server: &Server, notice: Notice, now: Instant) -> Option<Notice> {
+    pub fn record_notice(
+        &mut self,
+        server: &Server,
+        notice: Notice,
+        now: Instant,
+    ) -> Option<Notice> {
         if notice == Notice::Leaves {
             self.servers.update(&server.incarnation, ServerState::leave);
         }
@@ -222,8 +227,8 @@
 
     /// How many requests a second the servers that take work take together, where all have named a limit.
     #[must_use]
-    pub fn all_limited(&self) -> Option<f64> {
-        if self.limits.is_empty() || !self.is_served() {
+    pub fn total_limit_rate(&self) -> Option<f64> {
+        if self.limits.is_empty() || !self.accepts_work() {
             return None;
         }
         let taking = self.servers.all().filter(|known| known.takes_work());
@@ -233,21 +238,21 @@
 
     /// For how much longer all servers that take work rest, where they do: until the first one is to be had again.
     #[must_use]
-    pub fn all_rest(&self, now: Instant) -> Option<Duration> {
+    pub fn all_backing_off_for(&self, now: Instant) -> Option<Duration> {
         let taking = self.servers.all().filter(|known| known.takes_work());
         let rests = taking.map(|known| self.notices.rest(&known.server.incarnation, now));
         rests.min().filter(|least| !least.is_zero())
     }
 
     /// A host that has a request in line here is asked for rest by a server.
-    pub fn rests(&mut self, ticket: Ticket, incarnation: &Arc<str>, until: Instant) {
+    pub fn add_backoff(&mut self, ticket: Ticket, incarnation: &Arc<str>, until: Instant) {
         if let Some(ask) = self.waiting.get_mut(ticket) {
             ask.rests.push((Arc::clone(incarnation), until));
         }
     }
 
     /// Takes up what an answer of a server told of its load.
-    pub fn told(&mut self, incarnation: &str, in_flight: u32) {
+    pub fn update_load(&mut self, incarnation: &str, in_flight: u32) {
         self.servers.update(incarnation, |known| {
             known.others = in_flight.saturating_sub(known.own);
         });
@@ -255,7 +260,7 @@
 
     /// Whether it has a server that takes new work.
     #[must_use]
-    pub fn is_served(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         self.servers.all().any(ServerState::takes_work)
     }
 
@@ -270,14 +275,14 @@
     }
 
     /// Takes note that a server has read a request's prompt, or will not.
-    pub fn begun(&mut self, incarnation: &str, prompt: Tokens) {
+    pub fn record_first_byte(&mut self, incarnation: &str, prompt: Tokens) {
         self.servers.update(incarnation, |known| {
             known.own_reading = known.own_reading.saturating_sub(prompt.0);
         });
     }
 
     /// Takes note of how a sending ended.
-    pub fn ended(&mut self, incarnation: &str, end: AttemptOutcome, now: Instant) {
+    pub fn finish_attempt(&mut self, incarnation: &str, end: AttemptOutcome, now: Instant) {
         self.note_gone(incarnation, end, now);
         let is_done = self.servers.update(incarnation, |known| {
             known.end();
@@ -290,7 +295,7 @@
     }
 
     /// Takes note of something that is seen while a request still runs.
-    pub fn seen(&mut self, incarnation: &str, end: AttemptOutcome, now: Instant) {
+    pub fn observe(&mut self, incarnation: &str, end: AttemptOutcome, now: Instant) {
         self.note_gone(incarnation, end, now);
         self.servers
             .update(incarnation, |known| known.judge(end, now));
@@ -302,7 +307,7 @@
         if let Some(server) = known.map(|known| Arc::clone(&known.server))
             && end == AttemptOutcome::Gone
         {
-            self.notice(&server, Notice::Leaves, now);
+            self.record_notice(&server, Notice::Leaves, now);
         }
     }
 }
@@ -310,7 +315,7 @@
 /// # Turns
 impl Pool {
     /// Until when servers have asked this host for rest.
-    pub(super) fn resting(&self, now: Instant) -> Vec<(Arc<str>, Instant)> {
+    pub(super) fn backoffs(&self, now: Instant) -> Vec<(Arc<str>, Instant)> {
         let resting = self.notices.resting(now);
         let resting = resting.map(|(incarnation, left)| (incarnation, now + left));
         resting.collect()
@@ -318,12 +323,12 @@
 
     /// How many wait.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn queue_len(&self) -> usize {
         self.waiting.len()
     }
 
     /// Puts a request in line at `now`; tells who is turned away for want of room.
-    pub fn ask(&mut self, ask: Request, now: Instant) -> (Ticket, Option<Ticket>) {
+    pub fn enqueue(&mut self, ask: Request, now: Instant) -> (Ticket, Option<Ticket>) {
         self.next += 1;
         let ticket = Ticket(self.next);
         self.forecast.asked(ask.rank, now);
@@ -337,15 +342,15 @@
     }
 
     /// Takes a request out of line; false where it does not wait any more.
-    pub fn leave(&mut self, ticket: Ticket) -> bool {
+    pub fn cancel(&mut self, ticket: Ticket) -> bool {
         self.waiting.remove(ticket)
     }
 
     /// Gives turns to those in line for whom there is room.
-    pub fn serve(&mut self, now: Instant) -> Vec<Assignment> {
+    pub fn assign(&mut self, now: Instant) -> Vec<Assignment> {
         let mut turns = Vec::new();
         let mut last = None;
-        let resting = self.resting(now);
+        let resting = self.backoffs(now);
         self.waiting.age(now);
         while let Some((in_line, ask)) = self.waiting.after(last) {
             if !self.has_room() {
@@ -391,7 +396,7 @@
     }
 
     /// For how long requests waited while a server had room and had got what it takes, since this was last asked for.
-    pub fn take_held(&mut self) -> Duration {
+    pub fn take_limit_wait(&mut self) -> Duration {
         self.held.take()
     }
 }
--- a/crates/core/tests/cold_servers.rs
+++ b/crates/core/tests/cold_servers.rs
@@ -158,7 +158,7 @@
 fn alone_only_warm() {
     let mut pool = Pool::new(pool::Tuning::default(), 1);
     pool.set_warmup(Some(Warmup::new(rate(), SLACK)), Instant::default());
-    pool.adopt(vec![
+    pool.update_servers(vec![
         Arc::new(server("cold", true)),
         Arc::new(server("warm", false)),
     ]);
@@ -167,9 +167,9 @@
             until: Instant::default() + SECOND,
             ..Request::default()
         };
-        pool.ask(ask, Instant::default());
+        pool.enqueue(ask, Instant::default());
     }
-    let turns = pool.serve(Instant::default());
+    let turns = pool.assign(Instant::default());
     assert_eq!(turns.len(), 100);
     assert!(turns.iter().all(|turn| &*turn.server.name == "warm"));
 }
--- a/crates/core/tests/evacuated_halls.rs
+++ b/crates/core/tests/evacuated_halls.rs
@@ -155,7 +155,7 @@
 #[test]
 fn stays_home_alone() {
     let mut pool = Pool::new(pool::Tuning::default(), 1);
-    pool.adopt(vec![
+    pool.update_servers(vec![
         Arc::new(server("s1", "a")),
         Arc::new(server("s2", "b")),
     ]);
@@ -165,9 +165,9 @@
             until: ms(1_000),
             ..Request::default()
         };
-        pool.ask(ask, ms(0));
+        pool.enqueue(ask, ms(0));
     }
-    let turns = pool.serve(ms(0));
+    let turns = pool.assign(ms(0));
     assert_eq!(turns.len(), 2);
     assert!(turns.iter().all(|turn| &*turn.server.name == "s2"));
 }
--- a/crates/core/tests/line_forecast.rs
+++ b/crates/core/tests/line_forecast.rs
@@ -28,7 +28,7 @@
         ..Tuning::default()
     };
     let mut pool = Pool::new(tuning, 7);
-    pool.adopt(vec![Arc::new(Server {
+    pool.update_servers(vec![Arc::new(Server {
         incarnation: "s1".into(),
         name: "s1".into(),
         born: 0,
@@ -52,15 +52,15 @@
         until: ms(now + until),
         ..Request::default()
     };
-    pool.ask(ask, ms(now)).0
+    pool.enqueue(ask, ms(now)).0
 }
 
 /// A turn every 20 ms for a second, all of them taken by rank 1; the server is taken at the end.
 fn busy(pool: &mut Pool) -> u64 {
     for step in 0..=50 {
-        pool.ended("s1", GOOD, ms(step * 20));
+        pool.finish_attempt("s1", GOOD, ms(step * 20));
         ask(pool, 1, step * 20, 1_000, 1_000);
-        assert_eq!(pool.serve(ms(step * 20)).len(), 1);
+        assert_eq!(pool.assign(ms(step * 20)).len(), 1);
     }
     1_000
 }
@@ -71,12 +71,15 @@
     let mut pool = pool();
     let now = busy(&mut pool);
     let line: Vec<_> = (0..10).map(|_| ask(&mut pool, 0, now, 100, 100)).collect();
-    let told = pool.give_up(ms(now));
+    let told = pool.remove_doomed(ms(now));
     assert!(!told.is_empty() && told.len() < 8, "{told:?}");
     let kept = line.len() - told.len();
     assert_eq!(told, line[kept..], "the last in line");
-    assert_eq!(pool.waiting(), kept);
-    assert!(pool.give_up(ms(now)).is_empty(), "the others may hope");
+    assert_eq!(pool.queue_len(), kept);
+    assert!(
+        pool.remove_doomed(ms(now)).is_empty(),
+        "the others may hope"
+    );
 }
 
 /// What the higher ranks take is not there for the lower ones.
@@ -86,9 +89,9 @@
     let now = busy(&mut pool);
     let low = ask(&mut pool, 2, now, 500, 500);
     let high = ask(&mut pool, 0, now, 500, 500);
-    assert_eq!(pool.give_up(ms(now)), [low]);
-    pool.ended("s1", GOOD, ms(now));
-    assert_eq!(pool.serve(ms(now))[0].ticket, high);
+    assert_eq!(pool.remove_doomed(ms(now)), [low]);
+    pool.finish_attempt("s1", GOOD, ms(now));
+    assert_eq!(pool.assign(ms(now))[0].ticket, high);
 }
 
 /// Who is late waits on behind those who are not, of the same rank, and before lower ranks.
@@ -96,14 +99,14 @@
 fn late_behind_their_rank() {
     let mut pool = pool();
     ask(&mut pool, 1, 0, 100, 100);
-    assert_eq!(pool.serve(ms(0)).len(), 1);
+    assert_eq!(pool.assign(ms(0)).len(), 1);
     let late = ask(&mut pool, 1, 10, 50, 900);
     let low = ask(&mut pool, 2, 20, 500, 900);
     let fresh = ask(&mut pool, 1, 90, 500, 900);
     let mut order = Vec::new();
     for _ in 0..3 {
-        pool.ended("s1", GOOD, ms(100));
-        order.extend(pool.serve(ms(100)).into_iter().map(|turn| turn.ticket));
+        pool.finish_attempt("s1", GOOD, ms(100));
+        order.extend(pool.assign(ms(100)).into_iter().map(|turn| turn.ticket));
     }
     assert_eq!(order, [fresh, late, low]);
 }
@@ -112,11 +115,11 @@
 #[test]
 fn nothing_known() {
     let mut pool = pool();
-    pool.adopt(Vec::new());
+    pool.update_servers(Vec::new());
     for _ in 0..50 {
         ask(&mut pool, 1, 0, 10, 10);
     }
-    assert!(pool.give_up(ms(0)).is_empty());
+    assert!(pool.remove_doomed(ms(0)).is_empty());
 }
 
 /// Who has tried every server there is does not wait for another.
@@ -129,16 +132,16 @@
         tried: tried.iter().map(|name| (*name).into()).collect(),
         ..Request::default()
     };
-    let told = pool.ask(again(&["s1"]), ms(0)).0;
-    pool.ask(again(&["s0"]), ms(0));
+    let told = pool.enqueue(again(&["s1"]), ms(0)).0;
+    pool.enqueue(again(&["s0"]), ms(0));
     // Who avoids one for a while may have it later.
     let mut avoids = again(&["s0"]);
     avoids.avoid = vec![("s1".into(), ms(100))];
-    pool.ask(avoids, ms(0));
-    assert_eq!(pool.give_up(ms(0)), [told]);
-    assert_eq!(pool.serve(ms(99)).len(), 1, "the one that may go there");
-    pool.ended("s1", GOOD, ms(100));
-    assert_eq!(pool.serve(ms(100)).len(), 1);
+    pool.enqueue(avoids, ms(0));
+    assert_eq!(pool.remove_doomed(ms(0)), [told]);
+    assert_eq!(pool.assign(ms(99)).len(), 1, "the one that may go there");
+    pool.finish_attempt("s1", GOOD, ms(100));
+    assert_eq!(pool.assign(ms(100)).len(), 1);
 }
 
 /// Where a server with room is left alone for a while, the line is not too long.
@@ -146,12 +149,12 @@
 fn left_alone() {
     let mut pool = pool();
     let now = busy(&mut pool);
-    pool.ended("s1", AttemptOutcome::Broken, ms(now));
-    pool.seen("s1", AttemptOutcome::Broken, ms(now));
-    pool.seen("s1", AttemptOutcome::Broken, ms(now));
+    pool.finish_attempt("s1", AttemptOutcome::Broken, ms(now));
+    pool.observe("s1", AttemptOutcome::Broken, ms(now));
+    pool.observe("s1", AttemptOutcome::Broken, ms(now));
     ask(&mut pool, 2, now, 500, 900);
-    assert!(pool.serve(ms(now)).is_empty(), "it has just broken");
-    assert!(pool.give_up(ms(now)).is_empty());
+    assert!(pool.assign(ms(now)).is_empty(), "it has just broken");
+    assert!(pool.remove_doomed(ms(now)).is_empty());
 }
 
 /// A service that stood still for long tells nothing by what it did before.
@@ -162,7 +165,7 @@
     for _ in 0..50 {
         ask(&mut pool, 1, now, 10, 10);
     }
-    assert!(pool.give_up(ms(now)).is_empty());
+    assert!(pool.remove_doomed(ms(now)).is_empty());
 }
 
 /// A customer's rank goes first; among customers of one rank their rules'.
@@ -170,7 +173,7 @@
 fn ranks_of_both() {
     let mut pool = pool();
     ask(&mut pool, 1, 0, 500, 500);
-    assert_eq!(pool.serve(ms(0)).len(), 1);
+    assert_eq!(pool.assign(ms(0)).len(), 1);
     let mut ask = |customer, rule| {
         let ask = Request {
             rank: Rank { customer, rule },
@@ -179,15 +182,15 @@
             until: ms(500),
             ..Request::default()
         };
-        pool.ask(ask, ms(1)).0
+        pool.enqueue(ask, ms(1)).0
     };
     let last = ask(2, 0);
     let second = ask(1, 2);
     let first = ask(1, 0);
     let mut order = Vec::new();
     for _ in 0..3 {
-        pool.ended("s1", GOOD, ms(2));
-        order.extend(pool.serve(ms(2)).into_iter().map(|turn| turn.ticket));
+        pool.finish_attempt("s1", GOOD, ms(2));
+        order.extend(pool.assign(ms(2)).into_iter().map(|turn| turn.ticket));
     }
     assert_eq!(order, [first, second, last]);
 }
--- a/crates/core/tests/server_lives.rs
+++ b/crates/core/tests/server_lives.rs
@@ -106,18 +106,18 @@
     let mut pool = Pool::new(Tuning::default(), 1);
     let former = Arc::new(life("s1", 10));
     let other = Arc::new(life("s2", 10));
-    pool.adopt(vec![Arc::clone(&former), Arc::clone(&other)]);
-    assert!(pool.take(&former, Tokens(100), now));
-    pool.seen(&former.incarnation, AttemptOutcome::Silent, now);
+    pool.update_servers(vec![Arc::clone(&former), Arc::clone(&other)]);
+    assert!(pool.accept_grant(&former, Tokens(100), now));
+    pool.observe(&former.incarnation, AttemptOutcome::Silent, now);
     assert_eq!(pool.avoided(&[], now).count(), 1);
-    pool.adopt(vec![Arc::new(life("s1", 20)), other]);
+    pool.update_servers(vec![Arc::new(life("s1", 20)), other]);
     let avoided = |pool: &Pool| {
         let mut avoided = pool.avoided(&[], now);
         avoided.any(|(incarnation, _)| *incarnation == *"s1/20")
     };
     assert!(!avoided(&pool), "trusted as any new one");
     assert_eq!(pool.loads().count(), 1, "what runs at the former one");
-    pool.ended(&former.incarnation, AttemptOutcome::Broken, now);
+    pool.finish_attempt(&former.incarnation, AttemptOutcome::Broken, now);
     assert_eq!(
         pool.avoided(&[], now).count(),
         0,
--- a/crates/core/tests/server_pool.rs
+++ b/crates/core/tests/server_pool.rs
@@ -36,7 +36,7 @@
         ..Tuning::default()
     };
     let mut pool = Pool::new(tuning, 7);
-    pool.adopt(names.iter().map(|name| server(name, false)).collect());
+    pool.update_servers(names.iter().map(|name| server(name, false)).collect());
     pool
 }
 
@@ -46,12 +46,12 @@
         arrived: Instant(arrived),
         ..Request::default()
     };
-    pool.ask(ask, Instant(arrived)).0
+    pool.enqueue(ask, Instant(arrived)).0
 }
 
 /// Who gets a turn, and where.
 fn served(pool: &mut Pool, now: Instant) -> Vec<(Ticket, String)> {
-    let turns = pool.serve(now).into_iter();
+    let turns = pool.assign(now).into_iter();
     let named = turns.map(|turn| (turn.ticket, turn.server.incarnation.to_string()));
     named.collect()
 }
@@ -65,7 +65,7 @@
 fn room_only() {
     let mut pool = pool(&["s1", "s2"]);
     for place in 0..6 {
-        pool.ask(
+        pool.enqueue(
             Request {
                 arrived: Instant(place),
                 ..Request::default()
@@ -77,7 +77,7 @@
         }
     }
     assert!(served(&mut pool, Instant(9)).is_empty(), "both are full");
-    pool.ended("s1", GOOD, Instant(9));
+    pool.finish_attempt("s1", GOOD, Instant(9));
     assert_eq!(served(&mut pool, Instant(9))[0].1, "s1");
 }
 
@@ -87,7 +87,7 @@
     let low = ask(&mut pool, 2, 1);
     let late = ask(&mut pool, 0, 9);
     let early = ask(&mut pool, 0, 3);
-    pool.adopt(vec![server("s1", false), server("s2", false)]);
+    pool.update_servers(vec![server("s1", false), server("s2", false)]);
     let order: Vec<_> = served(&mut pool, Instant(10))
         .into_iter()
         .map(|(ticket, _)| ticket)
@@ -102,7 +102,7 @@
     for place in 0..3 {
         ask(&mut pool, 1, place);
     }
-    let (_, turned_away) = pool.ask(Request::default(), Instant(0));
+    let (_, turned_away) = pool.enqueue(Request::default(), Instant(0));
     assert_eq!(turned_away, Some(low));
 }
 
@@ -114,7 +114,7 @@
         requests: 2,
         reading: Tokens(0),
     };
-    pool.hear(&[load]);
+    pool.update_other_loads(&[load]);
     ask(&mut pool, 0, 1);
     assert_eq!(served(&mut pool, Instant(1))[0].1, "s2");
 }
@@ -124,10 +124,10 @@
     let mut pool = pool(&["s1"]);
     ask(&mut pool, 0, 1);
     assert_eq!(served(&mut pool, Instant(1)).len(), 1);
-    pool.adopt(vec![server("s1", true)]);
+    pool.update_servers(vec![server("s1", true)]);
     ask(&mut pool, 0, 2);
     assert!(served(&mut pool, Instant(2)).is_empty());
-    assert!(!pool.is_served());
+    assert!(!pool.accepts_work());
 }
 
 #[test]
@@ -135,11 +135,11 @@
     let mut pool = pool(&["s1"]);
     ask(&mut pool, 0, 1);
     assert_eq!(served(&mut pool, Instant(1)).len(), 1);
-    pool.adopt(Vec::new());
+    pool.update_servers(Vec::new());
     assert_eq!(pool.loads().count(), 1, "what it runs still counts");
     ask(&mut pool, 0, 2);
     assert!(served(&mut pool, Instant(2)).is_empty());
-    pool.ended("s1", GOOD, Instant(3));
+    pool.finish_attempt("s1", GOOD, Instant(3));
     assert_eq!(pool.loads().count(), 0);
 }
 
@@ -148,7 +148,7 @@
     let mut pool = pool(&["s1", "s2"]);
     let second = Duration::from_secs(1);
     let start = Instant::default() + second;
-    pool.seen("s1", AttemptOutcome::Broken, start);
+    pool.observe("s1", AttemptOutcome::Broken, start);
     for place in 0..2 {
         ask(&mut pool, 0, place);
     }
@@ -171,7 +171,7 @@
         for _ in 0..20 {
             let gap = Some(Duration::from_millis(*gap));
             let first = Duration::from_millis(50);
-            pool.seen(name, AttemptOutcome::Good { first, gap }, now);
+            pool.observe(name, AttemptOutcome::Good { first, gap }, now);
         }
     }
     pool
@@ -186,7 +186,7 @@
         ask(&mut pool, 0, place);
         let turn = served(&mut pool, now);
         first += u32::from(turn[0].1 == "s1");
-        pool.ended(&turn[0].1, AttemptOutcome::Nothing, now);
+        pool.finish_attempt(&turn[0].1, AttemptOutcome::Nothing, now);
     }
     assert_eq!(first, 50);
 }
@@ -202,8 +202,8 @@
         reading: Tokens(0),
     };
     for _ in 0..50 {
-        pool.hear(std::slice::from_ref(&load));
-        pool.ask(
+        pool.update_other_loads(std::slice::from_ref(&load));
+        pool.enqueue(
             Request {
                 prompt: Tokens(18_000),
                 ..Request::default()
@@ -212,14 +212,14 @@
         );
         let turn = served(&mut pool, now);
         assert_eq!(turn[0].1, "s1");
-        pool.ended("s1", AttemptOutcome::Nothing, now);
+        pool.finish_attempt("s1", AttemptOutcome::Nothing, now);
     }
 }
 
 #[test]
 fn tried_goes_elsewhere() {
     let mut pool = pool(&["s1", "s2"]);
-    pool.ask(
+    pool.enqueue(
         Request {
             tried: vec!["s1".into()],
             ..Request::default()
@@ -227,7 +227,7 @@
         Instant(0),
     );
     assert_eq!(served(&mut pool, Instant(1))[0].1, "s2");
-    pool.ask(
+    pool.enqueue(
         Request {
             tried: vec!["s1".into(), "s2".into()],
             ..Request::default()
@@ -248,7 +248,7 @@
 fn all_broke() {
     let mut pool = pool(&["s1", "s2"]);
     let broke = |pool: &mut Pool, name: &str, now| {
-        pool.seen(name, AttemptOutcome::Broken, Instant(now));
+        pool.observe(name, AttemptOutcome::Broken, Instant(now));
     };
     broke(&mut pool, "s1", 0);
     broke(&mut pool, "s2", 1);
@@ -267,14 +267,14 @@
 #[test]
 fn last_one_left() {
     let mut pool = pool(&["s1", "s2"]);
-    pool.seen("s2", AttemptOutcome::Broken, Instant(0));
+    pool.observe("s2", AttemptOutcome::Broken, Instant(0));
     ask(&mut pool, 0, 1);
     assert_eq!(
         served(&mut pool, Instant(1))[0].1,
         "s1",
         "the other is free"
     );
-    pool.ask(
+    pool.enqueue(
         Request {
             tried: vec!["s1".into()],
             ..Request::default()
@@ -296,19 +296,19 @@
     let first = |pool: &mut Pool| {
         ask(pool, 0, 1);
         let turn = served(pool, Instant(1));
-        pool.ended(&turn[0].1, AttemptOutcome::Nothing, Instant(1));
+        pool.finish_attempt(&turn[0].1, AttemptOutcome::Nothing, Instant(1));
         turn[0].1.clone()
     };
     for _ in 0..20 {
-        pool.hear(&[load("s1", 6_000), load("s2", 0)]);
+        pool.update_other_loads(&[load("s1", 6_000), load("s2", 0)]);
         assert_eq!(first(&mut pool), "s2");
-        pool.hear(&[load("s1", 0), load("s2", 6_000)]);
+        pool.update_other_loads(&[load("s1", 0), load("s2", 6_000)]);
         assert_eq!(first(&mut pool), "s1");
     }
     let own: Vec<_> = (0..2)
         .map(|_| {
-            pool.hear(&[]);
-            pool.ask(
+            pool.update_other_loads(&[]);
+            pool.enqueue(
                 Request {
                     prompt: Tokens(6_000),
                     ..Request::default()
@@ -319,7 +319,7 @@
         })
         .collect();
     assert_ne!(own[0], own[1], "what is sent from here counts too");
-    pool.begun(&own[0], Tokens(6_000));
+    pool.record_first_byte(&own[0], Tokens(6_000));
     let reading: Vec<_> = pool.loads().map(|load| load.reading.0).collect();
     assert!(
         reading.contains(&0) && reading.contains(&6_000),
@@ -332,7 +332,7 @@
 fn one_by_one() {
     let mut pool = pool(&["s1"]);
     let (over, later) = (Instant(120_000), Instant(240_000));
-    pool.seen(
+    pool.observe(
         "s1",
         AttemptOutcome::Rests(Duration::from_secs(3)),
         Instant(0),
@@ -342,9 +342,9 @@
     }
     assert_eq!(served(&mut pool, over).len(), 1);
     assert!(served(&mut pool, over).is_empty());
-    pool.ended("s1", AttemptOutcome::Full, over);
+    pool.finish_attempt("s1", AttemptOutcome::Full, over);
     assert_eq!(served(&mut pool, later).len(), 1);
-    pool.ended("s1", GOOD, later);
+    pool.finish_attempt("s1", GOOD, later);
     assert_eq!(served(&mut pool, later).len(), 2, "as any other");
 }
 
@@ -353,10 +353,10 @@
 fn rest_holds() {
     let mut pool = pool(&["s1", "s2"]);
     let rest = Notice::Rest(Duration::from_secs(3));
-    pool.notice(&server("s1", false), rest, Instant(0));
-    pool.ended("s1", GOOD, Instant(0));
-    pool.adopt(vec![server("s1", false), server("s2", false)]);
-    assert!(!pool.take(&server("s1", false), Tokens(0), Instant(1)));
+    pool.record_notice(&server("s1", false), rest, Instant(0));
+    pool.finish_attempt("s1", GOOD, Instant(0));
+    pool.update_servers(vec![server("s1", false), server("s2", false)]);
+    assert!(!pool.accept_grant(&server("s1", false), Tokens(0), Instant(1)));
     for arrived in 0..4 {
         ask(&mut pool, 0, arrived);
     }
@@ -372,16 +372,19 @@
     let mut pool = pool(&["s1", "s2"]);
     for name in ["s1", "s2"] {
         let rest = Notice::Rest(Duration::from_secs(3));
-        pool.notice(&server(name, false), rest, Instant(0));
+        pool.record_notice(&server(name, false), rest, Instant(0));
     }
-    assert_eq!(pool.all_rest(Instant(0)), Some(Duration::from_secs(3)));
+    assert_eq!(
+        pool.all_backing_off_for(Instant(0)),
+        Some(Duration::from_secs(3))
+    );
     let patient = |until| Request {
         until: Instant(until),
         ..Request::default()
     };
-    let (hopeless, _) = pool.ask(patient(1_000_000), Instant(0));
-    pool.ask(patient(4_000_000), Instant(0));
-    assert_eq!(pool.give_up(Instant(0)), [hopeless]);
+    let (hopeless, _) = pool.enqueue(patient(1_000_000), Instant(0));
+    pool.enqueue(patient(4_000_000), Instant(0));
+    assert_eq!(pool.remove_doomed(Instant(0)), [hopeless]);
     assert_eq!(served(&mut pool, Instant(3_000_000)).len(), 1);
 }
 
@@ -393,7 +396,7 @@
     let mut pool = pool(&names);
     for (place, name) in names.iter().enumerate().take(1_000) {
         let first = Duration::from_millis(if place.is_multiple_of(50) { 20 } else { 60 });
-        pool.seen(name, AttemptOutcome::Good { first, gap: None }, Instant(1));
+        pool.observe(name, AttemptOutcome::Good { first, gap: None }, Instant(1));
     }
     let mut fast = 0;
     for number in 0..40 {
--- a/crates/core/tests/support/limited.rs
+++ b/crates/core/tests/support/limited.rs
@@ -260,7 +260,7 @@
 
     fn node(&mut self, place: usize) -> Node {
         let mut pool = Pool::new(pool::Tuning::default(), place as u64);
-        pool.adopt(self.servers());
+        pool.update_servers(self.servers());
         Node {
             host: format!("g{place}").parse().expect("a name"),
             pool,
@@ -367,7 +367,7 @@
         let (servers, listing) = (self.servers(), self.listing());
         for place in 0..GATEWAYS {
             let node = &mut self.nodes[place];
-            node.pool.adopt(servers.clone());
+            node.pool.update_servers(servers.clone());
             let servers = servers.iter().map(|server| &**server);
             let met = node.limits.meet(servers, self.now);
             self.limit(place, met);
@@ -500,7 +500,7 @@
                 tried: tried.clone(),
                 ..pool::Request::default()
             };
-            let ticket = self.nodes[place].pool.ask(ask, now).0;
+            let ticket = self.nodes[place].pool.enqueue(ask, now).0;
             (now + HELD, Stage::InLineHere(ticket))
         };
         Request {
@@ -535,7 +535,7 @@
             if now < self.nodes[place].suspended {
                 continue;
             }
-            for turn in self.nodes[place].pool.serve(now) {
+            for turn in self.nodes[place].pool.assign(now) {
                 let due = now + self.connecting();
                 let is_its = |request: &&mut Request| {
                     let own =
@@ -578,7 +578,7 @@
             }
             Stage::InLineHere(ticket) => {
                 self.refused += 1;
-                self.nodes[place].pool.leave(ticket);
+                self.nodes[place].pool.cancel(ticket);
                 return None;
             }
             Stage::Granted(grant) => self.take(place, grant, asked)?,
@@ -642,7 +642,7 @@
         let node = &mut self.nodes[place];
         let is_beyond = !grant.drawn && node.limits.closes(&server, grant.mark);
         let is_beyond = is_beyond && looks;
-        if is_late || is_beyond || !node.pool.take(&server, Tokens(0), now) {
+        if is_late || is_beyond || !node.pool.accept_grant(&server, Tokens(0), now) {
             self.refused += 1;
             self.report(place);
             return None;
@@ -778,7 +778,7 @@
     /// A sending has ended, which is reported.
     fn ended(&mut self, place: usize, server: &Server, end: AttemptOutcome) {
         let pool = &mut self.nodes[place].pool;
-        pool.ended(&server.incarnation, end, self.now);
+        pool.finish_attempt(&server.incarnation, end, self.now);
         self.report(place);
     }
 
--- a/crates/core/tests/support/resting.rs
+++ b/crates/core/tests/support/resting.rs
@@ -260,8 +260,8 @@
         if forgets {
             node.pool = fresh.pool;
         }
-        node.pool.meet(&servers, self.now);
-        node.pool.adopt(servers);
+        node.pool.inherit_notices(&servers, self.now);
+        node.pool.update_servers(servers);
     }
 
     /// The platform's list changes.
@@ -410,7 +410,7 @@
                     until: now + HELD,
                     ..pool::Request::default()
                 };
-                Stage::InLineHere(node.pool.ask(ask, now).0)
+                Stage::InLineHere(node.pool.enqueue(ask, now).0)
             }
         };
         self.requests.push(Request {
@@ -437,7 +437,7 @@
             if now < self.nodes[place].suspended {
                 continue;
             }
-            for turn in self.nodes[place].pool.serve(now) {
+            for turn in self.nodes[place].pool.assign(now) {
                 let due = now + self.connecting();
                 let is_its = |request: &&mut Request| {
                     let own =
@@ -479,7 +479,7 @@
             }
             Stage::InLineHere(ticket) => {
                 self.refused += 1;
-                self.nodes[place].pool.leave(ticket);
+                self.nodes[place].pool.cancel(ticket);
                 return None;
             }
             Stage::Granted(grant) => self.take(place, grant)?,
@@ -505,7 +505,7 @@
         if grant.mark.follows(node.mark) {
             node.mark = grant.mark;
         }
-        if !node.pool.take(&server, Tokens(0), now) && looks {
+        if !node.pool.accept_grant(&server, Tokens(0), now) && looks {
             self.report(place, &server, AttemptOutcome::Nothing);
             return None;
         }
@@ -519,9 +519,11 @@
             .get_notices()
             .closes(&server.incarnation, now);
         if closes && self.flaw.is_none() {
-            self.nodes[place]
-                .pool
-                .ended(&server.incarnation, AttemptOutcome::Nothing, now);
+            self.nodes[place].pool.finish_attempt(
+                &server.incarnation,
+                AttemptOutcome::Nothing,
+                now,
+            );
             return None;
         }
         Some((Stage::Sent(server), due))
@@ -592,10 +594,12 @@
                 Notice::Rest(length) => AttemptOutcome::Rests(*length),
                 _ => AttemptOutcome::Gone,
             };
-            self.nodes[place].pool.notice(server, notice, now);
+            self.nodes[place].pool.record_notice(server, notice, now);
             self.report(place, server, told);
         }
-        self.nodes[place].pool.ended(&server.incarnation, end, now);
+        self.nodes[place]
+            .pool
+            .finish_attempt(&server.incarnation, end, now);
         self.report(place, server, end);
     }
 
--- a/crates/curlewlift/src/gateway/judge.rs
+++ b/crates/curlewlift/src/gateway/judge.rs
@@ -134,7 +134,7 @@
     /// For how much longer all servers of the service want no requests from here.
     fn all_rest(&self) -> Option<Duration> {
         let now = self.node.now();
-        let all_rest = |service: &mut Service| service.pool.all_rest(now);
+        let all_rest = |service: &mut Service| service.pool.all_backing_off_for(now);
         self.node.with_service(&self.service, all_rest).flatten()
     }
 
--- a/crates/curlewlift/src/gateway/place.rs
+++ b/crates/curlewlift/src/gateway/place.rs
@@ -152,7 +152,7 @@
         let now = self.node.now();
         let incarnation = &self.server.incarnation;
         self.node.with_service(&self.service, |service| {
-            service.pool.seen(incarnation, end, now);
+            service.pool.observe(incarnation, end, now);
         });
     }
 
@@ -160,8 +160,11 @@
     pub(super) fn heard(&self, notices: &[Notice]) {
         let now = self.node.now();
         for notice in notices {
-            let take =
-                |service: &mut Service| service.pool.notice(&self.server, notice.clone(), now);
+            let take = |service: &mut Service| {
+                service
+                    .pool
+                    .record_notice(&self.server, notice.clone(), now)
+            };
             let Some(Some(news)) = self.node.with_service(&self.service, take) else {
                 continue;
             };
@@ -237,7 +240,7 @@
         let now = self.node.now();
         let incarnation = &self.server.incarnation;
         let left = self.node.with_service(&self.service, |service| {
-            service.pool.left_alone(incarnation, now)
+            service.pool.avoid_for(incarnation, now)
         });
         left.unwrap_or_default()
     }
@@ -246,7 +249,7 @@
     pub(super) fn told(&self, in_flight: u32) {
         let incarnation = &self.server.incarnation;
         self.node.with_service(&self.service, |service| {
-            service.pool.told(incarnation, in_flight);
+            service.pool.update_load(incarnation, in_flight);
         });
     }
 }
--- a/crates/curlewlift/src/gateway/places.rs
+++ b/crates/curlewlift/src/gateway/places.rs
@@ -202,7 +202,7 @@
         let is_evacuated = self.policy.borrow().closes(&server.hall);
         let is_closed = is_beyond || is_evacuated;
         let take = |service: &mut Service| {
-            !is_late && !is_closed && service.pool.take(&server, prompt, now)
+            !is_late && !is_closed && service.pool.accept_grant(&server, prompt, now)
         };
         if self.with_service(service, take) == Some(true) {
             return Word::Place(grant);
--- a/crates/curlewlift/src/gateway/services.rs
+++ b/crates/curlewlift/src/gateway/services.rs
@@ -38,8 +38,8 @@
         for (name, service) in services.iter_mut() {
             let mut servers = by_service.remove(name).unwrap_or_default();
             servers.retain(|server| policy.is_open(server));
-            service.pool.meet(&servers, now);
-            service.pool.adopt(servers);
+            service.pool.inherit_notices(&servers, now);
+            service.pool.update_servers(servers);
         }
         drop(policy);
         drop(services);
@@ -61,7 +61,7 @@
 
     /// Whether all servers of a service have named limits.
     pub(super) fn is_limited(&self, name: &id::Service) -> bool {
-        let is_limited = |service: &mut Service| service.pool.all_limited().is_some();
+        let is_limited = |service: &mut Service| service.pool.total_limit_rate().is_some();
         self.with_service(name, is_limited) == Some(true)
     }
 
@@ -69,7 +69,7 @@
     pub(super) fn hear(&self, loads: &[Load]) {
         let mut services = self.services.borrow_mut();
         for service in services.values_mut() {
-            service.pool.hear(loads);
+            service.pool.update_other_loads(loads);
         }
         drop(services);
         self.serve_all();
@@ -94,7 +94,7 @@
         let now = self.now();
         let mut services = self.services.borrow_mut();
         let service = services.get_mut(name)?;
-        let (ticket, turned_away) = service.pool.ask(ask, now);
+        let (ticket, turned_away) = service.pool.enqueue(ask, now);
         let (sender, receiver) = oneshot::channel();
         service.waiters.insert(ticket, sender);
         if let Some(last) = turned_away {
@@ -109,14 +109,16 @@
     /// Takes a request out of line.
     pub(super) fn leave(&self, name: &id::Service, ticket: Ticket) {
         self.with_service(name, |service| {
-            service.pool.leave(ticket);
+            service.pool.cancel(ticket);
             service.waiters.remove(&ticket);
         });
     }
 
     /// Takes note that a server has read a request's prompt, or will not.
     pub(super) fn begun(&self, name: &id::Service, incarnation: &str, prompt: Tokens) {
-        self.with_service(name, |service| service.pool.begun(incarnation, prompt));
+        self.with_service(name, |service| {
+            service.pool.record_first_byte(incarnation, prompt)
+        });
         self.reports.notify_one();
     }
 
@@ -129,7 +131,9 @@
         watched: Option<Watched>,
     ) {
         let now = self.now();
-        self.with_service(name, |service| service.pool.ended(incarnation, end, now));
+        self.with_service(name, |service| {
+            service.pool.finish_attempt(incarnation, end, now)
+        });
         self.tell(name, incarnation, end, watched);
         self.serve(name);
     }
@@ -157,19 +161,19 @@
         let Some(service) = services.get_mut(name) else {
             return;
         };
-        for turn in service.pool.serve(now) {
+        for turn in service.pool.assign(now) {
             let incarnation = Arc::clone(&turn.server.incarnation);
             let prompt = turn.prompt;
             let waiter = service.waiters.remove(&turn.ticket);
             let taken = waiter.is_some_and(|waiter| waiter.send(turn).is_ok());
             if !taken {
-                service.pool.begun(&incarnation, prompt);
+                service.pool.record_first_byte(&incarnation, prompt);
                 service
                     .pool
-                    .ended(&incarnation, AttemptOutcome::Nothing, now);
+                    .finish_attempt(&incarnation, AttemptOutcome::Nothing, now);
             }
         }
-        for ticket in service.pool.give_up(now) {
+        for ticket in service.pool.remove_doomed(now) {
             // Dropping the sender tells the waiter that its turn will not come.
             service.waiters.remove(&ticket);
         }
@@ -180,7 +184,7 @@
         let services = self.services.borrow();
         services
             .values()
-            .map(|service| service.pool.waiting())
+            .map(|service| service.pool.queue_len())
             .sum()
     }
 }
