--- a/crates/core/src/gateway/dispatch.rs
+++ b/crates/core/src/gateway/dispatch.rs
@@ -144,7 +144,7 @@
             if let Some(pool) = self.pools.get_mut(&ended.service) {
                 pool.observe(&ended.incarnation, ended.end, now);
             }
-            if let AttemptOutcome::Rests(length) = ended.end {
+            if let AttemptOutcome::Backoff(length) = ended.end {
                 self.rests(host, ended, now + length);
             }
         }
@@ -217,14 +217,14 @@
             rule: want.rule,
             rank: want.rank,
             arrived: now - want.waited,
-            wanted: now + want.wanted,
-            until: now + want.patience,
+            send_by: now + want.wanted,
+            wait_until: now + want.patience,
             prompt: want.prompt,
             hall: want.hall,
             tried: want.tried,
             avoid: want.avoid.into_iter().map(until).collect(),
-            rests: want.rests.into_iter().map(until).collect(),
-            halls: want.halls,
+            backoffs: want.rests.into_iter().map(until).collect(),
+            allowed_halls: want.halls,
         };
         let (number, last) = pool.enqueue(ask, now);
         let hub = self.hub;
@@ -373,7 +373,7 @@
             mark,
             server,
             permit,
-            drawn: turn.drawn,
+            drawn: turn.charged_to_limit,
             retry: given.retry.is_some(),
         };
         Some((grant, given))
--- a/crates/core/src/pool/doomed.rs
+++ b/crates/core/src/pool/doomed.rs
@@ -24,7 +24,7 @@
             let may_go = |server: &Server| ask.may_go_to(server, now);
             let full = full || (ask.is_kept_from() && self.is_full(may_go, now));
             let wait = rates.wait(place, ahead);
-            let too_long = wait.is_some_and(|wait| now + wait > ask.until);
+            let too_long = wait.is_some_and(|wait| now + wait > ask.wait_until);
             if (full && too_long) || self.waits_in_vain(ask) {
                 hopeless.push(place.ticket);
             } else {
--- a/crates/core/src/pool/notices.rs
+++ b/crates/core/src/pool/notices.rs
@@ -28,9 +28,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
     /// It wants no requests from this host for so long.
-    Rest(Duration),
+    Backoff(Duration),
     /// It is to end.
-    Leaves,
+    Draining,
     /// It wants rest, for a time that cannot be read: nothing is made of it.
     Unreadable(String),
 }
@@ -72,10 +72,10 @@
 /// use curlewlift_core::pool::Notices;
 /// let now = Instant::default();
 /// let mut notices = Notices::default();
-/// let rest = Notice::Rest(Duration::from_secs(3));
-/// notices.take(&"i-1".into(), &"i-1".into(), rest, now);
-/// assert!(notices.closes("i-1", now));
-/// assert!(!notices.closes("i-1", now + Duration::from_secs(3)));
+/// let rest = Notice::Backoff(Duration::from_secs(3));
+/// notices.record(&"i-1".into(), &"i-1".into(), rest, now);
+/// assert!(notices.excludes("i-1", now));
+/// assert!(!notices.excludes("i-1", now + Duration::from_secs(3)));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Notices {
@@ -85,7 +85,7 @@
 impl Notices {
     /// Takes note of what an incarnation of the server `name` says; gives what of it is new: of a rest, by how much
     /// longer than before the server is left alone.
-    pub fn take(
+    pub fn record(
         &mut self,
         incarnation: &Arc<str>,
         name: &Arc<str>,
@@ -99,16 +99,16 @@
         let said = said.or_insert_with(|| Said::new(name, now));
         said.at = now;
         match notice {
-            Notice::Rest(length) => {
+            Notice::Backoff(length) => {
                 // A shorter time that is asked for later does not end the longer one.
                 let former = said.until.max(now);
                 said.until = former.max(now + length.min(LONGEST));
                 let longer = said.until.since(former);
-                (!longer.is_zero()).then_some(Notice::Rest(longer))
+                (!longer.is_zero()).then_some(Notice::Backoff(longer))
             }
-            Notice::Leaves => {
+            Notice::Draining => {
                 let was_known = std::mem::replace(&mut said.leaves, true);
-                (!was_known).then_some(Notice::Leaves)
+                (!was_known).then_some(Notice::Draining)
             }
             Notice::Unreadable(text) => {
                 let was_known = std::mem::replace(&mut said.unreadable, true);
@@ -121,7 +121,7 @@
     /// holds for it.
     ///
     /// Whether it leaves its next answer tells: another life's word must not take it away for good.
-    pub fn meet(&mut self, server: &Server, now: Instant) {
+    pub fn inherit(&mut self, server: &Server, now: Instant) {
         let others = self.said.iter();
         let others = others.filter(|(incarnation, said)| {
             let is_other = **incarnation != server.incarnation && said.name == server.name;
@@ -145,35 +145,35 @@
 
     /// Whether an incarnation is to get no request at `now`, whoever chose it.
     #[must_use]
-    pub fn closes(&self, incarnation: &str, now: Instant) -> bool {
-        self.word(incarnation, now).is_some()
+    pub fn excludes(&self, incarnation: &str, now: Instant) -> bool {
+        self.active(incarnation, now).is_some()
     }
 
     /// Whether an incarnation has said that it leaves.
     #[must_use]
-    pub fn is_leaving(&self, incarnation: &str) -> bool {
+    pub fn is_draining(&self, incarnation: &str) -> bool {
         self.said.get(incarnation).is_some_and(|said| said.leaves)
     }
 
     /// For how much longer an incarnation wants no requests.
     #[must_use]
-    pub fn rest(&self, incarnation: &str, now: Instant) -> Duration {
+    pub fn backoff(&self, incarnation: &str, now: Instant) -> Duration {
         let said = self.said.get(incarnation);
         said.map_or(Duration::ZERO, |said| said.until.since(now))
     }
 
     /// What an incarnation has said that holds at `now`.
     #[must_use]
-    pub fn word(&self, incarnation: &str, now: Instant) -> Option<Notice> {
-        if self.is_leaving(incarnation) {
-            return Some(Notice::Leaves);
+    pub fn active(&self, incarnation: &str, now: Instant) -> Option<Notice> {
+        if self.is_draining(incarnation) {
+            return Some(Notice::Draining);
         }
-        let rest = self.rest(incarnation, now);
-        (!rest.is_zero()).then_some(Notice::Rest(rest))
+        let rest = self.backoff(incarnation, now);
+        (!rest.is_zero()).then_some(Notice::Backoff(rest))
     }
 
     /// Those that want no requests at `now`, and for how much longer.
-    pub fn resting(&self, now: Instant) -> impl Iterator<Item = (Arc<str>, Duration)> {
+    pub fn backing_off(&self, now: Instant) -> impl Iterator<Item = (Arc<str>, Duration)> {
         let resting = self.said.iter().filter(move |(_, said)| now < said.until);
         resting.map(move |(incarnation, said)| (Arc::clone(incarnation), said.until.since(now)))
     }
--- a/crates/core/src/pool/queue.rs
+++ b/crates/core/src/pool/queue.rs
@@ -36,7 +36,7 @@
     pub(super) fn add(&mut self, ticket: Ticket, ask: Request, now: Instant) {
         let place = Position {
             rank: ask.rank,
-            late: ask.wanted <= now,
+            late: ask.send_by <= now,
             arrived: ask.arrived,
             ticket,
         };
@@ -81,7 +81,7 @@
     /// Puts those whose answers would begin too late by now behind the others of their rank.
     pub(super) fn age(&mut self, now: Instant) {
         let late = self.order.iter();
-        let late = late.filter(|(place, ask)| !place.late && ask.wanted <= now);
+        let late = late.filter(|(place, ask)| !place.late && ask.send_by <= now);
         let late: Vec<_> = late.map(|(place, _)| *place).collect();
         for place in late {
             if let Some(ask) = self.order.remove(&place) {
--- a/crates/core/src/pool/server_state.rs
+++ b/crates/core/src/pool/server_state.rs
@@ -122,19 +122,19 @@
     /// Takes note of how a sending ended.
     pub(super) fn judge(&mut self, end: AttemptOutcome, now: Instant) {
         match end {
-            AttemptOutcome::Good { first, gap } => {
+            AttemptOutcome::Answered { first_byte, gap } => {
                 self.trust.good();
-                self.first.add(first);
+                self.first.add(first_byte);
                 if let Some(gap) = gap {
                     self.gap.add(gap);
                 }
             }
             AttemptOutcome::Full => self.trust.full(now),
-            AttemptOutcome::Rests(_) => self.trust.rests(now),
+            AttemptOutcome::Backoff(_) => self.trust.rests(now),
             AttemptOutcome::Failed => self.trust.failed(),
-            AttemptOutcome::Broken | AttemptOutcome::Silent => self.trust.broke(now),
+            AttemptOutcome::Broken | AttemptOutcome::TimedOut => self.trust.broke(now),
             AttemptOutcome::Gone => self.leave(),
-            AttemptOutcome::Nothing => {}
+            AttemptOutcome::Unknown => {}
         }
     }
 }
--- a/crates/core/src/pool/servers.rs
+++ b/crates/core/src/pool/servers.rs
@@ -82,7 +82,7 @@
     pub fn update_servers(&mut self, mut servers: Vec<Arc<Server>>) {
         for server in &mut servers {
             // A list that is older than the server's own word does not undo it.
-            if self.notices.is_leaving(&server.incarnation) {
+            if self.notices.is_draining(&server.incarnation) {
                 Arc::make_mut(server).leaving = true;
             }
         }
@@ -98,7 +98,7 @@
     /// name of the one before.
     pub fn inherit_notices(&mut self, servers: &[Arc<Server>], now: Instant) {
         for server in servers {
-            self.notices.meet(server, now);
+            self.notices.inherit(server, now);
         }
     }
 
@@ -140,8 +140,8 @@
     /// to take no new work from here.
     pub fn accept_grant(&mut self, server: &Arc<Server>, prompt: Tokens, now: Instant) -> bool {
         // Whoever gave the place may not have heard what the server told this host, or know another life of it.
-        self.notices.meet(server, now);
-        if self.notices.closes(&server.incarnation, now) {
+        self.notices.inherit(server, now);
+        if self.notices.excludes(&server.incarnation, now) {
             return false;
         }
         if !self.servers.has(&server.incarnation) {
@@ -166,7 +166,7 @@
     ) -> impl Iterator<Item = (Arc<str>, Duration)> {
         let may = |server: &Server| {
             let incarnation = &server.incarnation;
-            !tried.contains(incarnation) && !self.notices.closes(incarnation, now)
+            !tried.contains(incarnation) && !self.notices.excludes(incarnation, now)
         };
         let all_suspect = self.is_suspect(may, now);
         let avoided = self.servers.all();
@@ -182,7 +182,7 @@
     pub fn avoid_for(&self, incarnation: &str, now: Instant) -> Duration {
         let known = self.servers.get(incarnation);
         let left = known.map_or(Duration::ZERO, |known| known.trust.left_alone(now));
-        left.max(self.notices.rest(incarnation, now))
+        left.max(self.notices.backoff(incarnation, now))
     }
 
     /// What servers have said of themselves to this host.
@@ -198,21 +198,21 @@
         notice: Notice,
         now: Instant,
     ) -> Option<Notice> {
-        if notice == Notice::Leaves {
+        if notice == Notice::Draining {
             self.servers.update(&server.incarnation, ServerState::leave);
         }
-        if let Notice::Rest(_) = notice {
+        if let Notice::Backoff(_) = notice {
             // It may come from a life that has begun since the request was sent.
             let lives = self.servers.all().map(|known| &known.server);
             let lives = lives
                 .filter(|life| life.name == server.name && life.incarnation != server.incarnation);
             for life in lives {
                 self.notices
-                    .take(&life.incarnation, &life.name, notice.clone(), now);
+                    .record(&life.incarnation, &life.name, notice.clone(), now);
             }
         }
         let (incarnation, name) = (&server.incarnation, &server.name);
-        self.notices.take(incarnation, name, notice, now)
+        self.notices.record(incarnation, name, notice, now)
     }
 
     /// A server has named its limit, or names none any more.
@@ -240,14 +240,14 @@
     #[must_use]
     pub fn all_backing_off_for(&self, now: Instant) -> Option<Duration> {
         let taking = self.servers.all().filter(|known| known.takes_work());
-        let rests = taking.map(|known| self.notices.rest(&known.server.incarnation, now));
+        let rests = taking.map(|known| self.notices.backoff(&known.server.incarnation, now));
         rests.min().filter(|least| !least.is_zero())
     }
 
     /// A host that has a request in line here is asked for rest by a server.
     pub fn add_backoff(&mut self, ticket: Ticket, incarnation: &Arc<str>, until: Instant) {
         if let Some(ask) = self.waiting.get_mut(ticket) {
-            ask.rests.push((Arc::clone(incarnation), until));
+            ask.backoffs.push((Arc::clone(incarnation), until));
         }
     }
 
@@ -307,7 +307,7 @@
         if let Some(server) = known.map(|known| Arc::clone(&known.server))
             && end == AttemptOutcome::Gone
         {
-            self.record_notice(&server, Notice::Leaves, now);
+            self.record_notice(&server, Notice::Draining, now);
         }
     }
 }
@@ -316,7 +316,7 @@
 impl Pool {
     /// Until when servers have asked this host for rest.
     pub(super) fn backoffs(&self, now: Instant) -> Vec<(Arc<str>, Instant)> {
-        let resting = self.notices.resting(now);
+        let resting = self.notices.backing_off(now);
         let resting = resting.map(|(incarnation, left)| (incarnation, now + left));
         resting.collect()
     }
@@ -371,7 +371,7 @@
             self.spend_at(place);
             // A server's limit is over all hosts, of which each sees its own part only: it is kept where all places
             // are given.
-            let drawn = self.limits.draw(&self.servers.at(place).server, now);
+            let charged_to_limit = self.limits.draw(&self.servers.at(place).server, now);
             self.servers.update_at(place, |known| {
                 known.trust.given(now);
                 known.begin(ask.prompt);
@@ -380,7 +380,7 @@
                 ticket,
                 server: Arc::clone(&self.servers.at(place).server),
                 prompt: ask.prompt,
-                drawn,
+                charged_to_limit,
             });
         }
         let is_held = self.waiting.len() > 0 && self.is_limited(now);
--- a/crates/core/src/rollout/yardstick.rs
+++ b/crates/core/src/rollout/yardstick.rs
@@ -56,17 +56,17 @@
     /// None where the end says nothing of the version.
     fn of(end: AttemptOutcome) -> Option<Self> {
         match end {
-            AttemptOutcome::Good { first, gap } => {
+            AttemptOutcome::Answered { first_byte, gap } => {
                 let gap = gap.as_ref().map(Duration::as_secs_f64);
-                Some(Self::Answered(first.as_secs_f64(), gap))
+                Some(Self::Answered(first_byte.as_secs_f64(), gap))
             }
-            AttemptOutcome::Failed | AttemptOutcome::Broken | AttemptOutcome::Silent => {
+            AttemptOutcome::Failed | AttemptOutcome::Broken | AttemptOutcome::TimedOut => {
                 Some(Self::Failed)
             }
             AttemptOutcome::Full
-            | AttemptOutcome::Rests(_)
+            | AttemptOutcome::Backoff(_)
             | AttemptOutcome::Gone
-            | AttemptOutcome::Nothing => None,
+            | AttemptOutcome::Unknown => None,
         }
     }
 
--- a/crates/core/tests/cold_servers.rs
+++ b/crates/core/tests/cold_servers.rs
@@ -164,7 +164,7 @@
     ]);
     for _ in 0..100 {
         let ask = Request {
-            until: Instant::default() + SECOND,
+            wait_until: Instant::default() + SECOND,
             ..Request::default()
         };
         pool.enqueue(ask, Instant::default());
--- a/crates/core/tests/evacuated_halls.rs
+++ b/crates/core/tests/evacuated_halls.rs
@@ -161,8 +161,8 @@
     ]);
     for _ in 0..2 {
         let ask = Request {
-            halls: Some(["b".into()].into()),
-            until: ms(1_000),
+            allowed_halls: Some(["b".into()].into()),
+            wait_until: ms(1_000),
             ..Request::default()
         };
         pool.enqueue(ask, ms(0));
--- a/crates/core/tests/line_forecast.rs
+++ b/crates/core/tests/line_forecast.rs
@@ -12,8 +12,8 @@
 use curlewlift_core::pool::Tuning;
 use curlewlift_core::route::Rank;
 
-const GOOD: AttemptOutcome = AttemptOutcome::Good {
-    first: Duration::from_millis(5),
+const GOOD: AttemptOutcome = AttemptOutcome::Answered {
+    first_byte: Duration::from_millis(5),
     gap: None,
 };
 
@@ -48,8 +48,8 @@
     let ask = Request {
         rank: rank.into(),
         arrived: ms(now),
-        wanted: ms(now + wanted),
-        until: ms(now + until),
+        send_by: ms(now + wanted),
+        wait_until: ms(now + until),
         ..Request::default()
     };
     pool.enqueue(ask, ms(now)).0
@@ -127,8 +127,8 @@
 fn tried_all() {
     let mut pool = pool();
     let again = |tried: &[&str]| Request {
-        wanted: ms(500),
-        until: ms(500),
+        send_by: ms(500),
+        wait_until: ms(500),
         tried: tried.iter().map(|name| (*name).into()).collect(),
         ..Request::default()
     };
@@ -178,8 +178,8 @@
         let ask = Request {
             rank: Rank { customer, rule },
             arrived: ms(1),
-            wanted: ms(500),
-            until: ms(500),
+            send_by: ms(500),
+            wait_until: ms(500),
             ..Request::default()
         };
         pool.enqueue(ask, ms(1)).0
--- a/crates/core/tests/rollout_bounds.rs
+++ b/crates/core/tests/rollout_bounds.rs
@@ -24,8 +24,8 @@
 const LENGTH: Duration = Duration::from_secs(10);
 
 fn good(first_ms: u64) -> AttemptOutcome {
-    AttemptOutcome::Good {
-        first: Duration::from_millis(first_ms),
+    AttemptOutcome::Answered {
+        first_byte: Duration::from_millis(first_ms),
         gap: None,
     }
 }
--- a/crates/core/tests/server_lives.rs
+++ b/crates/core/tests/server_lives.rs
@@ -108,7 +108,7 @@
     let other = Arc::new(life("s2", 10));
     pool.update_servers(vec![Arc::clone(&former), Arc::clone(&other)]);
     assert!(pool.accept_grant(&former, Tokens(100), now));
-    pool.observe(&former.incarnation, AttemptOutcome::Silent, now);
+    pool.observe(&former.incarnation, AttemptOutcome::TimedOut, now);
     assert_eq!(pool.avoided(&[], now).count(), 1);
     pool.update_servers(vec![Arc::new(life("s1", 20)), other]);
     let avoided = |pool: &Pool| {
--- a/crates/core/tests/server_notices.rs
+++ b/crates/core/tests/server_notices.rs
@@ -29,7 +29,7 @@
 }
 
 fn take(notices: &mut Notices, server: &Server, notice: Notice, now: Instant) -> Option<Notice> {
-    notices.take(&server.incarnation, &server.name, notice, now)
+    notices.record(&server.incarnation, &server.name, notice, now)
 }
 
 /// A history of some seconds with something happening every 100 to 600 ms.
@@ -92,13 +92,13 @@
 fn longest_holds() {
     let mut notices = Notices::default();
     let server = life("i-1", 1);
-    take(&mut notices, &server, Notice::Rest(s(5)), at(0));
-    let news = take(&mut notices, &server, Notice::Rest(s(1)), at(1));
+    take(&mut notices, &server, Notice::Backoff(s(5)), at(0));
+    let news = take(&mut notices, &server, Notice::Backoff(s(1)), at(1));
     assert_eq!(news, None, "the longer one goes on");
-    assert!(notices.closes("i-1/1", at(4)));
-    let news = take(&mut notices, &server, Notice::Rest(s(3)), at(4));
-    assert_eq!(news, Some(Notice::Rest(s(2))));
-    assert!(!notices.closes("i-1/1", at(7)));
+    assert!(notices.excludes("i-1/1", at(4)));
+    let news = take(&mut notices, &server, Notice::Backoff(s(3)), at(4));
+    assert_eq!(news, Some(Notice::Backoff(s(2))));
+    assert!(!notices.excludes("i-1/1", at(7)));
 }
 
 /// A year, or more than can be counted, takes no server away for good; and what cannot be read says nothing.
@@ -109,30 +109,30 @@
     let odd = Notice::Unreadable("soon".to_owned());
     assert!(take(&mut notices, &server, odd.clone(), at(0)).is_some());
     assert_eq!(take(&mut notices, &server, odd, at(1)), None, "said once");
-    assert!(!notices.closes("i-1/1", at(0)));
+    assert!(!notices.excludes("i-1/1", at(0)));
     for length in [s(31_536_000), Duration::MAX] {
-        take(&mut notices, &server, Notice::Rest(length), at(0));
+        take(&mut notices, &server, Notice::Backoff(length), at(0));
     }
-    assert!(notices.closes("i-1/1", at(599)));
-    assert!(!notices.closes("i-1/1", at(600)));
+    assert!(notices.excludes("i-1/1", at(599)));
+    assert!(!notices.excludes("i-1/1", at(600)));
 }
 
 /// Another life owes nothing to the former one, but for what may have been its own word.
 #[test]
 fn another_life() {
     let mut notices = Notices::default();
-    take(&mut notices, &life("i-1", 1), Notice::Rest(s(60)), at(0));
-    take(&mut notices, &life("i-2", 1), Notice::Rest(s(60)), at(9));
-    take(&mut notices, &life("i-3", 1), Notice::Leaves, at(9));
+    take(&mut notices, &life("i-1", 1), Notice::Backoff(s(60)), at(0));
+    take(&mut notices, &life("i-2", 1), Notice::Backoff(s(60)), at(9));
+    take(&mut notices, &life("i-3", 1), Notice::Draining, at(9));
     for name in ["i-1", "i-2", "i-3"] {
-        notices.meet(&life(name, 2), at(10));
+        notices.inherit(&life(name, 2), at(10));
     }
-    assert!(!notices.closes("i-1/2", at(10)));
-    assert!(notices.closes("i-2/2", at(60)));
+    assert!(!notices.excludes("i-1/2", at(10)));
+    assert!(notices.excludes("i-2/2", at(60)));
     // A word to leave is looked into: the next answer repeats it if it was this life's.
-    assert!(notices.closes("i-3/2", at(10)));
-    assert!(!notices.closes("i-3/2", at(14)));
-    assert!(notices.closes("i-3/1", at(14)));
+    assert!(notices.excludes("i-3/2", at(10)));
+    assert!(!notices.excludes("i-3/2", at(14)));
+    assert!(notices.excludes("i-3/1", at(14)));
 }
 
 /// What is remembered is bounded; of more servers than that the oldest is forgotten first.
@@ -141,13 +141,13 @@
     let mut notices = Notices::default();
     for number in 0..5_000 {
         let server = life(&format!("i-{number}"), 1);
-        take(&mut notices, &server, Notice::Leaves, at(number));
+        take(&mut notices, &server, Notice::Draining, at(number));
     }
-    let left = (0..5_000).filter(|number| notices.is_leaving(&format!("i-{number}/1")));
+    let left = (0..5_000).filter(|number| notices.is_draining(&format!("i-{number}/1")));
     assert_eq!(
         left.collect::<Vec<_>>(),
         (5_000 - 1_024..5_000).collect::<Vec<_>>()
     );
     let incarnation: Arc<str> = "i-4999/1".into();
-    assert!(notices.closes(&incarnation, at(1_000_000)));
+    assert!(notices.excludes(&incarnation, at(1_000_000)));
 }
--- a/crates/core/tests/server_pool.rs
+++ b/crates/core/tests/server_pool.rs
@@ -56,8 +56,8 @@
     named.collect()
 }
 
-const GOOD: AttemptOutcome = AttemptOutcome::Good {
-    first: Duration::from_millis(50),
+const GOOD: AttemptOutcome = AttemptOutcome::Answered {
+    first_byte: Duration::from_millis(50),
     gap: None,
 };
 
@@ -170,8 +170,8 @@
     for (name, gap) in gaps {
         for _ in 0..20 {
             let gap = Some(Duration::from_millis(*gap));
-            let first = Duration::from_millis(50);
-            pool.observe(name, AttemptOutcome::Good { first, gap }, now);
+            let first_byte = Duration::from_millis(50);
+            pool.observe(name, AttemptOutcome::Answered { first_byte, gap }, now);
         }
     }
     pool
@@ -186,7 +186,7 @@
         ask(&mut pool, 0, place);
         let turn = served(&mut pool, now);
         first += u32::from(turn[0].1 == "s1");
-        pool.finish_attempt(&turn[0].1, AttemptOutcome::Nothing, now);
+        pool.finish_attempt(&turn[0].1, AttemptOutcome::Unknown, now);
     }
     assert_eq!(first, 50);
 }
@@ -212,7 +212,7 @@
         );
         let turn = served(&mut pool, now);
         assert_eq!(turn[0].1, "s1");
-        pool.finish_attempt("s1", AttemptOutcome::Nothing, now);
+        pool.finish_attempt("s1", AttemptOutcome::Unknown, now);
     }
 }
 
@@ -296,7 +296,7 @@
     let first = |pool: &mut Pool| {
         ask(pool, 0, 1);
         let turn = served(pool, Instant(1));
-        pool.finish_attempt(&turn[0].1, AttemptOutcome::Nothing, Instant(1));
+        pool.finish_attempt(&turn[0].1, AttemptOutcome::Unknown, Instant(1));
         turn[0].1.clone()
     };
     for _ in 0..20 {
@@ -334,7 +334,7 @@
     let (over, later) = (Instant(120_000), Instant(240_000));
     pool.observe(
         "s1",
-        AttemptOutcome::Rests(Duration::from_secs(3)),
+        AttemptOutcome::Backoff(Duration::from_secs(3)),
         Instant(0),
     );
     for arrived in 0..4 {
@@ -352,7 +352,7 @@
 #[test]
 fn rest_holds() {
     let mut pool = pool(&["s1", "s2"]);
-    let rest = Notice::Rest(Duration::from_secs(3));
+    let rest = Notice::Backoff(Duration::from_secs(3));
     pool.record_notice(&server("s1", false), rest, Instant(0));
     pool.finish_attempt("s1", GOOD, Instant(0));
     pool.update_servers(vec![server("s1", false), server("s2", false)]);
@@ -371,7 +371,7 @@
 fn rests_for_longer() {
     let mut pool = pool(&["s1", "s2"]);
     for name in ["s1", "s2"] {
-        let rest = Notice::Rest(Duration::from_secs(3));
+        let rest = Notice::Backoff(Duration::from_secs(3));
         pool.record_notice(&server(name, false), rest, Instant(0));
     }
     assert_eq!(
@@ -379,7 +379,7 @@
         Some(Duration::from_secs(3))
     );
     let patient = |until| Request {
-        until: Instant(until),
+        wait_until: Instant(until),
         ..Request::default()
     };
     let (hopeless, _) = pool.enqueue(patient(1_000_000), Instant(0));
@@ -395,8 +395,15 @@
     let names: Vec<_> = names.iter().map(String::as_str).collect();
     let mut pool = pool(&names);
     for (place, name) in names.iter().enumerate().take(1_000) {
-        let first = Duration::from_millis(if place.is_multiple_of(50) { 20 } else { 60 });
-        pool.observe(name, AttemptOutcome::Good { first, gap: None }, Instant(1));
+        let first_byte = Duration::from_millis(if place.is_multiple_of(50) { 20 } else { 60 });
+        pool.observe(
+            name,
+            AttemptOutcome::Answered {
+                first_byte,
+                gap: None,
+            },
+            Instant(1),
+        );
     }
     let mut fast = 0;
     for number in 0..40 {
--- a/crates/core/tests/support/limited.rs
+++ b/crates/core/tests/support/limited.rs
@@ -495,8 +495,8 @@
         } else {
             let ask = pool::Request {
                 arrived: now,
-                wanted: now + HELD,
-                until: now + HELD,
+                send_by: now + HELD,
+                wait_until: now + HELD,
                 tried: tried.clone(),
                 ..pool::Request::default()
             };
@@ -585,7 +585,7 @@
             Stage::Connecting(server, grant, given) => {
                 if now.since(given) >= Duration::from_millis(750) {
                     // The host was suspended: its connection has timed out.
-                    self.ended(place, &server, AttemptOutcome::Nothing);
+                    self.ended(place, &server, AttemptOutcome::Unknown);
                     return None;
                 }
                 self.send(place, server, grant, given)?
@@ -667,7 +667,7 @@
         );
         if is_beyond && looks {
             self.refused += 1;
-            self.ended(place, &server, AttemptOutcome::Nothing);
+            self.ended(place, &server, AttemptOutcome::Unknown);
             return None;
         }
         Some((Stage::Sent(server, grant, given, self.now), due))
@@ -696,8 +696,8 @@
         let end = if self.draw(10) == 0 {
             AttemptOutcome::Failed
         } else {
-            AttemptOutcome::Good {
-                first: Duration::from_millis(50),
+            AttemptOutcome::Answered {
+                first_byte: Duration::from_millis(50),
                 gap: None,
             }
         };
--- a/crates/core/tests/support/resting.rs
+++ b/crates/core/tests/support/resting.rs
@@ -406,8 +406,8 @@
             _ => {
                 let ask = pool::Request {
                     arrived: now,
-                    wanted: now + HELD,
-                    until: now + HELD,
+                    send_by: now + HELD,
+                    wait_until: now + HELD,
                     ..pool::Request::default()
                 };
                 Stage::InLineHere(node.pool.enqueue(ask, now).0)
@@ -486,7 +486,7 @@
             Stage::Connecting(server) => self.send(place, server)?,
             Stage::Sent(server) => self.arrive(place, request.began, server),
             Stage::Answered(server, end, notices) => {
-                if matches!(end, AttemptOutcome::Good { .. }) {
+                if matches!(end, AttemptOutcome::Answered { .. }) {
                     self.served += 1;
                     self.taken += now.since(request.began);
                 }
@@ -506,7 +506,7 @@
             node.mark = grant.mark;
         }
         if !node.pool.accept_grant(&server, Tokens(0), now) && looks {
-            self.report(place, &server, AttemptOutcome::Nothing);
+            self.report(place, &server, AttemptOutcome::Unknown);
             return None;
         }
         Some((Stage::Connecting(server), due))
@@ -517,11 +517,11 @@
         let closes = self.nodes[place]
             .pool
             .get_notices()
-            .closes(&server.incarnation, now);
+            .excludes(&server.incarnation, now);
         if closes && self.flaw.is_none() {
             self.nodes[place].pool.finish_attempt(
                 &server.incarnation,
-                AttemptOutcome::Nothing,
+                AttemptOutcome::Unknown,
                 now,
             );
             return None;
@@ -549,12 +549,12 @@
         }
         let mut notices = Vec::new();
         if engine.leaves {
-            notices.push(Notice::Leaves);
+            notices.push(Notice::Draining);
         }
         let asks_for = engine.asks_for.filter(|_| lot < engine.turns_away);
         let Some(asks_for) = asks_for else {
-            let end = AttemptOutcome::Good {
-                first: Duration::from_millis(50),
+            let end = AttemptOutcome::Answered {
+                first_byte: Duration::from_millis(50),
                 gap: None,
             };
             return (Stage::Answered(server, end, notices), due);
@@ -568,7 +568,7 @@
             until: now + length,
             came: 0,
         });
-        notices.push(Notice::Rest(length));
+        notices.push(Notice::Backoff(length));
         (Stage::Answered(server, AttemptOutcome::Full, notices), due)
     }
 
@@ -582,7 +582,7 @@
     ) {
         let now = self.now;
         for notice in notices {
-            if notice == Notice::Leaves {
+            if notice == Notice::Draining {
                 let is_its = |place: &usize| *server.name == format!("s{place}");
                 let engine = (0..SERVERS).find(is_its).expect("it is there");
                 let engine = &mut self.engines[engine];
@@ -591,7 +591,7 @@
                 }
             }
             let told = match &notice {
-                Notice::Rest(length) => AttemptOutcome::Rests(*length),
+                Notice::Backoff(length) => AttemptOutcome::Backoff(*length),
                 _ => AttemptOutcome::Gone,
             };
             self.nodes[place].pool.record_notice(server, notice, now);
@@ -630,7 +630,7 @@
 fn want(node: &Node, now: Instant) -> Want {
     Want {
         avoid: node.pool.avoided(&[], now).collect(),
-        rests: node.pool.get_notices().resting(now).collect(),
+        rests: node.pool.get_notices().backing_off(now).collect(),
         halls: None,
         ..messages::want(&node.host)
     }
--- a/crates/curlewlift/src/gateway/exchange.rs
+++ b/crates/curlewlift/src/gateway/exchange.rs
@@ -154,7 +154,7 @@
         answer
     } else {
         if Instant::now() < until {
-            place.seen(AttemptOutcome::Silent);
+            place.seen(AttemptOutcome::TimedOut);
         }
         let late = tokio::time::timeout_at(until, answer).await;
         late.map_err(|_| Failure::Late)?
--- a/crates/curlewlift/src/gateway/judge.rs
+++ b/crates/curlewlift/src/gateway/judge.rs
@@ -186,7 +186,7 @@
             (AttemptOutcome::Broken, why.clone())
         }
         Failure::Closed => (
-            AttemptOutcome::Nothing,
+            AttemptOutcome::Unknown,
             "the server wants no requests now".to_owned(),
         ),
         Failure::NotRun { moved: true, .. } => {
@@ -195,6 +195,9 @@
         Failure::NotRun { status, .. } => {
             (AttemptOutcome::Full, format!("it did not run it: {status}"))
         }
-        Failure::Late => (AttemptOutcome::Silent, "the deadline has passed".to_owned()),
+        Failure::Late => (
+            AttemptOutcome::TimedOut,
+            "the deadline has passed".to_owned(),
+        ),
     }
 }
--- a/crates/curlewlift/src/gateway/place.rs
+++ b/crates/curlewlift/src/gateway/place.rs
@@ -66,7 +66,7 @@
             broke: false,
             whole: false,
             unread: Some(prompt),
-            end: AttemptOutcome::Nothing,
+            end: AttemptOutcome::Unknown,
         }
     }
 
@@ -199,12 +199,12 @@
     /// Writes what is new of what the server said of itself.
     fn log_notice(&self, notice: &Notice, news: &Notice) {
         let kind = match notice {
-            Notice::Leaves => Kind::ServerLeaves,
-            Notice::Rest(_) | Notice::Unreadable(_) => Kind::ServerRests,
+            Notice::Draining => Kind::ServerLeaves,
+            Notice::Backoff(_) | Notice::Unreadable(_) => Kind::ServerRests,
         };
         let line = Line::new(kind).with("server", &*self.server.incarnation);
         let line = match (notice, news) {
-            (Notice::Rest(asked), Notice::Rest(longer)) => {
+            (Notice::Backoff(asked), Notice::Backoff(longer)) => {
                 // What it costs: the time that its slots are not to be had from here.
                 let slots = u64::from(self.server.slots);
                 let cost = millis(*longer).saturating_mul(slots);
@@ -231,7 +231,7 @@
         }
         let now = self.node.now();
         let incarnation = &self.server.incarnation;
-        let closes = |service: &mut Service| service.pool.get_notices().closes(incarnation, now);
+        let closes = |service: &mut Service| service.pool.get_notices().excludes(incarnation, now);
         self.node.with_service(&self.service, closes) == Some(true)
     }
 
--- a/crates/curlewlift/src/gateway/places.rs
+++ b/crates/curlewlift/src/gateway/places.rs
@@ -155,7 +155,7 @@
             avoided.collect()
         });
         let rests = self.with_service(service, |service| {
-            service.pool.get_notices().resting(now).collect()
+            service.pool.get_notices().backing_off(now).collect()
         });
         Want {
             host: self.host.clone(),
@@ -164,7 +164,7 @@
             rule: watched.then(|| Arc::clone(wanted.rule)),
             rank: ask.rank,
             waited: now.since(ask.arrived),
-            wanted: ask.wanted.since(now),
+            wanted: ask.send_by.since(now),
             patience,
             left: wanted.left,
             identity: wanted.identity.clone(),
@@ -179,7 +179,7 @@
             tried: ask.tried.clone(),
             avoid: avoid.unwrap_or_default(),
             rests: rests.unwrap_or_default(),
-            halls: ask.halls.clone(),
+            halls: ask.allowed_halls.clone(),
         }
     }
 
@@ -212,7 +212,7 @@
             let mut quarantine = self.quarantine.borrow_mut();
             quarantine.gave_back(identity, permit, now);
         }
-        self.tell(service, &server.incarnation, AttemptOutcome::Nothing, None);
+        self.tell(service, &server.incarnation, AttemptOutcome::Unknown, None);
         if (self.tell_word(service, &server) || is_closed) && !is_late {
             return Word::Closed(grant.server);
         }
@@ -223,10 +223,10 @@
     pub(super) fn tell_word(&self, service: &id::Service, server: &Server) -> bool {
         let now = self.now();
         let incarnation = &server.incarnation;
-        let word = |service: &mut Service| service.pool.get_notices().word(incarnation, now);
+        let word = |service: &mut Service| service.pool.get_notices().active(incarnation, now);
         let end = match self.with_service(service, word).flatten() {
-            Some(Notice::Leaves) => AttemptOutcome::Gone,
-            Some(Notice::Rest(left)) => AttemptOutcome::Rests(left),
+            Some(Notice::Draining) => AttemptOutcome::Gone,
+            Some(Notice::Backoff(left)) => AttemptOutcome::Backoff(left),
             Some(Notice::Unreadable(_)) | None => return false,
         };
         self.tell(service, incarnation, end, None);
--- a/crates/curlewlift/src/gateway/relay.rs
+++ b/crates/curlewlift/src/gateway/relay.rs
@@ -142,8 +142,8 @@
         let gaps = self.pieces.saturating_sub(1);
         let gap = (gaps > 0).then(|| self.began.elapsed() / gaps);
         if let Some(place) = &mut self.place {
-            place.whole(AttemptOutcome::Good {
-                first: self.first,
+            place.whole(AttemptOutcome::Answered {
+                first_byte: self.first,
                 gap,
             });
         }
--- a/crates/curlewlift/src/gateway/run.rs
+++ b/crates/curlewlift/src/gateway/run.rs
@@ -163,14 +163,14 @@
             rule: None,
             rank: admitted.rank(),
             arrived: admitted.deadline.arrived,
-            wanted: now + in_time,
-            until: now + held,
+            send_by: now + in_time,
+            wait_until: now + held,
             prompt: admitted.prompt(),
             hall: Arc::clone(&self.node.gateway.hall),
             tried: self.tried.clone(),
             avoid: Vec::new(),
-            rests: Vec::new(),
-            halls: admitted.halls.clone(),
+            backoffs: Vec::new(),
+            allowed_halls: admitted.halls.clone(),
         };
         let charge = self.admitted.charge.as_ref();
         let wanted = Wanted {
@@ -246,8 +246,11 @@
             return Ok(Step::Answer(self.stream(coming)));
         }
         if !coming.is_small() {
-            let first = coming.first;
-            coming.place.end(AttemptOutcome::Good { first, gap: None });
+            let first_byte = coming.first;
+            coming.place.end(AttemptOutcome::Answered {
+                first_byte,
+                gap: None,
+            });
             return Ok(Step::Answer(self.stream(coming)));
         }
         self.take_whole(coming).await
@@ -255,7 +258,8 @@
 
     /// Takes an answer that is read whole before any of it is passed on.
     async fn take_whole(&mut self, coming: Coming) -> Result<Step, Refused> {
-        let (head, body, mut place, first) = coming.whole(self.admitted.deadline.timer()).await;
+        let (head, body, mut place, first_byte) =
+            coming.whole(self.admitted.deadline.timer()).await;
         let body = match body {
             Ok(body) => body,
             Err(failure) => {
@@ -267,7 +271,10 @@
         place.whole(if failed {
             AttemptOutcome::Failed
         } else {
-            AttemptOutcome::Good { first, gap: None }
+            AttemptOutcome::Answered {
+                first_byte,
+                gap: None,
+            }
         });
         if failed && self.may_run_again() {
             self.kept = Some((head, body));
--- a/crates/curlewlift/src/gateway/services.rs
+++ b/crates/curlewlift/src/gateway/services.rs
@@ -170,7 +170,7 @@
                 service.pool.record_first_byte(&incarnation, prompt);
                 service
                     .pool
-                    .finish_attempt(&incarnation, AttemptOutcome::Nothing, now);
+                    .finish_attempt(&incarnation, AttemptOutcome::Unknown, now);
             }
         }
         for ticket in service.pool.remove_doomed(now) {
--- a/crates/curlewlift/src/gateway/turn.rs
+++ b/crates/curlewlift/src/gateway/turn.rs
@@ -90,7 +90,7 @@
 ) -> Result<Place, NoTurn> {
     let began = Instant::now();
     let until = began + patience;
-    let word = ask.wanted.since(node.now()) / WORD_PART;
+    let word = ask.send_by.since(node.now()) / WORD_PART;
     loop {
         let left = until.saturating_duration_since(Instant::now());
         match places::ask(node, wanted, &ask, charge, left).await {
--- a/crates/curlewlift/src/platform/heads.rs
+++ b/crates/curlewlift/src/platform/heads.rs
@@ -178,7 +178,7 @@
         notices.extend(values.map(rest));
     }
     if headers.get(LEAVING).is_some_and(|value| value != "0") {
-        notices.push(Notice::Leaves);
+        notices.push(Notice::Draining);
     }
     notices
 }
@@ -186,7 +186,7 @@
 /// For how long a server that turned a request away wants none.
 fn rest(value: &HeaderValue) -> Notice {
     let text = String::from_utf8_lossy(value.as_bytes());
-    http::seconds(&text).map_or_else(|| Notice::Unreadable(text.into_owned()), Notice::Rest)
+    http::seconds(&text).map_or_else(|| Notice::Unreadable(text.into_owned()), Notice::Backoff)
 }
 
 fn load(headers: &HeaderMap) -> Option<u32> {
--- a/crates/curlewlift/src/platform/heads/tests.rs
+++ b/crates/curlewlift/src/platform/heads/tests.rs
@@ -26,12 +26,12 @@
 
 #[test]
 fn asks_for_rest() {
-    let rest = |millis| Notice::Rest(Duration::from_millis(millis));
+    let rest = |millis| Notice::Backoff(Duration::from_millis(millis));
     assert_eq!(rests(503, &["3"]), [rest(3_000)]);
     assert_eq!(rests(503, &[" 0.25 "]), [rest(250)]);
     assert_eq!(rests(429, &["2"]), [rest(2_000)]);
     assert_eq!(rests(503, &["1", "4"]), [rest(1_000), rest(4_000)]);
-    assert_eq!(rests(503, &["1e300"]), [Notice::Rest(Duration::MAX)]);
+    assert_eq!(rests(503, &["1e300"]), [Notice::Backoff(Duration::MAX)]);
     assert_eq!(rests(503, &[]), []);
     // It ran the request, or passes on what another asked for.
     assert_eq!(rests(200, &["3"]), []);
@@ -57,7 +57,7 @@
 fn leaves() {
     for status in [200, 421, 500, 503] {
         let says = |value| marks(status, &headers(&[("server-leaving", value)])).notices;
-        assert_eq!(says("1"), [Notice::Leaves], "{status}");
+        assert_eq!(says("1"), [Notice::Draining], "{status}");
         assert_eq!(says("0"), [], "{status}");
     }
 }
--- a/crates/lab/examples/verdicts.rs
+++ b/crates/lab/examples/verdicts.rs
@@ -101,8 +101,8 @@
     let end = if is_bad {
         AttemptOutcome::Failed
     } else {
-        AttemptOutcome::Good {
-            first: std::time::Duration::from_millis(10),
+        AttemptOutcome::Answered {
+            first_byte: std::time::Duration::from_millis(10),
             gap: None,
         }
     };
--- a/crates/lab/src/rollout/engine.rs
+++ b/crates/lab/src/rollout/engine.rs
@@ -156,8 +156,8 @@
             };
         }
         Play {
-            end: AttemptOutcome::Good {
-                first: ms(first),
+            end: AttemptOutcome::Answered {
+                first_byte: ms(first),
                 gap: (pieces > 1.0).then(|| ms(gap)),
             },
             takes: (first + gap * pieces) as u64 + 1,
