--- a/crates/core/src/rollout/policy.rs
+++ b/crates/core/src/rollout/policy.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::evacuation::Halls;
+use crate::evacuation::EvacuatedHalls;
 use crate::gateway::Server;
 use crate::gateway::version;
 use crate::id;
@@ -66,7 +66,7 @@
 
     /// The same, with these data halls evacuated.
     #[must_use]
-    pub fn with_evacuated(self, halls: &Halls) -> Self {
+    pub fn with_evacuated(self, halls: &EvacuatedHalls) -> Self {
         let evacuated = halls.iter().map(|(hall, _)| Arc::clone(hall)).collect();
         Self { evacuated, ..self }.with_content_version()
     }
--- a/crates/core/tests/cold_servers.rs
+++ b/crates/core/tests/cold_servers.rs
@@ -16,11 +16,11 @@
 use curlewlift_core::limit::Slack;
 use curlewlift_core::limit::Warmup;
 use curlewlift_core::pool;
-use curlewlift_core::pool::Ask;
 use curlewlift_core::pool::Pool;
+use curlewlift_core::pool::Request;
 use curlewlift_core::route::Limits;
 use curlewlift_core::route::Parts;
-use curlewlift_core::route::Provider;
+use curlewlift_core::route::ServicePolicy;
 use curlewlift_core::route::Table;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -59,7 +59,7 @@
 }
 
 fn table() -> Table {
-    let provider = Provider {
+    let provider = ServicePolicy {
         connections: 10,
         health: "/health".into(),
         cold_rate: Some(rate()),
@@ -158,18 +158,18 @@
 fn alone_only_warm() {
     let mut pool = Pool::new(pool::Tuning::default(), 1);
     pool.set_warmup(Some(Warmup::new(rate(), SLACK)), Instant::default());
-    pool.adopt(vec![
+    pool.update_servers(vec![
         Arc::new(server("cold", true)),
         Arc::new(server("warm", false)),
     ]);
     for _ in 0..100 {
-        let ask = Ask {
-            until: Instant::default() + SECOND,
-            ..Ask::default()
+        let ask = Request {
+            wait_until: Instant::default() + SECOND,
+            ..Request::default()
         };
-        pool.ask(ask, Instant::default());
+        pool.enqueue(ask, Instant::default());
     }
-    let turns = pool.serve(Instant::default());
+    let turns = pool.assign(Instant::default());
     assert_eq!(turns.len(), 100);
     assert!(turns.iter().all(|turn| &*turn.server.name == "warm"));
 }
--- a/crates/core/tests/rollout_bounds.rs
+++ b/crates/core/tests/rollout_bounds.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::rollout::Baseline;
 use curlewlift_core::rollout::Bounds;
 use curlewlift_core::rollout::Conditions;
@@ -23,14 +23,14 @@
 
 const LENGTH: Duration = Duration::from_secs(10);
 
-fn good(first_ms: u64) -> End {
-    End::Good {
-        first: Duration::from_millis(first_ms),
+fn good(first_ms: u64) -> AttemptOutcome {
+    AttemptOutcome::Answered {
+        first_byte: Duration::from_millis(first_ms),
         gap: None,
     }
 }
 
-fn sample(server: &str, outcome: End) -> Sample {
+fn sample(server: &str, outcome: AttemptOutcome) -> Sample {
     Sample {
         rule: "chat".into(),
         server: server.into(),
@@ -93,7 +93,7 @@
         trial.spend();
         given += 1;
         let server = if given % 2 == 0 { "s2" } else { "s3" };
-        trial.record_target(&sample(server, End::Failed), 2);
+        trial.record_target(&sample(server, AttemptOutcome::Failed), 2);
     }
     assert!(given < 10, "{given} failures");
     let next = trial.next_phase(&Conditions::default());
@@ -106,11 +106,11 @@
     let baseline = Baseline::default();
     let mut judge = Judge::default();
     for _ in 0..50 {
-        judge.record(&sample("s2", End::Failed), &baseline, 3, true);
+        judge.record(&sample("s2", AttemptOutcome::Failed), &baseline, 3, true);
     }
     assert!(judge.evidence_against().is_none());
-    judge.record(&sample("s3", End::Failed), &baseline, 3, true);
-    judge.record(&sample("s3", End::Failed), &baseline, 3, true);
+    judge.record(&sample("s3", AttemptOutcome::Failed), &baseline, 3, true);
+    judge.record(&sample("s3", AttemptOutcome::Failed), &baseline, 3, true);
     assert!(judge.evidence_against().is_some(), "two servers do");
 }
 
@@ -150,7 +150,10 @@
     );
     assert!(!against(&moving));
     for round in 0..10 {
-        moving.record_target(&sample(&format!("n{}", round % 5), End::Failed), 5);
+        moving.record_target(
+            &sample(&format!("n{}", round % 5), AttemptOutcome::Failed),
+            5,
+        );
     }
     assert!(against(&moving));
 }
--- a/crates/core/tests/support/limited.rs
+++ b/crates/core/tests/support/limited.rs
@@ -23,8 +23,7 @@
 use curlewlift_core::limit::Key;
 use curlewlift_core::limit::LocalReports;
 use curlewlift_core::pool;
-use curlewlift_core::pool::Ask;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::pool::Pool;
 use curlewlift_core::state::Publication;
 use curlewlift_core::unit::Tokens;
@@ -170,7 +169,7 @@
     Connecting(Arc<Server>, Option<Grant>, Instant),
     Sent(Arc<Server>, Option<Grant>, Instant, Instant),
     /// On its way back, with what the server says.
-    Answered(Arc<Server>, Mark, Instant, Word, End),
+    Answered(Arc<Server>, Mark, Instant, Word, AttemptOutcome),
 }
 
 /// What an answer says of its server's limit, and which life of the server said it.
@@ -261,7 +260,7 @@
 
     fn node(&mut self, place: usize) -> Node {
         let mut pool = Pool::new(pool::Tuning::default(), place as u64);
-        pool.adopt(self.servers());
+        pool.update_servers(self.servers());
         Node {
             host: format!("g{place}").parse().expect("a name"),
             pool,
@@ -368,7 +367,7 @@
         let (servers, listing) = (self.servers(), self.listing());
         for place in 0..GATEWAYS {
             let node = &mut self.nodes[place];
-            node.pool.adopt(servers.clone());
+            node.pool.update_servers(servers.clone());
             let servers = servers.iter().map(|server| &**server);
             let met = node.limits.observe_servers(servers, self.now);
             self.limit(place, met);
@@ -494,14 +493,14 @@
         let (due, stage) = if self.hears(place) {
             (now + self.millis(1, 20), Stage::Wanted)
         } else {
-            let ask = Ask {
+            let ask = pool::Request {
                 arrived: now,
-                wanted: now + HELD,
-                until: now + HELD,
+                send_by: now + HELD,
+                wait_until: now + HELD,
                 tried: tried.clone(),
-                ..Ask::default()
+                ..pool::Request::default()
             };
-            let ticket = self.nodes[place].pool.ask(ask, now).0;
+            let ticket = self.nodes[place].pool.enqueue(ask, now).0;
             (now + HELD, Stage::InLineHere(ticket))
         };
         Request {
@@ -536,7 +535,7 @@
             if now < self.nodes[place].suspended {
                 continue;
             }
-            for turn in self.nodes[place].pool.serve(now) {
+            for turn in self.nodes[place].pool.assign(now) {
                 let due = now + self.connecting();
                 let is_its = |request: &&mut Request| {
                     let own =
@@ -579,14 +578,14 @@
             }
             Stage::InLineHere(ticket) => {
                 self.refused += 1;
-                self.nodes[place].pool.leave(ticket);
+                self.nodes[place].pool.cancel(ticket);
                 return None;
             }
             Stage::Granted(grant) => self.take(place, grant, asked)?,
             Stage::Connecting(server, grant, given) => {
                 if now.since(given) >= Duration::from_millis(750) {
                     // The host was suspended: its connection has timed out.
-                    self.ended(place, &server, End::Nothing);
+                    self.ended(place, &server, AttemptOutcome::Unknown);
                     return None;
                 }
                 self.send(place, server, grant, given)?
@@ -600,12 +599,12 @@
             Stage::Answered(server, mark, given, word, end) => {
                 self.hear(place, &server, &word, mark, given);
                 self.ended(place, &server, end);
-                let again = end == End::Failed && tried.len() < 2;
+                let again = end == AttemptOutcome::Failed && tried.len() < 2;
                 if again {
                     let tried = [tried, vec![Arc::clone(&server.incarnation)]].concat();
                     return Some(self.ask(place, tried));
                 }
-                self.served += u32::from(end != End::Failed);
+                self.served += u32::from(end != AttemptOutcome::Failed);
                 return None;
             }
         };
@@ -643,7 +642,7 @@
         let node = &mut self.nodes[place];
         let is_beyond = !grant.drawn && node.limits.blocks(&server, grant.mark);
         let is_beyond = is_beyond && looks;
-        if is_late || is_beyond || !node.pool.take(&server, Tokens(0), now) {
+        if is_late || is_beyond || !node.pool.accept_grant(&server, Tokens(0), now) {
             self.refused += 1;
             self.report(place);
             return None;
@@ -668,7 +667,7 @@
         );
         if is_beyond && looks {
             self.refused += 1;
-            self.ended(place, &server, End::Nothing);
+            self.ended(place, &server, AttemptOutcome::Unknown);
             return None;
         }
         Some((Stage::Sent(server, grant, given, self.now), due))
@@ -695,10 +694,10 @@
         let longest = if self.draw(20) == 0 { 6_000 } else { 400 };
         let due = now + self.millis(2, longest);
         let end = if self.draw(10) == 0 {
-            End::Failed
+            AttemptOutcome::Failed
         } else {
-            End::Good {
-                first: Duration::from_millis(50),
+            AttemptOutcome::Answered {
+                first_byte: Duration::from_millis(50),
                 gap: None,
             }
         };
@@ -778,9 +777,9 @@
     }
 
     /// A sending has ended, which is reported.
-    fn ended(&mut self, place: usize, server: &Server, end: End) {
+    fn ended(&mut self, place: usize, server: &Server, end: AttemptOutcome) {
         let pool = &mut self.nodes[place].pool;
-        pool.ended(&server.incarnation, end, self.now);
+        pool.finish_attempt(&server.incarnation, end, self.now);
         self.report(place);
     }
 
--- a/crates/core/tests/support/resting.rs
+++ b/crates/core/tests/support/resting.rs
@@ -18,8 +18,7 @@
 use curlewlift_core::gateway::Wanted;
 use curlewlift_core::id;
 use curlewlift_core::pool;
-use curlewlift_core::pool::Ask;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::pool::Notice;
 use curlewlift_core::pool::Pool;
 use curlewlift_core::unit::Tokens;
@@ -120,7 +119,7 @@
     /// On its way to the server.
     Sent(Arc<Server>),
     /// On its way back, with what the server says.
-    Answered(Arc<Server>, End, Vec<Notice>),
+    Answered(Arc<Server>, AttemptOutcome, Vec<Notice>),
 }
 
 struct Request {
@@ -261,8 +260,8 @@
         if forgets {
             node.pool = fresh.pool;
         }
-        node.pool.meet(&servers, self.now);
-        node.pool.adopt(servers);
+        node.pool.inherit_notices(&servers, self.now);
+        node.pool.update_servers(servers);
     }
 
     /// The platform's list changes.
@@ -405,13 +404,13 @@
                 _ => return,
             },
             _ => {
-                let ask = Ask {
+                let ask = pool::Request {
                     arrived: now,
-                    wanted: now + HELD,
-                    until: now + HELD,
-                    ..Ask::default()
+                    send_by: now + HELD,
+                    wait_until: now + HELD,
+                    ..pool::Request::default()
                 };
-                Stage::InLineHere(node.pool.ask(ask, now).0)
+                Stage::InLineHere(node.pool.enqueue(ask, now).0)
             }
         };
         self.requests.push(Request {
@@ -438,7 +437,7 @@
             if now < self.nodes[place].suspended {
                 continue;
             }
-            for turn in self.nodes[place].pool.serve(now) {
+            for turn in self.nodes[place].pool.assign(now) {
                 let due = now + self.connecting();
                 let is_its = |request: &&mut Request| {
                     let own =
@@ -480,14 +479,14 @@
             }
             Stage::InLineHere(ticket) => {
                 self.refused += 1;
-                self.nodes[place].pool.leave(ticket);
+                self.nodes[place].pool.cancel(ticket);
                 return None;
             }
             Stage::Granted(grant) => self.take(place, grant)?,
             Stage::Connecting(server) => self.send(place, server)?,
             Stage::Sent(server) => self.arrive(place, request.began, server),
             Stage::Answered(server, end, notices) => {
-                if matches!(end, End::Good { .. }) {
+                if matches!(end, AttemptOutcome::Answered { .. }) {
                     self.served += 1;
                     self.taken += now.since(request.began);
                 }
@@ -506,8 +505,8 @@
         if grant.mark.follows(node.mark) {
             node.mark = grant.mark;
         }
-        if !node.pool.take(&server, Tokens(0), now) && looks {
-            self.report(place, &server, End::Nothing);
+        if !node.pool.accept_grant(&server, Tokens(0), now) && looks {
+            self.report(place, &server, AttemptOutcome::Unknown);
             return None;
         }
         Some((Stage::Connecting(server), due))
@@ -518,11 +517,13 @@
         let closes = self.nodes[place]
             .pool
             .get_notices()
-            .closes(&server.incarnation, now);
+            .excludes(&server.incarnation, now);
         if closes && self.flaw.is_none() {
-            self.nodes[place]
-                .pool
-                .ended(&server.incarnation, End::Nothing, now);
+            self.nodes[place].pool.finish_attempt(
+                &server.incarnation,
+                AttemptOutcome::Unknown,
+                now,
+            );
             return None;
         }
         Some((Stage::Sent(server), due))
@@ -548,12 +549,12 @@
         }
         let mut notices = Vec::new();
         if engine.leaves {
-            notices.push(Notice::Leaves);
+            notices.push(Notice::Draining);
         }
         let asks_for = engine.asks_for.filter(|_| lot < engine.turns_away);
         let Some(asks_for) = asks_for else {
-            let end = End::Good {
-                first: Duration::from_millis(50),
+            let end = AttemptOutcome::Answered {
+                first_byte: Duration::from_millis(50),
                 gap: None,
             };
             return (Stage::Answered(server, end, notices), due);
@@ -567,15 +568,21 @@
             until: now + length,
             came: 0,
         });
-        notices.push(Notice::Rest(length));
-        (Stage::Answered(server, End::Full, notices), due)
+        notices.push(Notice::Backoff(length));
+        (Stage::Answered(server, AttemptOutcome::Full, notices), due)
     }
 
     /// A gateway hears an answer.
-    fn hear(&mut self, place: usize, server: &Arc<Server>, end: End, notices: Vec<Notice>) {
+    fn hear(
+        &mut self,
+        place: usize,
+        server: &Arc<Server>,
+        end: AttemptOutcome,
+        notices: Vec<Notice>,
+    ) {
         let now = self.now;
         for notice in notices {
-            if notice == Notice::Leaves {
+            if notice == Notice::Draining {
                 let is_its = |place: &usize| *server.name == format!("s{place}");
                 let engine = (0..SERVERS).find(is_its).expect("it is there");
                 let engine = &mut self.engines[engine];
@@ -584,18 +591,20 @@
                 }
             }
             let told = match &notice {
-                Notice::Rest(length) => End::Rests(*length),
-                _ => End::Gone,
+                Notice::Backoff(length) => AttemptOutcome::Backoff(*length),
+                _ => AttemptOutcome::Gone,
             };
-            self.nodes[place].pool.notice(server, notice, now);
+            self.nodes[place].pool.record_notice(server, notice, now);
             self.report(place, server, told);
         }
-        self.nodes[place].pool.ended(&server.incarnation, end, now);
+        self.nodes[place]
+            .pool
+            .finish_attempt(&server.incarnation, end, now);
         self.report(place, server, end);
     }
 
     /// A gateway tells the hub how a sending ended, where that gets there.
-    fn report(&mut self, place: usize, server: &Server, end: End) {
+    fn report(&mut self, place: usize, server: &Server, end: AttemptOutcome) {
         if !self.hears(place) || self.draw(4) == 0 {
             return;
         }
@@ -621,7 +630,7 @@
 fn want(node: &Node, now: Instant) -> Want {
     Want {
         avoid: node.pool.avoided(&[], now).collect(),
-        rests: node.pool.get_notices().resting(now).collect(),
+        rests: node.pool.get_notices().backing_off(now).collect(),
         halls: None,
         ..messages::want(&node.host)
     }
--- a/crates/curlewlift/src/gateway/place.rs
+++ b/crates/curlewlift/src/gateway/place.rs
@@ -14,7 +14,7 @@
 use curlewlift_core::limit::Announcement;
 use curlewlift_core::limit::Change;
 use curlewlift_core::limit::Key;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::pool::Notice;
 use curlewlift_core::quarantine::Identity;
 use curlewlift_core::unit::Tokens;
@@ -44,7 +44,7 @@
     whole: bool,
     /// The prompt that the server has not read yet.
     unread: Option<Tokens>,
-    end: End,
+    end: AttemptOutcome,
 }
 
 impl Place {
@@ -66,7 +66,7 @@
             broke: false,
             whole: false,
             unread: Some(prompt),
-            end: End::Nothing,
+            end: AttemptOutcome::Unknown,
         }
     }
 
@@ -99,7 +99,7 @@
 
     /// The server broke off, and may have begun the request.
     pub(super) fn broke(&mut self) {
-        self.end = End::Broken;
+        self.end = AttemptOutcome::Broken;
         self.broke = true;
     }
 
@@ -137,22 +137,22 @@
     }
 
     /// How it ended, told when it is given back.
-    pub(super) fn end(&mut self, end: End) {
+    pub(super) fn end(&mut self, end: AttemptOutcome) {
         self.end = end;
     }
 
     /// The server answered to the end; what that says of the server is told when it is given back.
-    pub(super) fn whole(&mut self, end: End) {
+    pub(super) fn whole(&mut self, end: AttemptOutcome) {
         self.end = end;
         self.whole = true;
     }
 
     /// Something that is seen while the request runs.
-    pub(super) fn seen(&self, end: End) {
+    pub(super) fn seen(&self, end: AttemptOutcome) {
         let now = self.node.now();
         let incarnation = &self.server.incarnation;
         self.node.with_service(&self.service, |service| {
-            service.pool.seen(incarnation, end, now);
+            service.pool.observe(incarnation, end, now);
         });
     }
 
@@ -160,8 +160,11 @@
     pub(super) fn heard(&self, notices: &[Notice]) {
         let now = self.node.now();
         for notice in notices {
-            let take =
-                |service: &mut Service| service.pool.notice(&self.server, notice.clone(), now);
+            let take = |service: &mut Service| {
+                service
+                    .pool
+                    .record_notice(&self.server, notice.clone(), now)
+            };
             let Some(Some(news)) = self.node.with_service(&self.service, take) else {
                 continue;
             };
@@ -196,12 +199,12 @@
     /// Writes what is new of what the server said of itself.
     fn log_notice(&self, notice: &Notice, news: &Notice) {
         let kind = match notice {
-            Notice::Leaves => Kind::ServerLeaves,
-            Notice::Rest(_) | Notice::Unreadable(_) => Kind::ServerRests,
+            Notice::Draining => Kind::ServerLeaves,
+            Notice::Backoff(_) | Notice::Unreadable(_) => Kind::ServerRests,
         };
         let line = Line::new(kind).with("server", &*self.server.incarnation);
         let line = match (notice, news) {
-            (Notice::Rest(asked), Notice::Rest(longer)) => {
+            (Notice::Backoff(asked), Notice::Backoff(longer)) => {
                 // What it costs: the time that its slots are not to be had from here.
                 let slots = u64::from(self.server.slots);
                 let cost = millis(*longer).saturating_mul(slots);
@@ -228,7 +231,7 @@
         }
         let now = self.node.now();
         let incarnation = &self.server.incarnation;
-        let closes = |service: &mut Service| service.pool.get_notices().closes(incarnation, now);
+        let closes = |service: &mut Service| service.pool.get_notices().excludes(incarnation, now);
         self.node.with_service(&self.service, closes) == Some(true)
     }
 
@@ -237,7 +240,7 @@
         let now = self.node.now();
         let incarnation = &self.server.incarnation;
         let left = self.node.with_service(&self.service, |service| {
-            service.pool.left_alone(incarnation, now)
+            service.pool.avoid_for(incarnation, now)
         });
         left.unwrap_or_default()
     }
@@ -246,7 +249,7 @@
     pub(super) fn told(&self, in_flight: u32) {
         let incarnation = &self.server.incarnation;
         self.node.with_service(&self.service, |service| {
-            service.pool.told(incarnation, in_flight);
+            service.pool.update_load(incarnation, in_flight);
         });
     }
 }
--- a/crates/curlewlift/src/gateway/places.rs
+++ b/crates/curlewlift/src/gateway/places.rs
@@ -14,9 +14,9 @@
 use curlewlift_core::gateway::Want;
 use curlewlift_core::gateway::Watched;
 use curlewlift_core::id;
-use curlewlift_core::pool::Ask;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::pool::Notice;
+use curlewlift_core::pool::Request;
 use curlewlift_core::quarantine::Identity;
 use curlewlift_core::quarantine::Rejection;
 use curlewlift_core::quota::Charge;
@@ -82,7 +82,7 @@
 pub(super) async fn ask(
     node: &Node,
     wanted: Wanted<'_>,
-    ask: &Ask,
+    ask: &Request,
     charge: Option<&Charge>,
     patience: Duration,
 ) -> Word {
@@ -143,7 +143,7 @@
     fn want(
         &self,
         wanted: Wanted<'_>,
-        ask: &Ask,
+        ask: &Request,
         charge: Option<&Charge>,
         patience: Duration,
     ) -> Want {
@@ -155,7 +155,7 @@
             avoided.collect()
         });
         let rests = self.with_service(service, |service| {
-            service.pool.get_notices().resting(now).collect()
+            service.pool.get_notices().backing_off(now).collect()
         });
         Want {
             host: self.host.clone(),
@@ -164,7 +164,7 @@
             rule: watched.then(|| Arc::clone(wanted.rule)),
             rank: ask.rank,
             waited: now.since(ask.arrived),
-            wanted: ask.wanted.since(now),
+            wanted: ask.send_by.since(now),
             patience,
             left: wanted.left,
             identity: wanted.identity.clone(),
@@ -179,7 +179,7 @@
             tried: ask.tried.clone(),
             avoid: avoid.unwrap_or_default(),
             rests: rests.unwrap_or_default(),
-            halls: ask.halls.clone(),
+            halls: ask.allowed_halls.clone(),
         }
     }
 
@@ -202,7 +202,7 @@
         let is_evacuated = self.policy.borrow().is_evacuated(&server.hall);
         let is_closed = is_beyond || is_evacuated;
         let take = |service: &mut Service| {
-            !is_late && !is_closed && service.pool.take(&server, prompt, now)
+            !is_late && !is_closed && service.pool.accept_grant(&server, prompt, now)
         };
         if self.with_service(service, take) == Some(true) {
             return Word::Place(grant);
@@ -212,7 +212,7 @@
             let mut quarantine = self.quarantine.borrow_mut();
             quarantine.record_inconclusive(identity, permit, now);
         }
-        self.tell(service, &server.incarnation, End::Nothing, None);
+        self.tell(service, &server.incarnation, AttemptOutcome::Unknown, None);
         if (self.tell_word(service, &server) || is_closed) && !is_late {
             return Word::Closed(grant.server);
         }
@@ -223,10 +223,10 @@
     pub(super) fn tell_word(&self, service: &id::Service, server: &Server) -> bool {
         let now = self.now();
         let incarnation = &server.incarnation;
-        let word = |service: &mut Service| service.pool.get_notices().word(incarnation, now);
+        let word = |service: &mut Service| service.pool.get_notices().active(incarnation, now);
         let end = match self.with_service(service, word).flatten() {
-            Some(Notice::Leaves) => End::Gone,
-            Some(Notice::Rest(left)) => End::Rests(left),
+            Some(Notice::Draining) => AttemptOutcome::Gone,
+            Some(Notice::Backoff(left)) => AttemptOutcome::Backoff(left),
             Some(Notice::Unreadable(_)) | None => return false,
         };
         self.tell(service, incarnation, end, None);
@@ -259,7 +259,7 @@
         &self,
         service: &id::Service,
         incarnation: &str,
-        end: End,
+        end: AttemptOutcome,
         watched: Option<Watched>,
     ) {
         self.ends.borrow_mut().push(Ended {
--- a/crates/lab/examples/verdicts.rs
+++ b/crates/lab/examples/verdicts.rs
@@ -10,7 +10,7 @@
 
 use std::collections::VecDeque;
 
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::rollout::Baseline;
 use curlewlift_core::rollout::Judge;
 use curlewlift_core::rollout::Sample;
@@ -99,10 +99,10 @@
 
 fn sample(server: usize, is_bad: bool) -> Sample {
     let outcome = if is_bad {
-        End::Failed
+        AttemptOutcome::Failed
     } else {
-        End::Good {
-            first: std::time::Duration::from_millis(10),
+        AttemptOutcome::Answered {
+            first_byte: std::time::Duration::from_millis(10),
             gap: None,
         }
     };
