--- a/crates/core/benches/places.rs
+++ b/crates/core/benches/places.rs
@@ -14,11 +14,11 @@
 use criterion::criterion_main;
 use curlewlift_core::clock::Instant;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
 use curlewlift_core::gateway::Load;
 use curlewlift_core::gateway::Mark;
 use curlewlift_core::gateway::Report;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
 use curlewlift_core::gateway::Ticket;
 use curlewlift_core::gateway::Tuning;
 use curlewlift_core::gateway::Want;
@@ -49,7 +49,7 @@
 
 impl Fleet {
     fn new(servers: usize) -> Self {
-        let listing = Listing::new((0..servers).map(server).collect());
+        let listing = ServerList::new((0..servers).map(server).collect());
         let now = Instant::default();
         let mut hub = Hub::new(Tuning::default(), now).drawn(7);
         hub.list(Arc::new(listing));
--- a/crates/core/src/gateway/answers.rs
+++ b/crates/core/src/gateway/answers.rs
@@ -8,10 +8,10 @@
 
 use super::Deputies;
 use super::Hub;
-use super::Listing;
 use super::Question;
 use super::Reply;
-use super::listing;
+use super::ServerList;
+use super::server_list;
 
 /// How long a question waits for something new, for each gateway that asks.
 ///
@@ -111,15 +111,15 @@
     }
 
     /// What a gateway is told of the list.
-    fn told(&self, question: &Question) -> listing::News {
+    fn told(&self, question: &Question) -> server_list::Update {
         if question.whole {
-            return listing::News::Whole(Listing::clone(&self.listing));
+            return server_list::Update::Whole(ServerList::clone(&self.listing));
         }
         let seen = self.seen.get(&question.host);
         let change = seen.and_then(|seen| seen.subset.change(&self.listing, question.listing));
         change.map_or_else(
-            || listing::News::Whole(self.subsets.cut(&self.listing, &question.host)),
-            listing::News::Change,
+            || server_list::Update::Whole(self.subsets.cut(&self.listing, &question.host)),
+            server_list::Update::Change,
         )
     }
 
--- a/crates/core/src/gateway/dispatch.rs
+++ b/crates/core/src/gateway/dispatch.rs
@@ -20,10 +20,10 @@
 
 use super::Ended;
 use super::Grant;
-use super::Listing;
 use super::Load;
 use super::Mark;
 use super::Server;
+use super::ServerList;
 use super::Want;
 use super::grant::Given;
 use super::occupancy::Occupancy;
@@ -81,7 +81,7 @@
     }
 
     /// Takes up a list of backend servers; of their `limits` a service that is new here knows nothing yet.
-    pub(super) fn adopt(&mut self, listing: &Listing, limits: &limit::Table) {
+    pub(super) fn adopt(&mut self, listing: &ServerList, limits: &limit::Table) {
         let mut by_service = listing.by_service();
         for (service, pool) in &mut self.pools {
             pool.adopt(by_service.remove(service).unwrap_or_default());
--- a/crates/core/src/gateway/hub.rs
+++ b/crates/core/src/gateway/hub.rs
@@ -22,10 +22,10 @@
 use super::Gateway;
 use super::Handout;
 use super::Keeper;
-use super::Listing;
 use super::Pace;
 use super::Parts;
 use super::Question;
+use super::ServerList;
 use super::Ticket;
 use super::dispatch::Dispatcher;
 use super::retries::Retries;
@@ -124,7 +124,7 @@
     /// The number of its last answer.
     pub(super) answers: u64,
     table: u64,
-    pub(super) listing: Arc<Listing>,
+    pub(super) listing: Arc<ServerList>,
     pub(super) subsets: Subsets,
     /// What the list has changed in since the one before it.
     pub(super) delta: Delta,
@@ -216,7 +216,7 @@
     }
 
     /// Takes up a newer list of backend servers.
-    pub fn list(&mut self, listing: Arc<Listing>) {
+    pub fn list(&mut self, listing: Arc<ServerList>) {
         let admitted = self.admitted(&listing);
         self.dispatcher.adopt(&admitted, &self.limits);
         self.delta = Delta::between(&self.listing, &listing);
@@ -226,7 +226,7 @@
 
     /// The list that it gives out.
     #[must_use]
-    pub fn get_listing(&self) -> &Arc<Listing> {
+    pub fn get_listing(&self) -> &Arc<ServerList> {
         &self.listing
     }
 
--- a/crates/core/src/gateway/lives.rs
+++ b/crates/core/src/gateway/incarnations.rs
@@ -7,8 +7,8 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::Listing;
 use super::Server;
+use super::ServerList;
 
 /// How many former incarnations of a server are remembered: one that crashes every few seconds has that
 /// many within the time by which the platform's list lags.
@@ -20,7 +20,7 @@
 
 /// What is known of the incarnations of one server.
 #[derive(Clone, Debug)]
-struct Life {
+struct ServerHistory {
     /// The present one, as the list last had it.
     present: Server,
     /// Those before it, newest last.
@@ -29,7 +29,7 @@
     contradicted: u32,
 }
 
-impl Life {
+impl ServerHistory {
     /// What stands for the server on a list that names `server`.
     fn take(&mut self, server: Server) -> Server {
         let is_older = self.former.contains(&server.incarnation) || self.stays_again(&server);
@@ -61,27 +61,27 @@
 /// # Examples
 ///
 /// ```
-/// use curlewlift_core::gateway::Listing;
-/// use curlewlift_core::gateway::Lives;
-/// let mut lives = Lives::default();
-/// assert!(lives.take(Listing::default()).servers.is_empty());
+/// use curlewlift_core::gateway::ServerList;
+/// use curlewlift_core::gateway::Incarnations;
+/// let mut lives = Incarnations::default();
+/// assert!(lives.take(ServerList::default()).servers.is_empty());
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Lives {
-    known: HashMap<Arc<str>, Life>,
+pub struct Incarnations {
+    known: HashMap<Arc<str>, ServerHistory>,
 }
 
-impl Lives {
+impl Incarnations {
     /// Takes up a copy of the list; gives it with each server once, in its present incarnation.
     ///
     /// A server that the copy leaves out is forgotten: what comes under its name later is a start anew.
-    pub fn take(&mut self, listing: Listing) -> Listing {
+    pub fn take(&mut self, listing: ServerList) -> ServerList {
         let mut known = HashMap::with_capacity(listing.servers.len());
         let mut servers = Vec::with_capacity(listing.servers.len());
         for server in self.once_each(listing) {
             let name = Arc::clone(&server.name);
             let life = self.known.remove(&name);
-            let mut life = life.unwrap_or_else(|| Life {
+            let mut life = life.unwrap_or_else(|| ServerHistory {
                 present: server.clone(),
                 former: Vec::new(),
                 contradicted: 0,
@@ -90,12 +90,12 @@
             known.insert(name, life);
         }
         self.known = known;
-        Listing::new(servers)
+        ServerList::new(servers)
     }
 
     /// The servers of a copy, each once: of two incarnations the one that is not known as a former one,
     /// else the one that began last.
-    fn once_each(&self, listing: Listing) -> Vec<Server> {
+    fn once_each(&self, listing: ServerList) -> Vec<Server> {
         let mut each: HashMap<Arc<str>, Server> = HashMap::new();
         for server in listing.servers {
             let goes_before = |other: &Server| {
--- a/crates/core/src/gateway/rollouts.rs
+++ b/crates/core/src/gateway/rollouts.rs
@@ -13,9 +13,9 @@
 
 use super::Ended;
 use super::Hub;
-use super::Listing;
 use super::Question;
 use super::Server;
+use super::ServerList;
 
 /// # Roll-outs
 impl Hub {
@@ -55,11 +55,11 @@
     }
 
     /// What of a list the hub gives places at.
-    pub(super) fn admitted(&self, listing: &Listing) -> Listing {
+    pub(super) fn admitted(&self, listing: &ServerList) -> ServerList {
         let servers = listing.servers.iter();
         let admitted = servers
             .filter(|server| self.trials.admits(server) && !self.evacuated.has(&server.hall));
-        Listing::new(admitted.cloned().collect())
+        ServerList::new(admitted.cloned().collect())
     }
 
     /// The policy on versions and halls, where the asker goes by another.
--- a/crates/core/src/gateway/listing.rs
+++ b/crates/core/src/gateway/server_list.rs
@@ -42,9 +42,9 @@
 
 /// What a gateway is told of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum Update {
     /// All that it is to hold.
-    Whole(Listing),
+    Whole(ServerList),
     /// What has changed in what it holds: 140 servers to each of 1,000 gateways are 14 MB for one that leaves.
     Change(Change),
 }
@@ -62,14 +62,14 @@
 
 /// A list of backend servers: all of them, or a gateway's subset.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listing {
+pub struct ServerList {
     /// Tells one content from another; not an order.
     pub version: u64,
     /// The servers.
     pub servers: Vec<Server>,
 }
 
-impl Listing {
+impl ServerList {
     /// A list of `servers`, in whatever order they come; of two entries of one incarnation the first counts.
     #[must_use]
     pub fn new(mut servers: Vec<Server>) -> Self {
@@ -81,10 +81,10 @@
 
     /// The list after `news`; none where they are not about this one.
     #[must_use]
-    pub fn after(&self, news: News) -> Option<Self> {
+    pub fn after(&self, news: Update) -> Option<Self> {
         let change = match news {
-            News::Whole(listing) => return Some(listing),
-            News::Change(change) => change,
+            Update::Whole(listing) => return Some(listing),
+            Update::Change(change) => change,
         };
         let come = change.come.iter().map(|server| &server.incarnation);
         let replaced: HashSet<_> = come.chain(&change.gone).cloned().collect();
@@ -115,7 +115,7 @@
     /// # Examples
     ///
     /// ```
-    /// use curlewlift_core::gateway::Listing;
+    /// use curlewlift_core::gateway::ServerList;
     /// use curlewlift_core::gateway::Server;
     /// let server = Server {
     ///     incarnation: "i-1".into(),
@@ -129,7 +129,7 @@
     ///     leaving: false,
     ///     cold: false,
     /// };
-    /// let listing = Listing::new(vec![server]);
+    /// let listing = ServerList::new(vec![server]);
     /// assert_eq!(listing.subset(&"g1".parse()?), listing);
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
--- a/crates/core/src/gateway/holding.rs
+++ b/crates/core/src/gateway/server_list_cache.rs
@@ -2,9 +2,9 @@
 
 use crate::id;
 
-use super::Listing;
-use super::ListingNews;
-use super::Lives;
+use super::Incarnations;
+use super::ServerList;
+use super::ServerListUpdate;
 
 /// What a gateway holds of the list of backend servers: its subset, and the whole where it keeps that.
 ///
@@ -12,18 +12,18 @@
 /// 60 pages of 3,000 servers took a new leader 0.7 s, in which nobody got a place. Those are a handful of
 /// hosts, whatever the number of gateways.
 #[derive(Clone, Debug)]
-pub struct Holding {
+pub struct ServerListCache {
     host: id::Host,
     keeps_whole: bool,
-    whole: Option<Listing>,
-    subset: Listing,
+    whole: Option<ServerList>,
+    subset: ServerList,
     /// Which incarnations of the servers are the present ones, by the copies so far.
-    lives: Lives,
+    lives: Incarnations,
     /// Whether news came of another subset than the one held, which serves until the whole comes.
     lacks: bool,
 }
 
-impl Holding {
+impl ServerListCache {
     /// The gateway on `host` holds nothing yet.
     #[must_use]
     pub fn new(host: id::Host, keeps_whole: bool) -> Self {
@@ -31,8 +31,8 @@
             host,
             keeps_whole,
             whole: None,
-            subset: Listing::default(),
-            lives: Lives::default(),
+            subset: ServerList::default(),
+            lives: Incarnations::default(),
             lacks: false,
         }
     }
@@ -45,7 +45,7 @@
 
     /// The servers that it may send to by its own choice; version 0 where it has no list yet.
     #[must_use]
-    pub fn get_subset(&self) -> &Listing {
+    pub fn get_subset(&self) -> &ServerList {
         &self.subset
     }
 
@@ -69,13 +69,13 @@
 
     /// The whole list, where it is known here and the hub holds another, of version `held`.
     #[must_use]
-    pub fn for_hub(&self, held: u64) -> Option<&Listing> {
+    pub fn for_hub(&self, held: u64) -> Option<&ServerList> {
         let whole = self.whole.as_ref();
         whole.filter(|whole| whole.version != held)
     }
 
     /// Takes up a copy of the whole list.
-    pub fn fetched(&mut self, copy: Listing) {
+    pub fn fetched(&mut self, copy: ServerList) {
         let whole = self.lives.take(copy);
         self.subset = whole.subset(&self.host);
         self.lacks = false;
@@ -83,9 +83,9 @@
     }
 
     /// Takes up what the hub tells.
-    pub fn told(&mut self, news: ListingNews) {
+    pub fn told(&mut self, news: ServerListUpdate) {
         match news {
-            ListingNews::Whole(listing) if self.keeps_whole => self.fetched(listing),
+            ServerListUpdate::Whole(listing) if self.keeps_whole => self.fetched(listing),
             news => match self.subset.after(news) {
                 Some(after) => {
                     self.subset = after;
--- a/crates/core/src/gateway/subset.rs
+++ b/crates/core/src/gateway/subset.rs
@@ -6,9 +6,9 @@
 
 use crate::id;
 
-use super::Listing;
-use super::listing::Change;
-use super::listing::version_of;
+use super::ServerList;
+use super::server_list::Change;
+use super::server_list::version_of;
 use super::version::version;
 
 /// The largest service of which each gateway is told all servers: at 60 B each, some 8 KB whenever one
@@ -29,7 +29,7 @@
 
 impl Subsets {
     /// For the subsets of `listing`.
-    pub(super) fn of(listing: &Listing) -> Self {
+    pub(super) fn of(listing: &ServerList) -> Self {
         let mut services: HashMap<_, Vec<_>> = HashMap::new();
         for (place, server) in listing.servers.iter().enumerate() {
             let servers = services.entry(server.service.clone()).or_default();
@@ -54,9 +54,9 @@
     }
 
     /// A gateway's subset of `listing`, which they were worked out of.
-    pub(super) fn cut(&self, listing: &Listing, host: &id::Host) -> Listing {
+    pub(super) fn cut(&self, listing: &ServerList, host: &id::Host) -> ServerList {
         let places = self.places(host).0.into_iter();
-        Listing::new(places.map(|place| listing.servers[place].clone()).collect())
+        ServerList::new(places.map(|place| listing.servers[place].clone()).collect())
     }
 }
 
@@ -76,7 +76,7 @@
 
 impl Delta {
     /// What makes `next` of `former`.
-    pub(super) fn between(former: &Listing, next: &Listing) -> Self {
+    pub(super) fn between(former: &ServerList, next: &ServerList) -> Self {
         let mut delta = Self {
             from: former.version,
             ..Self::default()
@@ -124,7 +124,7 @@
 }
 
 /// How many servers each service has.
-fn counts(listing: &Listing) -> HashMap<&id::Service, usize> {
+fn counts(listing: &ServerList) -> HashMap<&id::Service, usize> {
     let mut counts = HashMap::new();
     for server in &listing.servers {
         *counts.entry(&server.service).or_default() += 1;
@@ -163,7 +163,12 @@
     }
 
     /// Whether it is the subset of `listing`, which has changed by `delta`.
-    pub(super) fn is_current(&mut self, listing: &Listing, delta: &Delta, host: &id::Host) -> bool {
+    pub(super) fn is_current(
+        &mut self,
+        listing: &ServerList,
+        delta: &Delta,
+        host: &id::Host,
+    ) -> bool {
         let is_same = self.is_of(delta) && !delta.concerns(self, version(&host.as_str()));
         if is_same {
             self.of = listing.version;
@@ -174,7 +179,7 @@
     /// Brings it up to `listing`, which has changed by `delta`.
     pub(super) fn follow(
         &mut self,
-        listing: &Listing,
+        listing: &ServerList,
         subsets: &Subsets,
         delta: &Delta,
         host: &id::Host,
@@ -191,7 +196,7 @@
     }
 
     /// The subset of `listing` that the gateway on `host` is told.
-    fn take(listing: &Listing, subsets: &Subsets, host: &id::Host) -> Self {
+    fn take(listing: &ServerList, subsets: &Subsets, host: &id::Host) -> Self {
         let (places, last) = subsets.places(host);
         let servers: Vec<_> = places
             .iter()
@@ -227,7 +232,7 @@
     }
 
     /// What leads from the subset with the version `held` to this one of `listing`, where that is known.
-    pub(super) fn change(&self, listing: &Listing, held: u64) -> Option<Change> {
+    pub(super) fn change(&self, listing: &ServerList, held: u64) -> Option<Change> {
         if held == 0 || held != self.former.version {
             return None;
         }
--- a/crates/core/src/gateway/sync.rs
+++ b/crates/core/src/gateway/sync.rs
@@ -14,10 +14,10 @@
 use crate::state::Publication;
 use crate::unit::Tokens;
 
-use super::Listing;
-use super::ListingNews;
 use super::Mark;
 use super::News;
+use super::ServerList;
+use super::ServerListUpdate;
 use super::version::version;
 
 /// A gateway that callers can be sent to.
@@ -94,7 +94,7 @@
     /// The hub by whose table of limits it goes, and the version of that.
     pub limits_held: (u64, u64),
     /// The whole list, where this gateway is the one that fetches it and the hub held another.
-    pub fetched: Option<Listing>,
+    pub fetched: Option<ServerList>,
 }
 
 /// What the hub answers.
@@ -113,7 +113,7 @@
     /// That table, where the asker does not know of it and it is small.
     pub table: Option<Publication>,
     /// What is new of the asker's subset of the list of backend servers, or all of the list, where it holds another.
-    pub listing: Option<ListingNews>,
+    pub listing: Option<ServerListUpdate>,
     /// The version of the whole list that the hub holds.
     pub held: u64,
     /// What is new of the gateways that live.
--- a/crates/core/src/rollout/trials.rs
+++ b/crates/core/src/rollout/trials.rs
@@ -7,8 +7,8 @@
 
 use crate::clock::Instant;
 use crate::gateway::Ended;
-use crate::gateway::Listing;
 use crate::gateway::Server;
+use crate::gateway::ServerList;
 use crate::id;
 use crate::pool::OnTrial;
 
@@ -178,7 +178,7 @@
     ///
     /// Whatever runs when a service is first seen serves it, but for a version that was ordered before: the
     /// platform starts the servers of that one for the order.
-    pub fn establish(&mut self, listing: &Listing, now: Instant) -> Vec<Step> {
+    pub fn establish(&mut self, listing: &ServerList, now: Instant) -> Vec<Step> {
         if self.bounds.is_none() || self.settled == listing.version {
             return Vec::new();
         }
--- a/crates/core/tests/cold_servers.rs
+++ b/crates/core/tests/cold_servers.rs
@@ -9,8 +9,8 @@
 
 use curlewlift_core::clock::Instant;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
 use curlewlift_core::gateway::Tuning;
 use curlewlift_core::limit::Rate;
 use curlewlift_core::limit::Slack;
@@ -82,7 +82,7 @@
     };
     let mut hub = Hub::new(tuning, now).drawn(number);
     hub.adopt(&table(), now);
-    hub.list(Arc::new(Listing::new(servers.to_vec())));
+    hub.list(Arc::new(ServerList::new(servers.to_vec())));
     hub
 }
 
@@ -102,7 +102,7 @@
             0 => {
                 let place = random.random_range(0..servers.len());
                 servers[place].cold = random.random();
-                leader.list(Arc::new(Listing::new(servers.to_vec())));
+                leader.list(Arc::new(ServerList::new(servers.to_vec())));
             }
             1 => leader = hub(step + 2, &servers, now),
             2 => crowd = random.random_range(0..20),
--- a/crates/core/tests/evacuated_halls.rs
+++ b/crates/core/tests/evacuated_halls.rs
@@ -10,8 +10,8 @@
 use curlewlift_core::evacuation::Halls;
 use curlewlift_core::evacuation::Order;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
 use curlewlift_core::gateway::Tuning;
 use curlewlift_core::gateway::Want;
 use curlewlift_core::gateway::Wanted;
@@ -39,7 +39,7 @@
 fn hub() -> Hub {
     let mut hub = Hub::new(Tuning::default(), ms(0)).drawn(1);
     hub.adopt_evacuated(&Halls::default());
-    hub.list(Arc::new(Listing::new(vec![
+    hub.list(Arc::new(ServerList::new(vec![
         server("s1", "a"),
         server("s2", "b"),
     ])));
--- a/crates/core/tests/gateway_hub.rs
+++ b/crates/core/tests/gateway_hub.rs
@@ -8,12 +8,12 @@
 use curlewlift_core::clock::Instant;
 use curlewlift_core::gateway::Gateway;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
-use curlewlift_core::gateway::ListingNews;
 use curlewlift_core::gateway::Load;
 use curlewlift_core::gateway::Question;
 use curlewlift_core::gateway::Roll;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::ServerListUpdate;
 use curlewlift_core::gateway::Tuning;
 use curlewlift_core::state::Publication;
 use curlewlift_core::unit::Tokens;
@@ -38,7 +38,7 @@
     }
 }
 
-fn listing() -> Arc<Listing> {
+fn listing() -> Arc<ServerList> {
     let server = Server {
         incarnation: "s1".into(),
         name: "s1".into(),
@@ -51,7 +51,7 @@
         leaving: false,
         cold: false,
     };
-    Arc::new(Listing::new(vec![server]))
+    Arc::new(ServerList::new(vec![server]))
 }
 
 fn seconds(seconds: u64) -> Instant {
@@ -114,7 +114,7 @@
     hub.list(Arc::clone(&listing));
     assert!(hub.has_news(&asked));
     let reply = hub.answer(&asked, &Publication::default(), seconds(1));
-    let whole = ListingNews::Whole(Listing::clone(&listing));
+    let whole = ServerListUpdate::Whole(ServerList::clone(&listing));
     assert_eq!(reply.listing, Some(whole));
     asked.listing = listing.version;
     let reply = hub.answer(&asked, &Publication::default(), seconds(1));
--- a/crates/core/tests/hub_places.rs
+++ b/crates/core/tests/hub_places.rs
@@ -14,12 +14,12 @@
 use curlewlift_core::gateway::Gateway;
 use curlewlift_core::gateway::Grant;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
 use curlewlift_core::gateway::Load;
 use curlewlift_core::gateway::Mark;
 use curlewlift_core::gateway::Question;
 use curlewlift_core::gateway::Report;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
 use curlewlift_core::gateway::Ticket;
 use curlewlift_core::gateway::Tuning;
 use curlewlift_core::gateway::Want;
@@ -59,7 +59,7 @@
 fn hub(names: &[&str]) -> Hub {
     let servers = names.iter().map(|name| server(name));
     let mut hub = Hub::new(Tuning::default(), ms(0)).drawn(HUB);
-    hub.list(Arc::new(Listing::new(servers.collect())));
+    hub.list(Arc::new(ServerList::new(servers.collect())));
     hub
 }
 
@@ -195,7 +195,7 @@
 #[test]
 fn tickets_of_another_hub() {
     let mut former = hub(&["s1"]).drawn(HUB + 1);
-    former.list(Arc::new(Listing::new(vec![server("s1")])));
+    former.list(Arc::new(ServerList::new(vec![server("s1")])));
     let left = asks(&mut former, "g", 1, ms(1));
     let mut hub = hub(&["s1"]);
     asks(&mut hub, "g", 1, ms(1));
--- a/crates/core/tests/large_fleets.rs
+++ b/crates/core/tests/large_fleets.rs
@@ -7,15 +7,15 @@
 
 use curlewlift_core::clock::Instant;
 use curlewlift_core::gateway::Gateway;
-use curlewlift_core::gateway::Holding;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
-use curlewlift_core::gateway::ListingNews;
 use curlewlift_core::gateway::Load;
 use curlewlift_core::gateway::Question;
 use curlewlift_core::gateway::Reply;
 use curlewlift_core::gateway::Roll;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::ServerListCache;
+use curlewlift_core::gateway::ServerListUpdate;
 use curlewlift_core::gateway::Tuning;
 use curlewlift_core::state::Publication;
 use curlewlift_core::unit::Tokens;
@@ -53,7 +53,7 @@
 struct Asker {
     place: usize,
     ready: bool,
-    listing: Listing,
+    listing: ServerList,
     roll: Roll,
 }
 
@@ -97,7 +97,7 @@
 /// Gateways that hold what a hub with so many servers has told them.
 fn fleet(servers: &[Server]) -> (Hub, Vec<Asker>) {
     let mut hub = Hub::new(Tuning::default(), ms(0));
-    hub.list(Arc::new(Listing::new(servers.to_vec())));
+    hub.list(Arc::new(ServerList::new(servers.to_vec())));
     let mut askers: Vec<_> = (0..GATEWAYS)
         .map(|place| Asker {
             place,
@@ -127,7 +127,7 @@
     let (mut hub, mut askers) = fleet(&servers);
     let quiet = ask_all(&mut hub, &mut askers, ms(300));
     servers[17].leaving = true;
-    hub.list(Arc::new(Listing::new(servers.clone())));
+    hub.list(Arc::new(ServerList::new(servers.clone())));
     let told = ask_all(&mut hub, &mut askers, ms(400)) - quiet;
     // The whole list to all of them is 25 MB.
     assert!(told < 50_000, "{told} B for one server of {SERVERS}");
@@ -220,7 +220,7 @@
 
 #[test]
 fn small_service_whole() {
-    let listing = Listing::new(servers(128));
+    let listing = ServerList::new(servers(128));
     let host = "g".parse().expect("a name");
     assert_eq!(listing.subset(&host), listing);
 }
@@ -245,14 +245,14 @@
 
 #[test]
 fn whole_beside_replicas() {
-    let listing = Listing::new(servers(SERVERS));
+    let listing = ServerList::new(servers(SERVERS));
     let mut hub = Hub::new(Tuning::default(), ms(0));
     hub.list(Arc::new(listing.clone()));
     let mut question = Asker::default().question(Vec::new());
     question.whole = true;
     hub.hear(&question, ms(1));
     let told = hub.answer(&question, &Publication::default(), ms(1));
-    assert_eq!(told.listing, Some(ListingNews::Whole(listing.clone())));
+    assert_eq!(told.listing, Some(ServerListUpdate::Whole(listing.clone())));
     question.listing = listing.version;
     hub.hear(&question, ms(2));
     let told = hub.answer(&question, &Publication::default(), ms(2));
@@ -263,17 +263,17 @@
 fn old_list_kept_back() {
     // The first list that a gateway fetched, before there were servers, was told to a later hub in place
     // of the present one, and nobody got a place for 0.7 s.
-    let present = Listing::new(servers(SERVERS));
+    let present = ServerList::new(servers(SERVERS));
     let host: curlewlift_core::id::Host = "g".parse().expect("a name");
-    let mut holding = Holding::new(host.clone(), false);
-    holding.fetched(Listing::new(Vec::new()));
+    let mut holding = ServerListCache::new(host.clone(), false);
+    holding.fetched(ServerList::new(Vec::new()));
     holding.others_fetch();
-    holding.told(ListingNews::Whole(present.subset(&host)));
+    holding.told(ServerListUpdate::Whole(present.subset(&host)));
     assert_eq!(holding.for_hub(0), None);
-    let mut beside = Holding::new(host, true);
-    beside.fetched(Listing::new(Vec::new()));
+    let mut beside = ServerListCache::new(host, true);
+    beside.fetched(ServerList::new(Vec::new()));
     beside.others_fetch();
-    beside.told(ListingNews::Whole(present.clone()));
+    beside.told(ServerListUpdate::Whole(present.clone()));
     assert_eq!(beside.for_hub(0), Some(&present));
     assert_eq!(beside.for_hub(present.version), None);
     assert_eq!(beside.get_subset().servers.len(), 32);
--- a/crates/core/tests/rollout_plans.rs
+++ b/crates/core/tests/rollout_plans.rs
@@ -4,8 +4,8 @@
 
 use curlewlift_core::clock::Instant;
 use curlewlift_core::code::Code;
-use curlewlift_core::gateway::Listing;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
 use curlewlift_core::rollout::Bounds;
 use curlewlift_core::rollout::Order;
 use curlewlift_core::rollout::Phase;
@@ -175,7 +175,7 @@
         incarnation: format!("s{number}").into(),
         ..server(name)
     });
-    trials.establish(&Listing::new(servers.collect()), now)
+    trials.establish(&ServerList::new(servers.collect()), now)
 }
 
 #[test]
--- a/crates/core/tests/server_lives.rs
+++ b/crates/core/tests/server_lives.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use curlewlift_core::clock::Instant;
-use curlewlift_core::gateway::Listing;
-use curlewlift_core::gateway::Lives;
+use curlewlift_core::gateway::Incarnations;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -16,14 +16,14 @@
 
 const SEEDS: u64 = 1_000;
 
-fn births(listing: &Listing) -> Vec<u64> {
+fn births(listing: &ServerList) -> Vec<u64> {
     listing.servers.iter().map(|server| server.born).collect()
 }
 
 #[test]
 fn late_copies() {
-    let mut lives = Lives::default();
-    let copy = |born| Listing::new(vec![life("s1", born)]);
+    let mut lives = Incarnations::default();
+    let copy = |born| ServerList::new(vec![life("s1", born)]);
     assert_eq!(births(&lives.take(copy(10))), [10]);
     assert_eq!(births(&lives.take(copy(20))), [20]);
     assert_eq!(births(&lives.take(copy(10))), [20], "a late copy");
@@ -36,9 +36,9 @@
 /// A late copy from before a server was to leave does not take it back; three in a row do.
 #[test]
 fn late_leaving() {
-    let mut lives = Lives::default();
+    let mut lives = Incarnations::default();
     let copy = |leaving| {
-        Listing::new(vec![Server {
+        ServerList::new(vec![Server {
             leaving,
             ..life("s1", 10)
         }])
@@ -54,10 +54,10 @@
 
 #[test]
 fn two_entries() {
-    let mut lives = Lives::default();
-    let both = || Listing::new(vec![life("s1", 10), life("s1", 20)]);
+    let mut lives = Incarnations::default();
+    let both = || ServerList::new(vec![life("s1", 10), life("s1", 20)]);
     assert_eq!(births(&lives.take(both())), [20]);
-    lives.take(Listing::new(vec![life("s1", 5)]));
+    lives.take(ServerList::new(vec![life("s1", 5)]));
     assert_eq!(births(&lives.take(both())), [10], "20 has ended");
 }
 
@@ -67,10 +67,10 @@
 fn any_order() {
     for seed in 0..SEEDS {
         let mut random = SmallRng::seed_from_u64(seed);
-        let mut lives = Lives::default();
+        let mut lives = Incarnations::default();
         let mut told = vec![100];
         let mut late = 0;
-        lives.take(Listing::new(vec![life("s1", 100)]));
+        lives.take(ServerList::new(vec![life("s1", 100)]));
         for _ in 0..60 {
             let newest = *told.last().expect("one");
             let is_late = late < 2 && random.random_ratio(1, 3);
@@ -83,7 +83,7 @@
             } else {
                 newest
             };
-            let given = lives.take(Listing::new(vec![life("s1", born)]));
+            let given = lives.take(ServerList::new(vec![life("s1", born)]));
             let present = if is_late { newest } else { born };
             assert_eq!(births(&given), [present], "seed {seed}");
             if !is_late && born != newest {
--- a/crates/core/tests/support/ending.rs
+++ b/crates/core/tests/support/ending.rs
@@ -7,10 +7,10 @@
 use curlewlift_core::clock::Instant;
 use curlewlift_core::gateway::Gateway;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
 use curlewlift_core::gateway::Question;
 use curlewlift_core::gateway::Report;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
 use curlewlift_core::gateway::Tuning;
 use curlewlift_core::gateway::Want;
 use curlewlift_core::gateway::Wanted;
@@ -138,7 +138,7 @@
         format!("s{place}-{}", self.servers[place].0).into()
     }
 
-    fn listing(&self) -> Arc<Listing> {
+    fn listing(&self) -> Arc<ServerList> {
         let up = (0..SERVERS).filter(|place| self.servers[*place].1 <= self.now);
         let servers = up.map(|place| Server {
             incarnation: self.name(place),
@@ -152,7 +152,7 @@
             leaving: false,
             cold: false,
         });
-        Arc::new(Listing::new(servers.collect()))
+        Arc::new(ServerList::new(servers.collect()))
     }
 
     fn begin_hub(&mut self) {
--- a/crates/core/tests/support/gateways.rs
+++ b/crates/core/tests/support/gateways.rs
@@ -7,11 +7,11 @@
 use curlewlift_core::clock::Instant;
 use curlewlift_core::gateway::Gateway;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
 use curlewlift_core::gateway::Parts;
 use curlewlift_core::gateway::Question;
 use curlewlift_core::gateway::Reply;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
 use curlewlift_core::gateway::Ticket;
 use curlewlift_core::gateway::Tuning;
 use curlewlift_core::gateway::Want;
@@ -216,7 +216,7 @@
             leaving: false,
             cold: false,
         };
-        hub.list(Arc::new(Listing::new(vec![server])));
+        hub.list(Arc::new(ServerList::new(vec![server])));
         hub.adopt_deputies(&self.parts, self.now);
         self.hub = Some(hub);
         self.adopt();
--- a/crates/core/tests/support/limited.rs
+++ b/crates/core/tests/support/limited.rs
@@ -7,12 +7,12 @@
 use curlewlift_core::clock::Instant;
 use curlewlift_core::gateway::Grant;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
 use curlewlift_core::gateway::Mark;
 use curlewlift_core::gateway::Question;
 use curlewlift_core::gateway::Reply;
 use curlewlift_core::gateway::Report;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
 use curlewlift_core::gateway::Ticket;
 use curlewlift_core::gateway::Tuning;
 use curlewlift_core::gateway::Want;
@@ -289,9 +289,9 @@
         self.hub = Some((number, hub));
     }
 
-    fn listing(&self) -> Arc<Listing> {
+    fn listing(&self) -> Arc<ServerList> {
         let servers = self.servers().into_iter();
-        Arc::new(Listing::new(
+        Arc::new(ServerList::new(
             servers.map(|server| Server::clone(&server)).collect(),
         ))
     }
--- a/crates/core/tests/support/resting.rs
+++ b/crates/core/tests/support/resting.rs
@@ -8,10 +8,10 @@
 use curlewlift_core::gateway::Ended;
 use curlewlift_core::gateway::Grant;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
 use curlewlift_core::gateway::Mark;
 use curlewlift_core::gateway::Report;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
 use curlewlift_core::gateway::Ticket;
 use curlewlift_core::gateway::Tuning;
 use curlewlift_core::gateway::Want;
@@ -139,7 +139,7 @@
     next_hub: Option<Instant>,
     engines: Vec<Engine>,
     /// Past lists, newest last.
-    lists: Vec<(Instant, Arc<Listing>)>,
+    lists: Vec<(Instant, Arc<ServerList>)>,
     /// When the list next changes, where a server has begun to leave.
     listed_at: Option<Instant>,
     requests: Vec<Request>,
@@ -224,13 +224,13 @@
         }
     }
 
-    fn listing(&self) -> Arc<Listing> {
+    fn listing(&self) -> Arc<ServerList> {
         let servers = (0..SERVERS).map(|place| self.server(place));
-        Arc::new(Listing::new(servers.collect()))
+        Arc::new(ServerList::new(servers.collect()))
     }
 
     /// A copy of the list as it was some time ago.
-    fn copy(&mut self) -> Arc<Listing> {
+    fn copy(&mut self) -> Arc<ServerList> {
         let lag = self.millis(0, LAG);
         let at = self.now - lag;
         let mut copies = self.lists.iter().rev();
--- a/crates/core/tests/thousand_gateways.rs
+++ b/crates/core/tests/thousand_gateways.rs
@@ -11,15 +11,15 @@
 use curlewlift_core::gateway;
 use curlewlift_core::gateway::Gateway;
 use curlewlift_core::gateway::Handout;
-use curlewlift_core::gateway::Holding;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
 use curlewlift_core::gateway::Pace;
 use curlewlift_core::gateway::Question;
 use curlewlift_core::gateway::Reply;
 use curlewlift_core::gateway::Roll;
 use curlewlift_core::gateway::Search;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::ServerListCache;
 use curlewlift_core::gateway::Tuning;
 use curlewlift_core::gateway::Want;
 use curlewlift_core::gateway::Wanted;
@@ -64,7 +64,7 @@
     host: id::Host,
     ready: bool,
     callers: Gateway,
-    holding: Holding,
+    holding: ServerListCache,
     roll: Roll,
 }
 
@@ -79,7 +79,7 @@
                     .parse()
                     .expect("an address"),
             },
-            holding: Holding::new(host.clone(), false),
+            holding: ServerListCache::new(host.clone(), false),
             roll: Roll::default(),
             host,
         }
@@ -118,7 +118,7 @@
 /// Gateways that hold what the hub has told them.
 fn fleet(servers: &[Server], gateways: usize) -> (Hub, Vec<Asker>) {
     let mut hub = Hub::new(Tuning::default(), ms(0));
-    hub.list(Arc::new(Listing::new(servers.to_vec())));
+    hub.list(Arc::new(ServerList::new(servers.to_vec())));
     let mut askers: Vec<_> = (0..gateways).map(Asker::new).collect();
     for round in [100, 200] {
         for asker in &mut askers {
@@ -138,7 +138,7 @@
         .map(|asker| asker.ask(&mut hub, ms(300)))
         .sum();
     servers.last_mut().expect("some").leaving = true;
-    hub.list(Arc::new(Listing::new(servers.clone())));
+    hub.list(Arc::new(ServerList::new(servers.clone())));
     let told: usize = askers
         .iter_mut()
         .map(|asker| asker.ask(&mut hub, ms(400)))
@@ -153,7 +153,7 @@
     let mut servers = servers();
     let (mut hub, askers) = fleet(&servers, GATEWAYS);
     servers[17].leaving = true;
-    hub.list(Arc::new(Listing::new(servers.clone())));
+    hub.list(Arc::new(ServerList::new(servers.clone())));
     let mut concerned = 0;
     for asker in &askers {
         let question = asker.question();
@@ -188,7 +188,7 @@
                     None => listed.push(server.clone()),
                 }
             }
-            hub.list(Arc::new(Listing::new(listed.clone())));
+            hub.list(Arc::new(ServerList::new(listed.clone())));
             let place = random.random_range(0..askers.len());
             if random.random_range(0..4) == 0 {
                 askers[place].hear(&mut hub, ms(now));
@@ -196,7 +196,7 @@
                 askers[place].ask(&mut hub, ms(now));
             }
         }
-        let listing = Listing::new(listed);
+        let listing = ServerList::new(listed);
         for asker in &mut askers {
             for _ in 0..2 {
                 now += 30;
@@ -270,7 +270,7 @@
 #[test]
 fn small_answers() {
     let mut hub = Hub::new(Tuning::default(), ms(0));
-    hub.list(Arc::new(Listing::new(servers())));
+    hub.list(Arc::new(ServerList::new(servers())));
     let publication = Publication {
         number: 7,
         ..Publication::default()
@@ -300,7 +300,7 @@
         (2_000, 2_100.0),
     ] {
         let mut hub = Hub::new(Tuning::default(), ms(0));
-        hub.list(Arc::new(Listing::new(servers()[..1].to_vec())));
+        hub.list(Arc::new(ServerList::new(servers()[..1].to_vec())));
         let askers: Vec<_> = (0..gateways).map(Asker::new).collect();
         for asker in &askers {
             hub.hear(&asker.question(), ms(1));
@@ -389,7 +389,7 @@
     };
     let new_hub = |now| {
         let mut hub = Hub::new(tuning, now);
-        hub.list(Arc::new(Listing::new(servers())));
+        hub.list(Arc::new(ServerList::new(servers())));
         hub
     };
     for seed in 0..5 {
--- a/crates/curlewlift/src/gateway/daemon.rs
+++ b/crates/curlewlift/src/gateway/daemon.rs
@@ -9,7 +9,7 @@
 use curlewlift_core::code::Refusal;
 use curlewlift_core::event::Kind;
 use curlewlift_core::gateway;
-use curlewlift_core::gateway::Holding;
+use curlewlift_core::gateway::ServerListCache;
 use curlewlift_core::id;
 use curlewlift_core::pool::Allowed;
 use curlewlift_core::quota::Tolerance;
@@ -118,7 +118,7 @@
         let listener = process::listener(self.callers)?;
         let kept = self.beside.is_some();
         let node = Node::new(
-            Holding::new(self.host.clone(), kept),
+            ServerListCache::new(self.host.clone(), kept),
             self.known_as,
             self.dialect,
             self.allowed,
--- a/crates/curlewlift/src/gateway/lists.rs
+++ b/crates/curlewlift/src/gateway/lists.rs
@@ -8,7 +8,7 @@
 
 use curlewlift_core::event::Kind;
 use curlewlift_core::gateway;
-use curlewlift_core::gateway::Listing;
+use curlewlift_core::gateway::ServerList;
 use rand::RngExt;
 
 use super::log::Line;
@@ -26,7 +26,7 @@
 
 /// Fetches the list, with a pause between two calls.
 pub(crate) type Fetch =
-    Rc<dyn Fn(Duration) -> Pin<Box<dyn Future<Output = Result<Listing, Missed>>>>>;
+    Rc<dyn Fn(Duration) -> Pin<Box<dyn Future<Output = Result<ServerList, Missed>>>>>;
 
 /// Between two fetches for all: a sixth of the time in which a leaving server must be left alone.
 const FOR_ALL: Duration = Duration::from_millis(500);
--- a/crates/curlewlift/src/gateway/node.rs
+++ b/crates/curlewlift/src/gateway/node.rs
@@ -13,10 +13,10 @@
 use curlewlift_core::event::Kind;
 use curlewlift_core::gateway;
 use curlewlift_core::gateway::Ended;
-use curlewlift_core::gateway::Holding;
 use curlewlift_core::gateway::Mark;
 use curlewlift_core::gateway::Roll;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerListCache;
 use curlewlift_core::id;
 use curlewlift_core::limit;
 use curlewlift_core::pool::Allowed;
@@ -95,7 +95,7 @@
     /// What the table names as services.
     pub(super) services: RefCell<BTreeMap<id::Service, Service>>,
     /// What it holds of the list of backend servers.
-    pub(super) holding: RefCell<Holding>,
+    pub(super) holding: RefCell<ServerListCache>,
     /// The versions of servers that it may send to by its own choice, by the last word of the hub.
     pub(super) policy: RefCell<Policy>,
     /// The gateways that live, by the last word of the hub.
@@ -136,7 +136,7 @@
 
 impl Node {
     pub(super) fn new(
-        holding: Holding,
+        holding: ServerListCache,
         gateway: gateway::Gateway,
         dialect: Dialect,
         allowed: Allowed,
@@ -335,7 +335,7 @@
     }
 
     /// Takes up a list of backend servers, as `take` does it.
-    pub(super) fn adopt_list(&self, take: impl FnOnce(&mut Holding)) {
+    pub(super) fn adopt_list(&self, take: impl FnOnce(&mut ServerListCache)) {
         let mut holding = self.holding.borrow_mut();
         let former = holding.get_subset().version;
         take(&mut holding);
--- a/crates/curlewlift/src/platform/instances.rs
+++ b/crates/curlewlift/src/platform/instances.rs
@@ -12,7 +12,7 @@
 use axum::http::StatusCode;
 use axum::http::header;
 use curlewlift_core::event::Kind;
-use curlewlift_core::gateway::Listing;
+use curlewlift_core::gateway::ServerList;
 use http_body_util::BodyExt;
 use http_body_util::Limited;
 use hyper_util::client::legacy::Client;
@@ -57,7 +57,7 @@
     platform: SocketAddr,
     noted: &Noted,
     apart: Duration,
-) -> Result<Listing, Missed> {
+) -> Result<ServerList, Missed> {
     let mut servers = Vec::new();
     let mut unreadable = BTreeSet::new();
     let mut from = String::new();
@@ -69,7 +69,7 @@
         unreadable.extend(places.map(|entry| format!("{from}#{}: {}", entry.place, entry.why)));
         let Some(next) = page.next else {
             note_unreadable(unreadable, noted);
-            return Ok(Listing::new(servers));
+            return Ok(ServerList::new(servers));
         };
         from = format!("?page_token={next}");
         tokio::time::sleep(apart).await;
--- a/crates/lab/src/rollout/world.rs
+++ b/crates/lab/src/rollout/world.rs
@@ -10,12 +10,12 @@
 use curlewlift_core::gateway::Gateway;
 use curlewlift_core::gateway::Grant;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
 use curlewlift_core::gateway::Load;
 use curlewlift_core::gateway::Mark;
 use curlewlift_core::gateway::Question;
 use curlewlift_core::gateway::Report;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
 use curlewlift_core::gateway::Ticket;
 use curlewlift_core::gateway::Tuning;
 use curlewlift_core::gateway::Want;
@@ -347,7 +347,7 @@
                     !is_completed
                 }
         });
-        let listing = Listing::new(listed.map(|engine| engine.server.clone()).collect());
+        let listing = ServerList::new(listed.map(|engine| engine.server.clone()).collect());
         if let Some(hub) = &mut self.hub {
             hub.list(Arc::new(listing));
             hub.tick(now);
