--- a/crates/core/benches/places.rs
+++ b/crates/core/benches/places.rs
@@ -13,16 +13,16 @@
 use criterion::criterion_group;
 use criterion::criterion_main;
 use curlewlift_core::clock::Instant;
+use curlewlift_core::gateway::GrantId;
 use curlewlift_core::gateway::Hub;
 use curlewlift_core::gateway::Load;
-use curlewlift_core::gateway::Mark;
 use curlewlift_core::gateway::Report;
 use curlewlift_core::gateway::Server;
 use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::SlotDecision;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::gateway::Ticket;
 use curlewlift_core::gateway::Tuning;
-use curlewlift_core::gateway::Want;
-use curlewlift_core::gateway::Wanted;
 use curlewlift_core::id;
 use curlewlift_core::limit::Words;
 use curlewlift_core::quarantine::Identity;
@@ -39,7 +39,7 @@
     hosts: Vec<id::Host>,
     /// What each gateway has in flight.
     in_flight: Vec<BTreeMap<Arc<str>, u32>>,
-    marks: Vec<Mark>,
+    marks: Vec<GrantId>,
     /// Whose request waits.
     waiting: HashMap<Ticket, usize>,
     running: VecDeque<(usize, Arc<str>)>,
@@ -58,7 +58,7 @@
             hub,
             hosts: hosts.collect(),
             in_flight: vec![BTreeMap::new(); GATEWAYS],
-            marks: vec![Mark::default(); GATEWAYS],
+            marks: vec![GrantId::default(); GATEWAYS],
             waiting: HashMap::new(),
             running: VecDeque::new(),
             asked: 0,
@@ -80,7 +80,7 @@
     fn ask(&mut self) {
         self.asked += 1;
         let place = self.asked % GATEWAYS;
-        let want = Want {
+        let want = SlotRequest {
             host: self.hosts[place].clone(),
             hall: "a".into(),
             rule: None,
@@ -100,7 +100,7 @@
             rests: Vec::new(),
             halls: None,
         };
-        let Wanted::Line(ticket, last) = self.hub.want(want, self.now) else {
+        let SlotDecision::Line(ticket, last) = self.hub.want(want, self.now) else {
             panic!("no place in line");
         };
         self.waiting.insert(ticket, place);
--- a/crates/core/src/gateway/pace.rs
+++ b/crates/core/src/gateway/bulk_schedule.rs
@@ -18,12 +18,12 @@
 /// at once keep a leader from its heartbeats for longer than an election takes, and the next leader meets the same crowd.
 /// So gateways take turns in the order in which they asked; what is small is never held up.
 #[derive(Clone, Debug, Default)]
-pub struct Pace {
+pub struct BulkSchedule {
     next: Instant,
     turns: HashMap<Host, Instant>,
 }
 
-impl Pace {
+impl BulkSchedule {
     /// When it is the turn of `host`, which wants to be told at `now`.
     pub fn turn(&mut self, host: &Host, now: Instant) -> Instant {
         let turn = self.turns.get(host).copied();
--- a/crates/core/src/gateway/dispatch.rs
+++ b/crates/core/src/gateway/dispatch.rs
@@ -18,13 +18,13 @@
 use crate::quarantine::Identity;
 use crate::quarantine::Permit;
 
-use super::Ended;
+use super::AttemptEnd;
 use super::Grant;
+use super::GrantId;
 use super::Load;
-use super::Mark;
 use super::Server;
 use super::ServerList;
-use super::Want;
+use super::SlotRequest;
 use super::grant::Given;
 use super::occupancy::Occupancy;
 
@@ -133,13 +133,13 @@
     }
 
     /// Takes up what a gateway has in flight.
-    pub(super) fn report(&mut self, host: &id::Host, mark: Mark, loads: &[Load]) {
+    pub(super) fn report(&mut self, host: &id::Host, mark: GrantId, loads: &[Load]) {
         let seen = if mark.hub == self.hub { mark.number } else { 0 };
         self.occupancy.report(host, seen, loads);
     }
 
     /// Takes note of how sendings of a gateway ended.
-    pub(super) fn ended(&mut self, host: &id::Host, ends: &[Ended], now: Instant) {
+    pub(super) fn ended(&mut self, host: &id::Host, ends: &[AttemptEnd], now: Instant) {
         for ended in ends {
             if let Some(pool) = self.pools.get_mut(&ended.service) {
                 pool.seen(&ended.incarnation, ended.end, now);
@@ -151,7 +151,7 @@
     }
 
     /// A server has asked a host for rest: those that the host has in line for its service do not go there.
-    fn rests(&mut self, host: &id::Host, ended: &Ended, until: Instant) {
+    fn rests(&mut self, host: &id::Host, ended: &AttemptEnd, until: Instant) {
         let Some(pool) = self.pools.get_mut(&ended.service) else {
             return;
         };
@@ -205,7 +205,7 @@
     /// What it was given, where the service has no servers here.
     pub(super) fn want(
         &mut self,
-        want: Want,
+        want: SlotRequest,
         given: Given,
         now: Instant,
     ) -> Result<(Ticket, Option<Left>), Given> {
@@ -364,7 +364,7 @@
             requests: 1,
             reading: turn.prompt,
         };
-        let mark = Mark {
+        let mark = GrantId {
             hub: self.hub,
             number: self.occupancy.grant(&host, load, now),
         };
--- a/crates/core/src/gateway/handout.rs
+++ b/crates/core/src/gateway/distribution.rs
@@ -25,7 +25,7 @@
 
 /// A piece of a packed document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Piece {
+pub struct Chunk {
     /// The table's number.
     pub number: u64,
     /// The length of the whole, in bytes.
@@ -36,7 +36,7 @@
     pub text: String,
 }
 
-impl Piece {
+impl Chunk {
     /// The piece of `publication` that follows the first `from` bytes of number `number`; the first one
     /// where another table is in force by now.
     #[must_use]
@@ -63,13 +63,13 @@
 /// All at once fill the leader's link for longer than any question waits, so that none of them gets the
 /// whole and the leader is not heard any more.
 #[derive(Clone, Debug)]
-pub struct Handout {
+pub struct Distribution {
     turns: BTreeMap<Host, Instant>,
     /// How many gateways are handed it at the same time.
     most: usize,
 }
 
-impl Handout {
+impl Distribution {
     /// For a leader whose link carries `link` bytes a second.
     #[must_use]
     pub fn new(link: f64) -> Self {
--- a/crates/core/src/gateway/grant.rs
+++ b/crates/core/src/gateway/grant.rs
@@ -22,7 +22,7 @@
 
 /// A request that wants a backend server.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Want {
+pub struct SlotRequest {
     /// The gateway's host.
     pub host: id::Host,
     /// The gateway's data hall.
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// Which grant it is.
-    pub mark: Mark,
+    pub mark: GrantId,
     /// Where the request is to be sent.
     pub server: Server,
     /// The number of the permit that it is sent by, where servers ended under such a request.
@@ -89,14 +89,14 @@
 
 /// Tells grants apart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Mark {
+pub struct GrantId {
     /// The hub that gave it, by a number drawn when it began; 0 for none.
     pub hub: u64,
     /// Rises with each grant of that hub.
     pub number: u64,
 }
 
-impl Mark {
+impl GrantId {
     /// Whether its grant was given after that of `former`, or by another hub.
     #[must_use]
     pub fn follows(self, former: Self) -> bool {
@@ -106,7 +106,7 @@
 
 /// What is told of a sending for a roll-out of its service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Watched {
+pub struct RolloutTag {
     /// The rule that its request came under.
     pub rule: Arc<str>,
     /// The version that is rolled out, as it was known when the sending began: what began before the order
@@ -116,13 +116,13 @@
 
 /// How a sending ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ended {
+pub struct AttemptEnd {
     /// The service.
     pub service: id::Service,
     /// Where it was sent.
     pub incarnation: Arc<str>,
     /// For the roll-out that was under way when it began, where one was.
-    pub watched: Option<Watched>,
+    pub watched: Option<RolloutTag>,
     /// What it says of the backend server.
     pub end: End,
 }
@@ -133,11 +133,11 @@
     /// The gateway's host.
     pub host: id::Host,
     /// The last grant that it has got.
-    pub mark: Mark,
+    pub mark: GrantId,
     /// What it has in flight.
     pub loads: Vec<Load>,
     /// What has ended since its last report.
-    pub ends: Vec<Ended>,
+    pub ends: Vec<AttemptEnd>,
     /// What it has to tell of requests under which servers ended.
     pub observed: Vec<Observation>,
     /// What it has to tell of limits that servers name.
--- a/crates/core/src/gateway/hub.rs
+++ b/crates/core/src/gateway/hub.rs
@@ -18,18 +18,18 @@
 use crate::rollout::Trials;
 use crate::route::Table;
 
-use super::Deputies;
+use super::BulkSchedule;
+use super::Distribution;
 use super::Gateway;
-use super::Handout;
-use super::Keeper;
-use super::Pace;
-use super::Parts;
-use super::Question;
+use super::Poll;
 use super::ServerList;
+use super::ShareAllocator;
+use super::Shares;
+use super::Standbys;
 use super::Ticket;
 use super::dispatch::Dispatcher;
+use super::membership::MembershipHistory;
 use super::retries::Retries;
-use super::roll::Rolls;
 use super::subset::Delta;
 use super::subset::Subset;
 use super::subset::Subsets;
@@ -115,12 +115,12 @@
     pub(super) dispatcher: Dispatcher,
     pub(super) desk: Desk,
     /// Of the parts of the sendings past the first.
-    pub(super) keeper: Keeper,
+    pub(super) keeper: ShareAllocator,
     /// Of the parts of what is let in without its word.
-    pub(super) deputies: Keeper,
+    pub(super) deputies: ShareAllocator,
     /// Who holds those, as gateways are told.
-    pub(super) holders: Deputies,
-    handout: Handout,
+    pub(super) holders: Standbys,
+    handout: Distribution,
     /// The number of its last answer.
     pub(super) answers: u64,
     table: u64,
@@ -128,8 +128,8 @@
     pub(super) subsets: Subsets,
     /// What the list has changed in since the one before it.
     pub(super) delta: Delta,
-    pub(super) rolls: Rolls,
-    pub(super) pace: Pace,
+    pub(super) rolls: MembershipHistory,
+    pub(super) pace: BulkSchedule,
     pub(super) trials: Trials,
     /// The data halls that are evacuated.
     pub(super) evacuated: evacuation::Halls,
@@ -159,17 +159,17 @@
             seen: BTreeMap::new(),
             dispatcher: Dispatcher::default(),
             desk: Desk::new(tuning.tolerance),
-            keeper: Keeper::new(now),
-            deputies: Keeper::new(now),
-            holders: Deputies::default(),
-            handout: Handout::new(tuning.link),
+            keeper: ShareAllocator::new(now),
+            deputies: ShareAllocator::new(now),
+            holders: Standbys::default(),
+            handout: Distribution::new(tuning.link),
             answers: 0,
             table: 0,
             listing: Arc::default(),
             subsets: Subsets::default(),
             delta: Delta::default(),
-            rolls: Rolls::default(),
-            pace: Pace::default(),
+            rolls: MembershipHistory::default(),
+            pace: BulkSchedule::default(),
             trials: Trials::new(tuning.rollouts),
             evacuated: evacuation::Halls::default(),
             policy: Policy::default(),
@@ -231,7 +231,7 @@
     }
 
     /// Takes note of what a gateway tells.
-    pub fn hear(&mut self, question: &Question, now: Instant) {
+    pub fn hear(&mut self, question: &Poll, now: Instant) {
         self.keeper.hear(&question.host, question.got, now);
         self.deputies.hear(&question.host, question.got, now);
         if let Some(seen) = self.seen.get_mut(&question.host) {
@@ -326,23 +326,23 @@
 /// # Parts and tables
 impl Hub {
     /// Takes up the parts as they stand in the log.
-    pub fn adopt_parts(&mut self, parts: &Parts, now: Instant) {
+    pub fn adopt_parts(&mut self, parts: &Shares, now: Instant) {
         self.keeper.adopt(parts, now);
     }
 
     /// The parts as they are to be, where they are to change.
-    pub fn tend_parts(&mut self, now: Instant) -> Option<Parts> {
+    pub fn tend_parts(&mut self, now: Instant) -> Option<Shares> {
         self.keeper.tend(usize::MAX, now)
     }
 
     /// Takes up the deputies as they stand in the log.
-    pub fn adopt_deputies(&mut self, parts: &Parts, now: Instant) {
+    pub fn adopt_deputies(&mut self, parts: &Shares, now: Instant) {
         self.deputies.adopt(parts, now);
-        self.holders = Deputies::new(parts.holders.iter().cloned().collect());
+        self.holders = Standbys::new(parts.holders.iter().cloned().collect());
     }
 
     /// The deputies as they are to be, where they are to change.
-    pub fn tend_deputies(&mut self, now: Instant) -> Option<Parts> {
+    pub fn tend_deputies(&mut self, now: Instant) -> Option<Shares> {
         let most = if self.are_few() { usize::MAX } else { DEPUTIES };
         self.deputies.tend(most, now)
     }
@@ -353,7 +353,7 @@
     }
 
     /// Whose turn it is to be handed the table.
-    pub fn handout(&mut self) -> &mut Handout {
+    pub fn handout(&mut self) -> &mut Distribution {
         &mut self.handout
     }
 }
--- a/crates/core/src/gateway/alone.rs
+++ b/crates/core/src/gateway/leader_search.rs
@@ -32,7 +32,7 @@
 /// # Examples
 ///
 /// ```
-/// use curlewlift_core::gateway::Search;
+/// use curlewlift_core::gateway::LeaderSearch;
 /// let mut search = Search::default();
 /// search.missed();
 /// let first = search.pause(1_000, 0.5);
@@ -43,11 +43,11 @@
 /// assert_eq!(search.pause(12, 0.5), first, "a few do no harm");
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Search {
+pub struct LeaderSearch {
     missed: u32,
 }
 
-impl Search {
+impl LeaderSearch {
     /// The leader was found.
     pub fn found(&mut self) {
         self.missed = 0;
@@ -77,8 +77,8 @@
 ///
 /// Load pattern: hundreds of gateways lose the hub at the same moment, and each wants a list of 60 pages.
 #[must_use]
-pub fn apart(gateways: usize, rate: f64) -> Duration {
+pub fn call_interval(gateways: usize, rate: f64) -> Duration {
     let gateways = u32::try_from(gateways).unwrap_or(u32::MAX);
-    let apart = f64::from(gateways) / (rate * SHARED);
-    Duration::try_from_secs_f64(apart).unwrap_or(Duration::ZERO)
+    let call_interval = f64::from(gateways) / (rate * SHARED);
+    Duration::try_from_secs_f64(call_interval).unwrap_or(Duration::ZERO)
 }
--- a/crates/core/src/gateway/roll.rs
+++ b/crates/core/src/gateway/membership.rs
@@ -16,14 +16,14 @@
 
 /// The gateways that live.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Roll {
+pub struct Membership {
     /// Tells one content from another; not an order.
     pub version: u64,
     /// Those that take callers.
     pub gateways: Vec<Gateway>,
 }
 
-impl Roll {
+impl Membership {
     /// The roll of `gateways`, in whatever order they come.
     #[must_use]
     pub fn new(mut gateways: Vec<Gateway>) -> Self {
@@ -36,10 +36,10 @@
     ///
     /// The version tells: it comes from the content, so that what was missed or told twice shows.
     #[must_use]
-    pub fn after(&self, news: News) -> Option<Self> {
+    pub fn after(&self, news: MembershipUpdate) -> Option<Self> {
         let roll = match news {
-            News::Whole(roll) => return Some(roll),
-            News::Change(change) => change,
+            MembershipUpdate::Whole(roll) => return Some(roll),
+            MembershipUpdate::MembershipChange(change) => change,
         };
         let stays = |gateway: &&Gateway| !roll.gone.contains(gateway);
         let stay = self.gateways.iter().filter(stays).cloned();
@@ -56,10 +56,10 @@
     }
 
     /// What makes `next` of this one.
-    fn change(&self, next: &Self) -> Change {
+    fn change(&self, next: &Self) -> MembershipChange {
         let come = next.gateways.iter().filter(|other| !self.has(other));
         let gone = self.gateways.iter().filter(|other| !next.has(other));
-        Change {
+        MembershipChange {
             version: next.version,
             come: come.cloned().collect(),
             gone: gone.cloned().collect(),
@@ -74,7 +74,7 @@
 
 /// What makes one roll of another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Change {
+pub struct MembershipChange {
     /// The version of the roll that comes of it.
     pub version: u64,
     /// Gateways that have come.
@@ -85,11 +85,11 @@
 
 /// What a gateway is told of the roll.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum MembershipUpdate {
     /// All of it.
-    Whole(Roll),
+    Whole(Membership),
     /// What has changed since the roll that it holds.
-    Change(Change),
+    MembershipChange(MembershipChange),
 }
 
 /// The present roll, and what led to it.
@@ -97,16 +97,16 @@
 /// While hosts come and go each answer tells a change. Worked out from two whole rolls it costs time linear in the
 /// gateways, so all answers together quadratic; put together from the changes between, it costs what has changed.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Rolls {
-    present: Roll,
+pub(super) struct MembershipHistory {
+    present: Membership,
     /// The versions of former rolls, and the change that each was followed by.
-    changes: VecDeque<(u64, Change)>,
+    changes: VecDeque<(u64, MembershipChange)>,
 }
 
-impl Rolls {
+impl MembershipHistory {
     /// Takes up which gateways live now.
     pub(super) fn set(&mut self, gateways: Vec<Gateway>) {
-        let roll = Roll::new(gateways);
+        let roll = Membership::new(gateways);
         if roll.version == self.present.version {
             return;
         }
@@ -119,15 +119,15 @@
     }
 
     /// What a gateway is told that holds the roll with the version `held`; none where that is this one.
-    pub(super) fn news(&self, held: u64) -> Option<News> {
+    pub(super) fn news(&self, held: u64) -> Option<MembershipUpdate> {
         if held == self.present.version {
             return None;
         }
         let mut former = self.changes.iter();
         let since = former.rposition(|(version, _)| *version == held && held != 0);
         Some(match since {
-            Some(since) => News::Change(self.since(since)),
-            None => News::Whole(self.present.clone()),
+            Some(since) => MembershipUpdate::MembershipChange(self.since(since)),
+            None => MembershipUpdate::Whole(self.present.clone()),
         })
     }
 
@@ -139,7 +139,7 @@
     }
 
     /// The changes from the one at `place` on, as one.
-    fn since(&self, place: usize) -> Change {
+    fn since(&self, place: usize) -> MembershipChange {
         let mut come: HashSet<&Gateway> = HashSet::new();
         let mut gone: HashSet<&Gateway> = HashSet::new();
         for (_, change) in self.changes.iter().skip(place) {
@@ -155,7 +155,7 @@
                 }
             }
         }
-        Change {
+        MembershipChange {
             version: self.present.version,
             come: come.into_iter().cloned().collect(),
             gone: gone.into_iter().cloned().collect(),
--- a/crates/core/src/gateway/answers.rs
+++ b/crates/core/src/gateway/polls.rs
@@ -6,11 +6,11 @@
 use crate::id;
 use crate::state::Publication;
 
-use super::Deputies;
 use super::Hub;
-use super::Question;
+use super::Poll;
 use super::Reply;
 use super::ServerList;
+use super::Standbys;
 use super::server_list;
 
 /// How long a question waits for something new, for each gateway that asks.
@@ -33,12 +33,7 @@
 /// # Answers
 impl Hub {
     /// The answer to a question that was heard; `publication` is the table in force.
-    pub fn answer(
-        &mut self,
-        question: &Question,
-        publication: &Publication,
-        now: Instant,
-    ) -> Reply {
+    pub fn answer(&mut self, question: &Poll, publication: &Publication, now: Instant) -> Reply {
         self.follow_list(&question.host);
         let mut reply = self.answer_small(question, publication, now);
         let is_small = publication.document.as_packed().len() <= ALONG;
@@ -55,7 +50,7 @@
     /// When it is the asker's turn to be told what is large; none where nothing of that is new to it.
     pub fn turn(
         &mut self,
-        question: &Question,
+        question: &Poll,
         publication: &Publication,
         now: Instant,
     ) -> Option<Instant> {
@@ -68,7 +63,7 @@
     /// The answer without what is large: lists, rolls, tables.
     pub fn answer_small(
         &mut self,
-        question: &Question,
+        question: &Poll,
         publication: &Publication,
         now: Instant,
     ) -> Reply {
@@ -101,7 +96,7 @@
     /// leader's core by itself where each asks four times a second. Those whose parts the hub sets aside when they are
     /// silent, and those beside a replica, ask as often as in a small deployment.
     #[must_use]
-    pub fn wait(&self, question: &Question) -> Duration {
+    pub fn wait(&self, question: &Poll) -> Duration {
         let count = self.count();
         let wait = (WAIT_EACH * count).clamp(WAIT_LEAST, WAIT_MOST);
         if question.whole || self.holders.hosts.contains(&question.host) {
@@ -111,7 +106,7 @@
     }
 
     /// What a gateway is told of the list.
-    fn told(&self, question: &Question) -> server_list::Update {
+    fn told(&self, question: &Poll) -> server_list::Update {
         if question.whole {
             return server_list::Update::Whole(ServerList::clone(&self.listing));
         }
@@ -125,7 +120,7 @@
 
     /// Whether there is something that the asker does not hold yet, worth an answer at once.
     #[must_use]
-    pub fn has_news(&mut self, question: &Question) -> bool {
+    pub fn has_news(&mut self, question: &Poll) -> bool {
         if self.listing.version == 0 {
             return false;
         }
@@ -139,7 +134,7 @@
     ///
     /// A list that concerns it is worked out for it when it is told: for all gateways at the same moment that would keep
     /// a leader from its heartbeats.
-    fn has_other_list(&mut self, question: &Question) -> bool {
+    fn has_other_list(&mut self, question: &Poll) -> bool {
         let version = self.listing.version;
         let host = &question.host;
         let Some(seen) = self.seen.get_mut(host).filter(|_| version != 0) else {
@@ -163,7 +158,7 @@
     /// The part of what is let in without the hub's word that the asker holds.
     ///
     /// Where not all gateways can be deputies, those beside a replica are none: they go with it.
-    fn tell_deputy(&mut self, question: &Question, now: Instant) -> f64 {
+    fn tell_deputy(&mut self, question: &Poll, now: Instant) -> f64 {
         if question.whole && !self.are_few() {
             return 0.0;
         }
@@ -171,7 +166,7 @@
     }
 
     /// The deputies, where the asker knows others.
-    fn deputies_for(&self, question: &Question) -> Option<Deputies> {
+    fn deputies_for(&self, question: &Poll) -> Option<Standbys> {
         (self.holders.version != question.deputies).then(|| self.holders.clone())
     }
 
--- a/crates/core/src/gateway/rollouts.rs
+++ b/crates/core/src/gateway/rollouts.rs
@@ -11,9 +11,9 @@
 use crate::rollout::Step;
 use crate::rollout::Version;
 
-use super::Ended;
+use super::AttemptEnd;
 use super::Hub;
-use super::Question;
+use super::Poll;
 use super::Server;
 use super::ServerList;
 
@@ -63,19 +63,19 @@
     }
 
     /// The policy on versions and halls, where the asker goes by another.
-    pub(super) fn policy_for(&self, question: &Question) -> Option<Policy> {
+    pub(super) fn policy_for(&self, question: &Poll) -> Option<Policy> {
         let is_other = self.has_other_policy(question);
         is_other.then(|| self.policy.clone())
     }
 
     /// Whether the asker goes by another policy than the one in force; before there is one, by none.
-    pub(super) fn has_other_policy(&self, question: &Question) -> bool {
+    pub(super) fn has_other_policy(&self, question: &Poll) -> bool {
         let version = self.policy.version;
         version != 0 && version != question.policy
     }
 
     /// Takes up what answers show of a version on trial, and of the one beside it.
-    pub(super) fn watch(&mut self, ends: &[Ended]) {
+    pub(super) fn watch(&mut self, ends: &[AttemptEnd]) {
         for ended in ends {
             if !self.trials.is_under_way(&ended.service) {
                 continue;
--- a/crates/core/src/gateway/parts.rs
+++ b/crates/core/src/gateway/shares.rs
@@ -28,14 +28,14 @@
 /// parts enough, and one is taken out only once it has had no word for so long. A leader that has only
 /// begun counts from its own beginning.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Parts {
+pub struct Shares {
     /// How many parts there are.
     pub count: u32,
     /// The hosts that hold one.
     pub holders: BTreeSet<Host>,
 }
 
-impl Parts {
+impl Shares {
     /// The part that `host` holds, 0 to 1.
     #[must_use]
     pub fn of(&self, host: &Host) -> f64 {
@@ -65,13 +65,13 @@
 
 /// A leader's care of the parts.
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct ShareAllocator {
     began: Instant,
-    parts: Parts,
+    parts: Shares,
     /// Since when there are at least as many parts as now.
     grown: Instant,
     /// The change that is on its way into the log.
-    proposed: Option<Parts>,
+    proposed: Option<Shares>,
     /// When the last change was begun.
     changed: Instant,
     told: BTreeMap<Host, Told>,
@@ -79,13 +79,13 @@
     present: Option<(f64, Instant)>,
 }
 
-impl Keeper {
+impl ShareAllocator {
     /// A leader begins at `now`.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
             began: now,
-            parts: Parts::default(),
+            parts: Shares::default(),
             grown: now,
             proposed: None,
             changed: now,
@@ -95,7 +95,7 @@
     }
 
     /// Takes up the parts as they stand in the log at `now`.
-    pub fn adopt(&mut self, parts: &Parts, now: Instant) {
+    pub fn adopt(&mut self, parts: &Shares, now: Instant) {
         if *parts == self.parts {
             return;
         }
@@ -125,7 +125,7 @@
         let got = self.got(host);
         let last = (number, now);
         self.told.insert(host.clone(), Told { last, got });
-        let stays = |next: &Parts| next.holders.contains(host);
+        let stays = |next: &Shares| next.holders.contains(host);
         if self.proposed.as_ref().is_none_or(stays) {
             self.parts.of(host)
         } else {
@@ -160,7 +160,7 @@
     }
 
     /// The parts as they are to be, where they are to change; none is added to `most` holders or more.
-    pub fn tend(&mut self, most: usize, now: Instant) -> Option<Parts> {
+    pub fn tend(&mut self, most: usize, now: Instant) -> Option<Shares> {
         if now.since(self.changed) < APART || self.proposed.is_some() {
             return None;
         }
@@ -176,7 +176,7 @@
         Some(next)
     }
 
-    fn next(&self, most: usize, now: Instant) -> Parts {
+    fn next(&self, most: usize, now: Instant) -> Shares {
         let goes_by = |host: &Host| {
             let last = self.told.get(host).map_or(self.began, |told| told.last.1);
             now.since(last) < quota::HELD
@@ -191,13 +191,13 @@
             let count = wanted + wanted / FURTHER;
             // Where nobody holds a part, nobody goes by a larger one.
             let holders = if holders.is_empty() { come } else { holders };
-            return Parts { count, holders };
+            return Shares { count, holders };
         }
         let heard_of_it = |host: &Host| self.got(host).is_some_and(|got| got >= self.grown);
         if holders.iter().all(heard_of_it) {
             holders.extend(come);
         }
-        Parts {
+        Shares {
             count: self.parts.count,
             holders,
         }
--- a/crates/core/src/gateway/places.rs
+++ b/crates/core/src/gateway/slots.rs
@@ -9,14 +9,14 @@
 use super::Grant;
 use super::Hub;
 use super::Report;
+use super::SlotRequest;
 use super::Ticket;
-use super::Want;
 use super::dispatch::Left;
 use super::grant::Given;
 
 /// What becomes of a request that wants a place.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wanted {
+pub enum SlotDecision {
     /// It waits in line; another may have lost its place for want of room.
     Line(Ticket, Option<Ticket>),
     /// The service has no servers here.
@@ -32,17 +32,17 @@
 /// # Places at backend servers
 impl Hub {
     /// Draws what a request counts, and puts it in line.
-    pub fn want(&mut self, want: Want, now: Instant) -> Wanted {
+    pub fn want(&mut self, want: SlotRequest, now: Instant) -> SlotDecision {
         self.observe(&want.observed, now);
         if !self.dispatcher.has(&want.service) {
-            return Wanted::NoServers;
+            return SlotDecision::NoServers;
         }
         // By what it is, not by the try: each try is new to its gateway and here, and a request that ends servers
         // was given one for as often as it came: 13 servers ended in 16 s.
         let permit = match self.cases.ask(&want.identity, want.left, now) {
             Verdict::Free => None,
             Verdict::Permitted(permit) => Some(permit),
-            Verdict::Withheld(why) => return Wanted::Withheld(why),
+            Verdict::Withheld(why) => return SlotDecision::Withheld(why),
         };
         let mut given = Given {
             charge: None,
@@ -52,7 +52,7 @@
         if want.retry {
             if !self.retries.draw(&want.service, now) {
                 self.give_back(given, now);
-                return Wanted::NoRetry;
+                return SlotDecision::NoRetry;
             }
             given.retry = Some(want.service.clone());
         }
@@ -60,15 +60,15 @@
         if let Some(charge) = &want.charge {
             if let Err(wait) = self.desk.draw(charge, now) {
                 self.give_back(given, now);
-                return Wanted::Beyond(wait);
+                return SlotDecision::Beyond(wait);
             }
             given.charge = Some(charge.clone());
         }
         match self.dispatcher.want(want, given, now) {
-            Ok((ticket, last)) => Wanted::Line(ticket, last.map(|last| self.lost(last, now))),
+            Ok((ticket, last)) => SlotDecision::Line(ticket, last.map(|last| self.lost(last, now))),
             Err(given) => {
                 self.give_back(given, now);
-                Wanted::NoServers
+                SlotDecision::NoServers
             }
         }
     }
--- a/crates/core/src/gateway/sync.rs
+++ b/crates/core/src/gateway/sync.rs
@@ -14,8 +14,8 @@
 use crate::state::Publication;
 use crate::unit::Tokens;
 
-use super::Mark;
-use super::News;
+use super::GrantId;
+use super::MembershipUpdate;
 use super::ServerList;
 use super::ServerListUpdate;
 use super::version::version;
@@ -42,14 +42,14 @@
 
 /// The gateways that let requests of all in while the hub gives no word.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Deputies {
+pub struct Standbys {
     /// Tells one content from another; not an order.
     pub version: u64,
     /// Their hosts.
     pub hosts: Vec<id::Host>,
 }
 
-impl Deputies {
+impl Standbys {
     /// These deputies.
     #[must_use]
     pub fn new(hosts: Vec<id::Host>) -> Self {
@@ -60,7 +60,7 @@
 
 /// What a gateway asks and tells.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Question {
+pub struct Poll {
     /// Its host.
     pub host: id::Host,
     /// Where callers reach it, and its data hall.
@@ -80,7 +80,7 @@
     /// The version of the policy on versions that it goes by; 0 before it has one.
     pub policy: u64,
     /// The last grant that it has got.
-    pub mark: Mark,
+    pub mark: GrantId,
     /// What it has in flight.
     pub loads: Vec<Load>,
     /// The number of the hub's answer that it has got last.
@@ -117,7 +117,7 @@
     /// The version of the whole list that the hub holds.
     pub held: u64,
     /// What is new of the gateways that live.
-    pub roll: Option<News>,
+    pub roll: Option<MembershipUpdate>,
     /// How long the asker's next question may wait for something new.
     pub wait: Duration,
     /// The part (0 to 1) that the asker holds of the sendings past the first that gateways may do by
@@ -126,7 +126,7 @@
     /// The part (0 to 1) that it holds of what gateways may let in without the hub's word.
     pub deputy: f64,
     /// The hosts that hold such a part, where the asker knows others.
-    pub deputies: Option<Deputies>,
+    pub deputies: Option<Standbys>,
     /// Which versions gateways may send to by their own choice, where the asker goes by another policy.
     pub policy: Option<Policy>,
     /// What the other gateways have in flight at the servers of the asker's subset.
--- a/crates/core/src/limit/local.rs
+++ b/crates/core/src/limit/local.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use crate::clock::Instant;
-use crate::gateway::Mark;
+use crate::gateway::GrantId;
 use crate::gateway::Server;
 use crate::id;
 
@@ -74,7 +74,7 @@
         &mut self,
         server: &Server,
         said: &Said,
-        mark: Mark,
+        mark: GrantId,
         sent: Instant,
         now: Instant,
     ) -> Option<Said> {
@@ -169,7 +169,7 @@
             number: 0,
             key,
             rate: Some(rate),
-            mark: Mark::default(),
+            mark: GrantId::default(),
         };
         self.note(word, Instant::default(), now);
     }
@@ -182,7 +182,7 @@
         if let Some(former) = unordered {
             let former = &former.word;
             if former.rate.is_some() || word.rate.is_some() {
-                word.mark = Mark::default();
+                word.mark = GrantId::default();
             }
             word.rate = match (former.rate, word.rate) {
                 (Some(a), Some(b)) if a <= b => Some(a),
@@ -215,7 +215,7 @@
     /// Whether a request with a place by the grant `mark`, which was not drawn from its server's limit, is not to be
     /// sent: who gave the place did not know of the limit.
     #[must_use]
-    pub fn closes(&self, server: &Server, mark: Mark) -> bool {
+    pub fn closes(&self, server: &Server, mark: GrantId) -> bool {
         let key = Key::of(server);
         // A life that has begun since may answer to the same name.
         let next = self.next_life(server);
--- a/crates/core/src/limit/word.rs
+++ b/crates/core/src/limit/word.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::gateway::Mark;
+use crate::gateway::GrantId;
 use crate::gateway::Server;
 use crate::id;
 
@@ -44,7 +44,7 @@
     /// The rate that it named; none where it named none.
     pub rate: Option<Rate>,
     /// The hub's grant by which the request was sent; none of this hub's where it was not.
-    pub mark: Mark,
+    pub mark: GrantId,
 }
 
 /// What a gateway has to tell that its hub has not acknowledged.
--- a/crates/core/src/quota/reserve.rs
+++ b/crates/core/src/quota/reserve.rs
@@ -57,7 +57,7 @@
 ///
 /// It has a part of the tolerance at all times, and once the hub has been silent for [`ALONE`], a part
 /// of the allowances too. Parts of all gateways together are never more than one
-/// ([`crate::gateway::Parts`]). All buckets begin empty, so that a start anew gives nobody more.
+/// ([`crate::gateway::Shares`]). All buckets begin empty, so that a start anew gives nobody more.
 #[derive(Clone, Debug, Default)]
 pub struct Reserve {
     tolerance: Tolerance,
--- a/crates/core/src/rollout/trials.rs
+++ b/crates/core/src/rollout/trials.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use crate::clock::Instant;
-use crate::gateway::Ended;
+use crate::gateway::AttemptEnd;
 use crate::gateway::Server;
 use crate::gateway::ServerList;
 use crate::id;
@@ -126,7 +126,7 @@
     }
 
     /// Takes up how a sending ended at a server of `version`; the target has so many `servers`.
-    pub fn ended(&mut self, ended: &Ended, version: &Version, servers: usize) {
+    pub fn ended(&mut self, ended: &AttemptEnd, version: &Version, servers: usize) {
         let Some(under_way) = self.under_way.get_mut(&ended.service) else {
             return;
         };
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -11,7 +11,7 @@
 use crate::config::Right;
 use crate::config::Snapshot;
 use crate::evacuation::Halls;
-use crate::gateway::Parts;
+use crate::gateway::Shares;
 use crate::id;
 use crate::lang;
 use crate::lang::Statement;
@@ -70,9 +70,9 @@
     #[serde(default)]
     publication: Publication,
     #[serde(default)]
-    parts: Parts,
+    parts: Shares,
     #[serde(default)]
-    deputies: Parts,
+    deputies: Shares,
     #[serde(default)]
     plans: Plans,
     #[serde(default)]
@@ -185,13 +185,13 @@
 
     /// Which gateways hold a part of the sendings past the first that they may do by themselves.
     #[must_use]
-    pub fn get_parts(&self) -> &Parts {
+    pub fn get_parts(&self) -> &Shares {
         &self.parts
     }
 
     /// Which gateways hold a part of what may be let in without the hub's word.
     #[must_use]
-    pub fn get_deputies(&self) -> &Parts {
+    pub fn get_deputies(&self) -> &Shares {
         &self.deputies
     }
 
--- a/crates/core/src/state/record.rs
+++ b/crates/core/src/state/record.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 
 use crate::evacuation;
-use crate::gateway::Parts;
+use crate::gateway::Shares;
 use crate::id;
 use crate::quarantine;
 use crate::rollout;
@@ -42,9 +42,9 @@
     /// A routing table.
     Publication(Publication),
     /// Which gateways hold a part of the sendings past the first that they may do by themselves.
-    Parts(Parts),
+    Parts(Shares),
     /// Which gateways hold a part of what may be let in without the hub's word.
-    Deputies(Parts),
+    Deputies(Shares),
     /// A step of a roll-out.
     Rollout(rollout::Step),
     /// Steps of the list of requests under which servers ended.
--- a/crates/core/tests/evacuated_halls.rs
+++ b/crates/core/tests/evacuated_halls.rs
@@ -12,9 +12,9 @@
 use curlewlift_core::gateway::Hub;
 use curlewlift_core::gateway::Server;
 use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::SlotDecision;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::gateway::Tuning;
-use curlewlift_core::gateway::Want;
-use curlewlift_core::gateway::Wanted;
 use curlewlift_core::pool;
 use curlewlift_core::pool::Ask;
 use curlewlift_core::pool::Pool;
@@ -61,15 +61,15 @@
 }
 
 /// Where the hub gives places to one request.
-fn given(hub: &mut Hub, want: Want, now: Instant) -> Vec<String> {
-    assert!(matches!(hub.want(want, now), Wanted::Line(..)));
+fn given(hub: &mut Hub, want: SlotRequest, now: Instant) -> Vec<String> {
+    assert!(matches!(hub.want(want, now), SlotDecision::Line(..)));
     let grants = hub.serve(now).into_iter();
     grants
         .map(|(_, grant)| grant.server.name.to_string())
         .collect()
 }
 
-fn want() -> Want {
+fn want() -> SlotRequest {
     messages::want(&"g".parse().expect("a name"))
 }
 
@@ -130,7 +130,7 @@
 #[test]
 fn stays_home() {
     let mut hub = hub();
-    let bound = |halls: &[&str]| Want {
+    let bound = |halls: &[&str]| SlotRequest {
         halls: Some(halls.iter().map(|hall| (*hall).into()).collect()),
         ..want()
     };
--- a/crates/core/tests/gateway_hub.rs
+++ b/crates/core/tests/gateway_hub.rs
@@ -9,8 +9,8 @@
 use curlewlift_core::gateway::Gateway;
 use curlewlift_core::gateway::Hub;
 use curlewlift_core::gateway::Load;
-use curlewlift_core::gateway::Question;
-use curlewlift_core::gateway::Roll;
+use curlewlift_core::gateway::Membership;
+use curlewlift_core::gateway::Poll;
 use curlewlift_core::gateway::Server;
 use curlewlift_core::gateway::ServerList;
 use curlewlift_core::gateway::ServerListUpdate;
@@ -20,13 +20,13 @@
 
 use support::messages;
 
-fn question(host: &str, in_flight: u32) -> Question {
+fn question(host: &str, in_flight: u32) -> Poll {
     let load = Load {
         incarnation: "s1".into(),
         requests: in_flight,
         reading: Tokens(0),
     };
-    Question {
+    Poll {
         gateway: Gateway {
             hall: "a".into(),
             callers: format!("127.0.0.{}:80", host.len())
@@ -82,13 +82,17 @@
     let both = hub
         .answer(&question("g", 0), &Publication::default(), seconds(1))
         .roll;
-    let both = Roll::default().after(both.expect("new")).expect("whole");
+    let both = Membership::default()
+        .after(both.expect("new"))
+        .expect("whole");
     assert_eq!(both.gateways.len(), 2, "a stopping one takes no callers");
     hub.hear(&question("g", 0), seconds(4));
     let one = hub
         .answer(&question("g", 0), &Publication::default(), seconds(4))
         .roll;
-    let one = Roll::default().after(one.expect("new")).expect("whole");
+    let one = Membership::default()
+        .after(one.expect("new"))
+        .expect("whole");
     assert_eq!(one.gateways.len(), 1);
 }
 
--- a/crates/core/tests/hub_places.rs
+++ b/crates/core/tests/hub_places.rs
@@ -10,20 +10,20 @@
 use std::time::Duration;
 
 use curlewlift_core::clock::Instant;
-use curlewlift_core::gateway::Ended;
+use curlewlift_core::gateway::AttemptEnd;
 use curlewlift_core::gateway::Gateway;
 use curlewlift_core::gateway::Grant;
+use curlewlift_core::gateway::GrantId;
 use curlewlift_core::gateway::Hub;
 use curlewlift_core::gateway::Load;
-use curlewlift_core::gateway::Mark;
-use curlewlift_core::gateway::Question;
+use curlewlift_core::gateway::Poll;
 use curlewlift_core::gateway::Report;
 use curlewlift_core::gateway::Server;
 use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::SlotDecision;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::gateway::Ticket;
 use curlewlift_core::gateway::Tuning;
-use curlewlift_core::gateway::Want;
-use curlewlift_core::gateway::Wanted;
 use curlewlift_core::pool::End;
 use curlewlift_core::unit::Tokens;
 use rand::RngExt;
@@ -63,8 +63,8 @@
     hub
 }
 
-fn want(host: &str, rank: u8) -> Want {
-    Want {
+fn want(host: &str, rank: u8) -> SlotRequest {
+    SlotRequest {
         rank: rank.into(),
         wanted: Duration::from_millis(100),
         patience: Duration::from_millis(200),
@@ -74,9 +74,9 @@
     }
 }
 
-fn line(wanted: Wanted) -> Ticket {
+fn line(wanted: SlotDecision) -> Ticket {
     match wanted {
-        Wanted::Line(ticket, _) => ticket,
+        SlotDecision::Line(ticket, _) => ticket,
         other => panic!("no place in line: {other:?}"),
     }
 }
@@ -87,7 +87,7 @@
 
 fn report(host: &str, number: u64, in_flight: u32) -> Report {
     Report {
-        mark: Mark { hub: HUB, number },
+        mark: GrantId { hub: HUB, number },
         loads: vec![Load {
             incarnation: "s1".into(),
             requests: in_flight,
@@ -98,7 +98,7 @@
 }
 
 /// A hub whose only server is full with what `g` was granted; the last grant's mark.
-fn full() -> (Hub, Mark) {
+fn full() -> (Hub, GrantId) {
     let mut hub = hub(&["s1"]);
     for _ in 0..=SLOTS {
         asks(&mut hub, "g", 1, ms(1));
@@ -165,7 +165,7 @@
 #[test]
 fn silent_gateway_dropped() {
     let mut hub = hub(&["s1"]);
-    let question = Question {
+    let question = Poll {
         gateway: Gateway {
             hall: "a".into(),
             callers: "127.0.0.1:80".parse().expect("an address"),
@@ -207,7 +207,7 @@
 fn broken_avoided_by_all() {
     let mut hub = hub(&["s1", "s2"]);
     let mut broke = report("g", 0, 0);
-    broke.ends.push(Ended {
+    broke.ends.push(AttemptEnd {
         service: "chat".parse().expect("a name"),
         incarnation: "s1".into(),
         watched: None,
@@ -227,13 +227,13 @@
     let mut hub = hub(&["s1"]);
     let mut other = want("g", 1);
     other.service = "none".parse().expect("a name");
-    assert_eq!(hub.want(other, ms(1)), Wanted::NoServers);
+    assert_eq!(hub.want(other, ms(1)), SlotDecision::NoServers);
 }
 
 /// A gateway as the hub meets it: words take their time, and come in order.
 #[derive(Default)]
 struct Side {
-    mark: Mark,
+    mark: GrantId,
     running: BTreeMap<Arc<str>, u32>,
     to_it: VecDeque<(u64, Grant)>,
     to_hub: VecDeque<(u64, Report)>,
--- a/crates/core/tests/large_fleets.rs
+++ b/crates/core/tests/large_fleets.rs
@@ -9,9 +9,9 @@
 use curlewlift_core::gateway::Gateway;
 use curlewlift_core::gateway::Hub;
 use curlewlift_core::gateway::Load;
-use curlewlift_core::gateway::Question;
+use curlewlift_core::gateway::Membership;
+use curlewlift_core::gateway::Poll;
 use curlewlift_core::gateway::Reply;
-use curlewlift_core::gateway::Roll;
 use curlewlift_core::gateway::Server;
 use curlewlift_core::gateway::ServerList;
 use curlewlift_core::gateway::ServerListCache;
@@ -54,12 +54,12 @@
     place: usize,
     ready: bool,
     listing: ServerList,
-    roll: Roll,
+    roll: Membership,
 }
 
 impl Asker {
-    fn question(&self, loads: Vec<Load>) -> Question {
-        Question {
+    fn question(&self, loads: Vec<Load>) -> Poll {
+        Poll {
             gateway: Gateway {
                 hall: "a".into(),
                 callers: format!("10.0.{}.{}:80", self.place / 200, self.place % 200)
@@ -200,10 +200,10 @@
                 continue;
             };
             // News of a roll that is not held any more are seen as such.
-            let stale = Roll::default().after(news.clone());
-            assert!(stale.is_none_or(|roll| roll == Roll::new(roll.gateways.clone())));
+            let stale = Membership::default().after(news.clone());
+            assert!(stale.is_none_or(|roll| roll == Membership::new(roll.gateways.clone())));
             let after = asker.roll.after(news).expect("about the roll held");
-            assert_eq!(after, Roll::new(after.gateways.clone()));
+            assert_eq!(after, Membership::new(after.gateways.clone()));
             asker.roll = after;
         }
         let now = ms(600 * 30 + 100);
--- a/crates/core/tests/limit_words.rs
+++ b/crates/core/tests/limit_words.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use curlewlift_core::clock::Instant;
-use curlewlift_core::gateway::Mark;
+use curlewlift_core::gateway::GrantId;
 use curlewlift_core::gateway::Server;
 use curlewlift_core::id;
 use curlewlift_core::limit::Key;
@@ -34,8 +34,8 @@
     Said::Named(rate(text))
 }
 
-fn mark(number: u64) -> Mark {
-    Mark { hub: HUB, number }
+fn mark(number: u64) -> GrantId {
+    GrantId { hub: HUB, number }
 }
 
 fn host() -> id::Host {
@@ -105,7 +105,7 @@
     let mut hub = Hub::new();
     hub.hear("s", Some("3"), 5, 10);
     let server = life("s", 1);
-    for (number, mark) in [(2, Mark { hub: 1, number: 99 }), (3, Mark::default())] {
+    for (number, mark) in [(2, GrantId { hub: 1, number: 99 }), (3, GrantId::default())] {
         let word = Word {
             number,
             key: Key::of(&server),
@@ -137,21 +137,21 @@
 fn kept_until_lifted() {
     let server = life("s", 1);
     let (mut local, mut first) = (Local::new(1), Table::new(1));
-    local.hear(&server, &named("3"), Mark::default(), at(0), at(1));
+    local.hear(&server, &named("3"), GrantId::default(), at(0), at(1));
     assert!(local.closes(&server, mark(1)));
     // Neither its own answers lift it, whatever their order, nor that the hub knows of it.
-    local.hear(&server, &Said::Nothing, Mark::default(), at(0), at(2));
+    local.hear(&server, &Said::Nothing, GrantId::default(), at(0), at(2));
     assert!(local.closes(&server, mark(1)));
     let upto = local.get_last();
     first.hear(&host(), &local.words(), 9, at(3));
     let _ = local.heard(1, upto, None, at(4));
     assert!(local.words().words.is_empty());
-    assert!(local.closes(&server, Mark { hub: 1, number: 9 }));
+    assert!(local.closes(&server, GrantId { hub: 1, number: 9 }));
     first.publish(at(5));
     let news = first.since(local.get_held());
     let _ = local.heard(1, upto, news.as_ref(), at(6));
-    assert!(local.closes(&server, Mark { hub: 1, number: 9 }));
-    let later = Mark { hub: 1, number: 10 };
+    assert!(local.closes(&server, GrantId { hub: 1, number: 9 }));
+    let later = GrantId { hub: 1, number: 10 };
     assert!(!local.closes(&server, later), "given once it was known");
     // The next hub is told.
     let news = Table::new(2).since(local.get_held());
--- a/crates/core/tests/support/ending.rs
+++ b/crates/core/tests/support/ending.rs
@@ -7,13 +7,13 @@
 use curlewlift_core::clock::Instant;
 use curlewlift_core::gateway::Gateway;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Question;
+use curlewlift_core::gateway::Poll;
 use curlewlift_core::gateway::Report;
 use curlewlift_core::gateway::Server;
 use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::SlotDecision;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::gateway::Tuning;
-use curlewlift_core::gateway::Want;
-use curlewlift_core::gateway::Wanted;
 use curlewlift_core::id;
 use curlewlift_core::quarantine::Identity;
 use curlewlift_core::quarantine::List;
@@ -382,8 +382,8 @@
         let now = self.now;
         let hub = self.hub.as_mut().expect("it is heard");
         let ticket = match hub.want(want, now) {
-            Wanted::Line(ticket, _) => ticket,
-            Wanted::Withheld(why) => return Err(Came::Withheld(why)),
+            SlotDecision::Line(ticket, _) => ticket,
+            SlotDecision::Withheld(why) => return Err(Came::Withheld(why)),
             _ => return Err(Came::NoServer),
         };
         let served = hub.serve(now).into_iter();
@@ -446,8 +446,8 @@
     }
 }
 
-fn question(node: &Node, observed: Vec<Observation>) -> Question {
-    Question {
+fn question(node: &Node, observed: Vec<Observation>) -> Poll {
+    Poll {
         gateway: Gateway {
             hall: "a".into(),
             callers: "127.0.0.1:80".parse().expect("an address"),
@@ -458,8 +458,8 @@
     }
 }
 
-fn want(node: &Node, identity: &Identity) -> Want {
-    Want {
+fn want(node: &Node, identity: &Identity) -> SlotRequest {
+    SlotRequest {
         identity: identity.clone(),
         observed: node.quarantine.get_evidence().untold_of(identity),
         ..messages::want(&node.host)
--- a/crates/core/tests/support/gateways.rs
+++ b/crates/core/tests/support/gateways.rs
@@ -7,15 +7,15 @@
 use curlewlift_core::clock::Instant;
 use curlewlift_core::gateway::Gateway;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Parts;
-use curlewlift_core::gateway::Question;
+use curlewlift_core::gateway::Poll;
 use curlewlift_core::gateway::Reply;
 use curlewlift_core::gateway::Server;
 use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::Shares;
+use curlewlift_core::gateway::SlotDecision;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::gateway::Ticket;
 use curlewlift_core::gateway::Tuning;
-use curlewlift_core::gateway::Want;
-use curlewlift_core::gateway::Wanted;
 use curlewlift_core::id;
 use curlewlift_core::quota::Charge;
 use curlewlift_core::quota::Reserve;
@@ -95,8 +95,8 @@
         }
     }
 
-    fn question(&self) -> Question {
-        Question {
+    fn question(&self) -> Poll {
+        Poll {
             gateway: Gateway {
                 hall: "a".into(),
                 callers: "127.0.0.1:80".parse().expect("an address"),
@@ -115,8 +115,8 @@
     hub: Option<Hub>,
     /// When the next hub begins, where there is none.
     next_hub: Option<Instant>,
-    parts: Parts,
-    commit: Option<(Instant, Parts)>,
+    parts: Shares,
+    commit: Option<(Instant, Shares)>,
     now: Instant,
     random: ChaCha8Rng,
     /// Of a hundred answers so many are lost.
@@ -145,7 +145,7 @@
             nodes: (0..count).map(|place| Node::new(place, now)).collect(),
             hub: None,
             next_hub: None,
-            parts: Parts::default(),
+            parts: Shares::default(),
             commit: None,
             now,
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -440,7 +440,7 @@
             want.tried = vec!["s".into()];
             want.avoid = vec![("s".into(), Duration::from_secs(10))];
         }
-        let Wanted::Line(ticket, _) = hub.want(want, now) else {
+        let SlotDecision::Line(ticket, _) = hub.want(want, now) else {
             return false;
         };
         if gets_none {
@@ -476,8 +476,8 @@
     }
 }
 
-fn want(host: &id::Host, charge: Charge) -> Want {
-    Want {
+fn want(host: &id::Host, charge: Charge) -> SlotRequest {
+    SlotRequest {
         left: Duration::from_secs(10),
         charge: Some(charge),
         ..messages::want(host)
--- a/crates/core/tests/support/limited.rs
+++ b/crates/core/tests/support/limited.rs
@@ -6,17 +6,17 @@
 
 use curlewlift_core::clock::Instant;
 use curlewlift_core::gateway::Grant;
+use curlewlift_core::gateway::GrantId;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Mark;
-use curlewlift_core::gateway::Question;
+use curlewlift_core::gateway::Poll;
 use curlewlift_core::gateway::Reply;
 use curlewlift_core::gateway::Report;
 use curlewlift_core::gateway::Server;
 use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::SlotDecision;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::gateway::Ticket;
 use curlewlift_core::gateway::Tuning;
-use curlewlift_core::gateway::Want;
-use curlewlift_core::gateway::Wanted;
 use curlewlift_core::id;
 use curlewlift_core::limit::Change;
 use curlewlift_core::limit::Key;
@@ -170,7 +170,7 @@
     Connecting(Arc<Server>, Option<Grant>, Instant),
     Sent(Arc<Server>, Option<Grant>, Instant, Instant),
     /// On its way back, with what the server says.
-    Answered(Arc<Server>, Mark, Instant, Word, End),
+    Answered(Arc<Server>, GrantId, Instant, Word, End),
 }
 
 /// What an answer says of its server's limit, and which life of the server said it.
@@ -199,7 +199,7 @@
 }
 
 enum Says {
-    Asks(Box<Question>),
+    Asks(Box<Poll>),
     Answers(Box<Reply>),
 }
 
@@ -417,7 +417,7 @@
             let due = self.now + self.millis(1, 30);
             let node = &mut self.nodes[place];
             node.asks = self.now + CALL;
-            let question = Question {
+            let question = Poll {
                 limits: node.limits.words(),
                 limits_held: node.limits.get_held(),
                 ..messages::question(&node.host)
@@ -593,7 +593,7 @@
             }
             Stage::Sent(server, grant, given, sent) => {
                 let is_drawn = grant.as_ref().is_some_and(|grant| grant.drawn);
-                let mark = grant.map_or(Mark::default(), |grant| grant.mark);
+                let mark = grant.map_or(GrantId::default(), |grant| grant.mark);
                 self.undrawn += u32::from(!is_drawn && self.was_told(place, &server, sent));
                 self.arrive(place, server, mark, given)
             }
@@ -621,13 +621,13 @@
     fn line_up(&mut self, place: usize, tried: &[Arc<str>]) -> Option<(Stage, Instant)> {
         let now = self.now;
         let node = &self.nodes[place];
-        let want = Want {
+        let want = SlotRequest {
             tried: tried.to_vec(),
             ..messages::want(&node.host)
         };
         // It is sent to whoever leads at the address that answered last.
         let hub = self.hub.as_mut().filter(|_| !node.cut);
-        if let Some(Wanted::Line(ticket, _)) = hub.map(|(_, hub)| hub.want(want, now)) {
+        if let Some(SlotDecision::Line(ticket, _)) = hub.map(|(_, hub)| hub.want(want, now)) {
             return Some((Stage::InLine(ticket), now + HELD));
         }
         self.refused += 1;
@@ -660,7 +660,9 @@
     ) -> Option<(Stage, Instant)> {
         let due = self.now + self.millis(1, 4);
         let is_drawn = grant.as_ref().is_some_and(|grant| grant.drawn);
-        let mark = grant.as_ref().map_or(Mark::default(), |grant| grant.mark);
+        let mark = grant
+            .as_ref()
+            .map_or(GrantId::default(), |grant| grant.mark);
         let is_beyond = !is_drawn && self.nodes[place].limits.closes(&server, mark);
         let looks = !matches!(
             self.flaw,
@@ -687,7 +689,7 @@
         &mut self,
         gateway: usize,
         server: Arc<Server>,
-        mark: Mark,
+        mark: GrantId,
         given: Instant,
     ) -> (Stage, Instant) {
         let now = self.now;
@@ -746,7 +748,7 @@
         place: usize,
         server: &Arc<Server>,
         word: &Word,
-        mark: Mark,
+        mark: GrantId,
         given: Instant,
     ) {
         let now = self.now;
@@ -763,7 +765,7 @@
         }
         let any_lifts = self.flaw == Some(Flaw::AnyLifts);
         let mark = match self.nodes[place].hub {
-            Some((hub, _)) if any_lifts => Mark {
+            Some((hub, _)) if any_lifts => GrantId {
                 hub,
                 number: u64::MAX,
             },
--- a/crates/core/tests/support/messages.rs
+++ b/crates/core/tests/support/messages.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use curlewlift_core::gateway::Gateway;
-use curlewlift_core::gateway::Mark;
-use curlewlift_core::gateway::Question;
+use curlewlift_core::gateway::GrantId;
+use curlewlift_core::gateway::Poll;
 use curlewlift_core::gateway::Report;
-use curlewlift_core::gateway::Want;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::id;
 use curlewlift_core::limit::Words;
 use curlewlift_core::quarantine::Identity;
@@ -14,8 +14,8 @@
 use curlewlift_core::unit::Tokens;
 
 /// A request that waits for a second at most.
-pub(crate) fn want(host: &id::Host) -> Want {
-    Want {
+pub(crate) fn want(host: &id::Host) -> SlotRequest {
+    SlotRequest {
         host: host.clone(),
         hall: "a".into(),
         rule: None,
@@ -38,8 +38,8 @@
 }
 
 /// The question of a gateway that takes callers and holds nothing.
-pub(crate) fn question(host: &id::Host) -> Question {
-    Question {
+pub(crate) fn question(host: &id::Host) -> Poll {
+    Poll {
         host: host.clone(),
         gateway: Gateway {
             hall: "a".into(),
@@ -52,7 +52,7 @@
         roll: 0,
         deputies: 0,
         policy: 0,
-        mark: Mark::default(),
+        mark: GrantId::default(),
         loads: Vec::new(),
         got: 0,
         quarantine: 0,
@@ -67,7 +67,7 @@
 pub(crate) fn report(host: &id::Host) -> Report {
     Report {
         host: host.clone(),
-        mark: Mark::default(),
+        mark: GrantId::default(),
         loads: Vec::new(),
         ends: Vec::new(),
         observed: Vec::new(),
--- a/crates/core/tests/support/resting.rs
+++ b/crates/core/tests/support/resting.rs
@@ -5,17 +5,17 @@
 use std::time::Duration;
 
 use curlewlift_core::clock::Instant;
-use curlewlift_core::gateway::Ended;
+use curlewlift_core::gateway::AttemptEnd;
 use curlewlift_core::gateway::Grant;
+use curlewlift_core::gateway::GrantId;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Mark;
 use curlewlift_core::gateway::Report;
 use curlewlift_core::gateway::Server;
 use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::SlotDecision;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::gateway::Ticket;
 use curlewlift_core::gateway::Tuning;
-use curlewlift_core::gateway::Want;
-use curlewlift_core::gateway::Wanted;
 use curlewlift_core::id;
 use curlewlift_core::pool;
 use curlewlift_core::pool::Ask;
@@ -99,7 +99,7 @@
     host: id::Host,
     pool: Pool,
     /// The last grant that it has got.
-    mark: Mark,
+    mark: GrantId,
     cut: bool,
     /// Until when it is suspended.
     suspended: Instant,
@@ -201,7 +201,7 @@
         Node {
             host: format!("g{place}").parse().expect("a name"),
             pool: Pool::new(pool::Tuning::default(), place as u64),
-            mark: Mark::default(),
+            mark: GrantId::default(),
             cut: false,
             suspended: self.now,
             next_copy: self.now,
@@ -401,7 +401,7 @@
         let node = &mut self.nodes[place];
         let stage = match &mut self.hub {
             Some(hub) if hears => match hub.want(want(node, now), now) {
-                Wanted::Line(ticket, _) => Stage::InLine(ticket),
+                SlotDecision::Line(ticket, _) => Stage::InLine(ticket),
                 _ => return,
             },
             _ => {
@@ -600,7 +600,7 @@
             return;
         }
         let node = &self.nodes[place];
-        let ended = Ended {
+        let ended = AttemptEnd {
             service: server.service.clone(),
             incarnation: Arc::clone(&server.incarnation),
             watched: None,
@@ -618,8 +618,8 @@
     }
 }
 
-fn want(node: &Node, now: Instant) -> Want {
-    Want {
+fn want(node: &Node, now: Instant) -> SlotRequest {
+    SlotRequest {
         avoid: node.pool.avoided(&[], now).collect(),
         rests: node.pool.get_notices().resting(now).collect(),
         halls: None,
--- a/crates/core/tests/thousand_gateways.rs
+++ b/crates/core/tests/thousand_gateways.rs
@@ -9,21 +9,21 @@
 
 use curlewlift_core::clock::Instant;
 use curlewlift_core::gateway;
+use curlewlift_core::gateway::BulkSchedule;
+use curlewlift_core::gateway::Distribution;
 use curlewlift_core::gateway::Gateway;
-use curlewlift_core::gateway::Handout;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Pace;
-use curlewlift_core::gateway::Question;
+use curlewlift_core::gateway::LeaderSearch;
+use curlewlift_core::gateway::Membership;
+use curlewlift_core::gateway::Poll;
 use curlewlift_core::gateway::Reply;
-use curlewlift_core::gateway::Roll;
-use curlewlift_core::gateway::Search;
 use curlewlift_core::gateway::Server;
 use curlewlift_core::gateway::ServerList;
 use curlewlift_core::gateway::ServerListCache;
+use curlewlift_core::gateway::SlotDecision;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::gateway::Tuning;
-use curlewlift_core::gateway::Want;
-use curlewlift_core::gateway::Wanted;
-use curlewlift_core::gateway::apart;
+use curlewlift_core::gateway::call_interval;
 use curlewlift_core::id;
 use curlewlift_core::pool::Allowed;
 use curlewlift_core::pool::Budget;
@@ -65,7 +65,7 @@
     ready: bool,
     callers: Gateway,
     holding: ServerListCache,
-    roll: Roll,
+    roll: Membership,
 }
 
 impl Asker {
@@ -80,13 +80,13 @@
                     .expect("an address"),
             },
             holding: ServerListCache::new(host.clone(), false),
-            roll: Roll::default(),
+            roll: Membership::default(),
             host,
         }
     }
 
-    fn question(&self) -> Question {
-        Question {
+    fn question(&self) -> Poll {
+        Poll {
             gateway: self.callers.clone(),
             ready: self.ready,
             listing: self.holding.get_version(),
@@ -248,7 +248,7 @@
 /// first, however often they ask again.
 #[test]
 fn turns_in_order() {
-    let mut pace = Pace::default();
+    let mut pace = BulkSchedule::default();
     let first: Vec<_> = (0..GATEWAYS)
         .map(|place| pace.turn(&host(place), ms(0)))
         .collect();
@@ -313,7 +313,7 @@
         let question = askers[1].question();
         hub.hear(&question, last);
         let reply = hub.answer(&question, &Publication::default(), last);
-        let Some(gateway::News::Whole(roll)) = reply.roll else {
+        let Some(gateway::MembershipUpdate::Whole(roll)) = reply.roll else {
             panic!("no roll: {:?}", reply.roll);
         };
         assert_eq!(roll.gateways.len(), gateways);
@@ -328,7 +328,7 @@
         let mut random = SmallRng::seed_from_u64(1);
         let mut asked = [0; 10];
         for _ in 0..GATEWAYS {
-            let mut search = Search::default();
+            let mut search = LeaderSearch::default();
             let mut at = Duration::ZERO;
             while at < Duration::from_secs(10) {
                 asked[usize::try_from(at.as_secs()).expect("few")] += 1;
@@ -338,7 +338,7 @@
         }
         assert!(asked[1..].iter().all(|asked| *asked < 2_500), "{asked:?}");
     }
-    let mut search = Search::default();
+    let mut search = LeaderSearch::default();
     search.missed();
     assert!(search.pause(0, 1.0) < Duration::from_millis(100));
     search.found();
@@ -350,11 +350,16 @@
 #[test]
 fn calls_of_all() {
     for gateways in [12, 300, 1_000, 2_000] {
-        let apart = apart(gateways, 190.0);
-        let calls = 1.0 / apart.as_secs_f64() * f64::from(u32::try_from(gateways).expect("few"));
+        let call_interval = call_interval(gateways, 190.0);
+        let calls =
+            1.0 / call_interval.as_secs_f64() * f64::from(u32::try_from(gateways).expect("few"));
         assert!(calls <= 96.0, "{gateways}: {calls} calls a second");
     }
-    assert_eq!(apart(1_000, 0.0), Duration::ZERO, "no rate is known");
+    assert_eq!(
+        call_interval(1_000, 0.0),
+        Duration::ZERO,
+        "no rate is known"
+    );
 }
 
 /// A table is handed to as many gateways as a hundredth of a second of the leader's link bears; one that asks no more
@@ -362,7 +367,7 @@
 #[test]
 fn handed_out() {
     for (link, most) in [(0.0, 6), (12.5e6, 6), (125e6, 61)] {
-        let mut handout = Handout::new(link);
+        let mut handout = Distribution::new(link);
         let admitted = (0..GATEWAYS)
             .filter(|place| handout.admit(&host(*place), ms(0)))
             .count();
@@ -419,11 +424,11 @@
                 }
                 wanted += 1;
                 let is_sent = budgets[place].take(1.0 / 1_119.0, now) || {
-                    let want = Want {
+                    let want = SlotRequest {
                         retry: true,
                         ..messages::want(&host(place))
                     };
-                    matches!(hub.want(want, now), Wanted::Line(..))
+                    matches!(hub.want(want, now), SlotDecision::Line(..))
                 };
                 if is_sent {
                     granted += 1;
--- a/crates/curlewlift/src/control/handout.rs
+++ b/crates/curlewlift/src/control/handout.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use curlewlift_core::code::Refusal;
-use curlewlift_core::gateway::Piece;
+use curlewlift_core::gateway::Chunk;
 use curlewlift_core::id;
 use tokio::time::Instant;
 
@@ -45,14 +45,14 @@
 
 impl State {
     /// The piece, where it is the gateway's turn; an empty one where it has got the whole.
-    fn cut(&mut self, host: &id::Host, number: u64, from: usize) -> Result<Option<Piece>, Refusal> {
+    fn cut(&mut self, host: &id::Host, number: u64, from: usize) -> Result<Option<Chunk>, Refusal> {
         let now = self.clock.now();
         let publication = self.machine.get_publication();
         let handout = self.hub.as_mut().ok_or_else(hub::begun)?.handout();
         if !handout.admit(host, now) {
             return Ok(None);
         }
-        let piece = Piece::cut(publication, number, from);
+        let piece = Chunk::cut(publication, number, from);
         if piece.from == piece.whole {
             handout.done(host);
             self.turn.notify_one();
--- a/crates/curlewlift/src/control/hub.rs
+++ b/crates/curlewlift/src/control/hub.rs
@@ -9,7 +9,7 @@
 use curlewlift_core::code::Refusal;
 use curlewlift_core::event::Kind;
 use curlewlift_core::event::Line;
-use curlewlift_core::gateway::Question;
+use curlewlift_core::gateway::Poll;
 use curlewlift_core::id;
 use curlewlift_core::state::Publication;
 use curlewlift_core::state::Record;
@@ -71,14 +71,14 @@
     }
 
     /// Whether there is something that the asker does not hold yet.
-    fn has_news(&mut self, question: &Question) -> bool {
+    fn has_news(&mut self, question: &Poll) -> bool {
         let is_newer = self.machine.get_publication().number > question.table;
         let hub = self.hub.as_mut();
         is_newer || hub.is_some_and(|hub| hub.has_news(question))
     }
 
     /// For how much longer the asker waits to be told what is large and new to it.
-    fn until_turn(&mut self, question: &Question) -> Duration {
+    fn until_turn(&mut self, question: &Poll) -> Duration {
         let now = self.clock.now();
         let publication = self.machine.get_publication();
         let hub = self.hub.as_mut();
@@ -134,7 +134,7 @@
     HubReply::Told
 }
 
-async fn ask(state: &Shared, question: Question) -> Result<HubReply, Refusal> {
+async fn ask(state: &Shared, question: Poll) -> Result<HubReply, Refusal> {
     let mut has_news = hear(&mut state.borrow_mut(), &question)?;
     let wait = state.borrow().hub.as_ref().map(|hub| hub.wait(&question));
     let until = Instant::now() + wait.unwrap_or_default();
@@ -173,7 +173,7 @@
 }
 
 /// Takes note of a question; true where it can be answered at once.
-fn hear(state: &mut State, question: &Question) -> Result<bool, Refusal> {
+fn hear(state: &mut State, question: &Poll) -> Result<bool, Refusal> {
     let now = state.clock.now();
     let hub = state.hub.as_mut().ok_or_else(begun)?;
     hub.hear(question, now);
--- a/crates/curlewlift/src/control/places.rs
+++ b/crates/curlewlift/src/control/places.rs
@@ -8,9 +8,9 @@
 use curlewlift_core::gateway::Grant;
 use curlewlift_core::gateway::Hub;
 use curlewlift_core::gateway::Report;
+use curlewlift_core::gateway::SlotDecision;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::gateway::Ticket;
-use curlewlift_core::gateway::Want;
-use curlewlift_core::gateway::Wanted;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
@@ -52,7 +52,7 @@
 }
 
 /// Waits for a place for as long as the request may.
-pub(super) async fn want(state: &Shared, want: Want) -> Result<HubReply, Refusal> {
+pub(super) async fn want(state: &Shared, want: SlotRequest) -> Result<HubReply, Refusal> {
     let until = Instant::now() + want.patience;
     let listed = until.min(Instant::now() + FIRST_LIST);
     let _ = tokio::time::timeout_at(listed, first_list(state)).await;
@@ -82,7 +82,7 @@
 }
 
 /// Puts a request in line, or gives the answer that there is at once.
-fn line_up(state: &Shared, want: Want) -> Result<Lined, Refusal> {
+fn line_up(state: &Shared, want: SlotRequest) -> Result<Lined, Refusal> {
     let mut borrowed = state.borrow_mut();
     let now = borrowed.clock.now();
     let hub = borrowed.hub.as_mut().ok_or_else(hub::begun)?;
@@ -90,11 +90,11 @@
         return Err(hub::begun());
     }
     let (ticket, last) = match hub.want(want, now) {
-        Wanted::Line(ticket, last) => (ticket, last),
-        Wanted::NoServers => return Ok(Lined::Answered(HubReply::Place(None))),
-        Wanted::Withheld(why) => return Ok(Lined::Answered(HubReply::Withheld(why))),
-        Wanted::NoRetry => return Ok(Lined::Answered(HubReply::NoRetry)),
-        Wanted::Beyond(filled) => return Ok(Lined::Answered(HubReply::Beyond(filled))),
+        SlotDecision::Line(ticket, last) => (ticket, last),
+        SlotDecision::NoServers => return Ok(Lined::Answered(HubReply::Place(None))),
+        SlotDecision::Withheld(why) => return Ok(Lined::Answered(HubReply::Withheld(why))),
+        SlotDecision::NoRetry => return Ok(Lined::Answered(HubReply::NoRetry)),
+        SlotDecision::Beyond(filled) => return Ok(Lined::Answered(HubReply::Beyond(filled))),
     };
     let (sender, place) = oneshot::channel();
     borrowed.places.insert(ticket.clone(), sender);
--- a/crates/curlewlift/src/gateway/deputies.rs
+++ b/crates/curlewlift/src/gateway/deputies.rs
@@ -22,7 +22,7 @@
 
 impl Deputies {
     /// Those that the hub tells, but for the gateway on `host` itself.
-    pub(super) fn told(told: &gateway::Deputies, host: &id::Host, locate: &Locate) -> Self {
+    pub(super) fn told(told: &gateway::Standbys, host: &id::Host, locate: &Locate) -> Self {
         let others = told.hosts.iter().filter(|other| *other != host);
         Self {
             version: told.version,
--- a/crates/curlewlift/src/gateway/lists.rs
+++ b/crates/curlewlift/src/gateway/lists.rs
@@ -55,7 +55,7 @@
         let apart = if beside || node.hub.borrow().fetches {
             Duration::ZERO
         } else {
-            gateway::apart(node.roll.borrow().gateways.len(), rate)
+            gateway::call_interval(node.roll.borrow().gateways.len(), rate)
         };
         // Those that hear no hub any more do not all begin at the same moment.
         tokio::time::sleep(apart.mul_f64(rand::rng().random())).await;
--- a/crates/curlewlift/src/gateway/node.rs
+++ b/crates/curlewlift/src/gateway/node.rs
@@ -12,9 +12,9 @@
 use curlewlift_core::clock;
 use curlewlift_core::event::Kind;
 use curlewlift_core::gateway;
-use curlewlift_core::gateway::Ended;
-use curlewlift_core::gateway::Mark;
-use curlewlift_core::gateway::Roll;
+use curlewlift_core::gateway::AttemptEnd;
+use curlewlift_core::gateway::GrantId;
+use curlewlift_core::gateway::Membership;
 use curlewlift_core::gateway::Server;
 use curlewlift_core::gateway::ServerListCache;
 use curlewlift_core::id;
@@ -60,7 +60,7 @@
     /// When it last gave no word on a place in time.
     pub(super) doubted: Option<clock::Instant>,
     /// The last grant of a place that has come.
-    pub(super) mark: Mark,
+    pub(super) mark: GrantId,
     /// How long this gateway's next question may wait there.
     pub(super) wait: Duration,
     /// The number of its last answer.
@@ -99,7 +99,7 @@
     /// The versions of servers that it may send to by its own choice, by the last word of the hub.
     pub(super) policy: RefCell<Policy>,
     /// The gateways that live, by the last word of the hub.
-    pub(super) roll: RefCell<Roll>,
+    pub(super) roll: RefCell<Membership>,
     /// How long answers take to begin, by rule.
     pub(super) leads: RefCell<BTreeMap<Arc<str>, Lead>>,
     /// What customers may still ask for where the hub gives no word.
@@ -121,7 +121,7 @@
     /// Whether callers that still come are turned away.
     pub(super) closed: Cell<bool>,
     /// Sendings that have ended and that the hub was not told of.
-    pub(super) ends: RefCell<Vec<Ended>>,
+    pub(super) ends: RefCell<Vec<AttemptEnd>>,
     /// Wakes the report to the hub where an answer begins or a sending has ended.
     pub(super) reports: Notify,
     /// Requests that are open.
@@ -319,7 +319,7 @@
     }
 
     /// Takes up what is new of the gateways that live.
-    pub(super) fn adopt_roll(&self, news: gateway::News) {
+    pub(super) fn adopt_roll(&self, news: gateway::MembershipUpdate) {
         let mut roll = self.roll.borrow_mut();
         match roll.after(news) {
             Some(after) => *roll = after,
--- a/crates/curlewlift/src/gateway/place.rs
+++ b/crates/curlewlift/src/gateway/place.rs
@@ -7,9 +7,9 @@
 use curlewlift_core::clock::Instant;
 use curlewlift_core::event::Kind;
 use curlewlift_core::gateway::Grant;
-use curlewlift_core::gateway::Mark;
+use curlewlift_core::gateway::GrantId;
+use curlewlift_core::gateway::RolloutTag;
 use curlewlift_core::gateway::Server;
-use curlewlift_core::gateway::Watched;
 use curlewlift_core::id;
 use curlewlift_core::limit::Change;
 use curlewlift_core::limit::Key;
@@ -30,7 +30,7 @@
     node: Rc<Node>,
     service: id::Service,
     /// For the roll-out that was under way when it was given.
-    watched: Option<Watched>,
+    watched: Option<RolloutTag>,
     pub(super) server: Arc<Server>,
     /// The hub's grant, which drew what the request counts; none where this gateway chose.
     grant: Option<Grant>,
@@ -87,9 +87,9 @@
     }
 
     /// Which grant the hub gave it by.
-    fn mark(&self) -> Mark {
+    fn mark(&self) -> GrantId {
         let grant = self.grant.as_ref();
-        grant.map_or(Mark::default(), |grant| grant.mark)
+        grant.map_or(GrantId::default(), |grant| grant.mark)
     }
 
     /// The number of the permit that the request is sent by, where it needs one.
--- a/crates/curlewlift/src/gateway/places.rs
+++ b/crates/curlewlift/src/gateway/places.rs
@@ -7,12 +7,12 @@
 
 use curlewlift_core::code::Refusal;
 use curlewlift_core::event::Kind;
-use curlewlift_core::gateway::Ended;
+use curlewlift_core::gateway::AttemptEnd;
 use curlewlift_core::gateway::Grant;
 use curlewlift_core::gateway::Report;
+use curlewlift_core::gateway::RolloutTag;
 use curlewlift_core::gateway::Server;
-use curlewlift_core::gateway::Want;
-use curlewlift_core::gateway::Watched;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::id;
 use curlewlift_core::pool::Ask;
 use curlewlift_core::pool::End;
@@ -146,7 +146,7 @@
         ask: &Ask,
         charge: Option<&Charge>,
         patience: Duration,
-    ) -> Want {
+    ) -> SlotRequest {
         let now = self.now();
         let service = wanted.service;
         let watched = self.policy.borrow().watched(service).is_some();
@@ -157,7 +157,7 @@
         let rests = self.with_service(service, |service| {
             service.pool.get_notices().resting(now).collect()
         });
-        Want {
+        SlotRequest {
             host: self.host.clone(),
             hall: Arc::clone(&self.gateway.hall),
             service: service.clone(),
@@ -245,10 +245,10 @@
     }
 
     /// What is to be told of a sending that begins now, for a roll-out under way.
-    pub(super) fn watched(&self, wanted: Wanted<'_>) -> Option<Watched> {
+    pub(super) fn watched(&self, wanted: Wanted<'_>) -> Option<RolloutTag> {
         let policy = self.policy.borrow();
         let target = policy.watched(wanted.service)?;
-        Some(Watched {
+        Some(RolloutTag {
             rule: Arc::clone(wanted.rule),
             target: target.clone(),
         })
@@ -260,9 +260,9 @@
         service: &id::Service,
         incarnation: &str,
         end: End,
-        watched: Option<Watched>,
+        watched: Option<RolloutTag>,
     ) {
-        self.ends.borrow_mut().push(Ended {
+        self.ends.borrow_mut().push(AttemptEnd {
             service: service.clone(),
             incarnation: incarnation.into(),
             watched,
--- a/crates/curlewlift/src/gateway/services.rs
+++ b/crates/curlewlift/src/gateway/services.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use curlewlift_core::gateway::Load;
-use curlewlift_core::gateway::Watched;
+use curlewlift_core::gateway::RolloutTag;
 use curlewlift_core::id;
 use curlewlift_core::limit::Change;
 use curlewlift_core::limit::Slack;
@@ -126,7 +126,7 @@
         name: &id::Service,
         incarnation: &str,
         end: End,
-        watched: Option<Watched>,
+        watched: Option<RolloutTag>,
     ) {
         let now = self.now();
         self.with_service(name, |service| service.pool.ended(incarnation, end, now));
--- a/crates/curlewlift/src/gateway/sync.rs
+++ b/crates/curlewlift/src/gateway/sync.rs
@@ -7,9 +7,9 @@
 use curlewlift_core::clock;
 use curlewlift_core::code::Refusal;
 use curlewlift_core::event::Kind;
-use curlewlift_core::gateway::Question;
+use curlewlift_core::gateway::LeaderSearch;
+use curlewlift_core::gateway::Poll;
 use curlewlift_core::gateway::Reply;
-use curlewlift_core::gateway::Search;
 use rand::RngExt;
 
 use crate::rpc::HubCall;
@@ -43,7 +43,7 @@
     let began = node.now();
     let mut place = 0;
     let mut known = None;
-    let mut search = Search::default();
+    let mut search = LeaderSearch::default();
     loop {
         let asked = once(&node, &around, &mut place).await;
         let hears = hears(&node, began);
@@ -64,7 +64,7 @@
 }
 
 /// The pause before the next replica is asked.
-fn next(node: &Node, search: Search) -> Duration {
+fn next(node: &Node, search: LeaderSearch) -> Duration {
     if node.hub.borrow().leader.is_some() {
         return NEXT;
     }
@@ -165,13 +165,13 @@
     all.get(place % all.len().max(1)).copied()
 }
 
-fn question(node: &Node) -> Question {
+fn question(node: &Node) -> Poll {
     let hub = node.hub.borrow();
     let holding = node.holding.borrow();
     let quarantine = node.quarantine.borrow();
     let limits = node.limits.borrow();
     let fetched = holding.for_hub(hub.listing).filter(|_| hub.fetches);
-    Question {
+    Poll {
         host: node.host.clone(),
         gateway: node.gateway.clone(),
         ready: node.is_ready(),
--- a/crates/curlewlift/src/gateway/tables.rs
+++ b/crates/curlewlift/src/gateway/tables.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use curlewlift_core::code::Refusal;
-use curlewlift_core::gateway::Piece;
+use curlewlift_core::gateway::Chunk;
 use curlewlift_core::state::Document;
 use curlewlift_core::state::Publication;
 
@@ -97,7 +97,7 @@
         })
     }
 
-    async fn ask(&self, node: &Node) -> Option<Piece> {
+    async fn ask(&self, node: &Node) -> Option<Chunk> {
         let address = node.hub.borrow().address?;
         let call = RenewCall::Hub(HubCall::Piece {
             host: node.host.clone(),
--- a/crates/curlewlift/src/rpc/call.rs
+++ b/crates/curlewlift/src/rpc/call.rs
@@ -42,9 +42,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum HubCall {
     /// What is new; answered at once where something is, else after a while.
-    Ask(Box<gateway::Question>),
+    Ask(Box<gateway::Poll>),
     /// Wants a place at a backend server; answered once there is one, or not in time.
-    Want(Box<gateway::Want>),
+    Want(Box<gateway::SlotRequest>),
     /// Tells how sendings ended.
     Tell(gateway::Report),
     /// Wants the piece of table `number` that follows its first `from` bytes; with its whole length, says
@@ -88,7 +88,7 @@
     /// It was taken note of.
     Told,
     /// A piece of the table in force; none while it is the turn of others.
-    Piece(Option<gateway::Piece>),
+    Piece(Option<gateway::Chunk>),
     /// It is in force, or a higher number is.
     Published,
     /// The table in force; number 0 where there is none.
--- a/crates/lab/src/rollout/world.rs
+++ b/crates/lab/src/rollout/world.rs
@@ -6,21 +6,21 @@
 use std::time::Duration;
 
 use curlewlift_core::clock::Instant;
-use curlewlift_core::gateway::Ended;
+use curlewlift_core::gateway::AttemptEnd;
 use curlewlift_core::gateway::Gateway;
 use curlewlift_core::gateway::Grant;
+use curlewlift_core::gateway::GrantId;
 use curlewlift_core::gateway::Hub;
 use curlewlift_core::gateway::Load;
-use curlewlift_core::gateway::Mark;
-use curlewlift_core::gateway::Question;
+use curlewlift_core::gateway::Poll;
 use curlewlift_core::gateway::Report;
+use curlewlift_core::gateway::RolloutTag;
 use curlewlift_core::gateway::Server;
 use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::SlotDecision;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::gateway::Ticket;
 use curlewlift_core::gateway::Tuning;
-use curlewlift_core::gateway::Want;
-use curlewlift_core::gateway::Wanted;
-use curlewlift_core::gateway::Watched;
 use curlewlift_core::id;
 use curlewlift_core::limit::Words;
 use curlewlift_core::pool::End;
@@ -71,9 +71,9 @@
 /// A gateway; its number names its host.
 struct Asker {
     host: id::Host,
-    mark: Mark,
+    mark: GrantId,
     policy: Policy,
-    ends: Vec<Ended>,
+    ends: Vec<AttemptEnd>,
     /// Whether what it has in flight has changed since its last report.
     has_news: bool,
 }
@@ -84,7 +84,7 @@
     engine: usize,
     ends: u64,
     play: Play,
-    watched: Option<Watched>,
+    watched: Option<RolloutTag>,
 }
 
 /// Plays a roll-out; gives what it came to.
@@ -152,7 +152,7 @@
         let engines = (0..scenario.servers).flat_map(|n| [engine(n, false), engine(n, true)]);
         let askers = (0..GATEWAYS).map(|number| Asker {
             host: format!("g{number}").parse().expect("a name"),
-            mark: Mark::default(),
+            mark: GrantId::default(),
             policy: Policy::default(),
             ends: Vec::new(),
             has_news: false,
@@ -289,7 +289,7 @@
             for asker in &mut self.askers {
                 asker.ends.clear();
                 asker.policy = Policy::default();
-                asker.mark = Mark::default();
+                asker.mark = GrantId::default();
             }
         }
     }
@@ -383,7 +383,7 @@
             return;
         }
         let now = self.clock();
-        let want = Want {
+        let want = SlotRequest {
             host: self.askers[gateway].host.clone(),
             hall: "a".into(),
             service: service(),
@@ -405,7 +405,7 @@
         };
         let Some(hub) = &mut self.hub else { return };
         match hub.want(want, now) {
-            Wanted::Line(ticket, last) => {
+            SlotDecision::Line(ticket, last) => {
                 self.waiting.insert(ticket, (gateway, rule));
                 if let Some(last) = last {
                     self.waiting.remove(&last);
@@ -449,7 +449,7 @@
         };
         let is_new = engine.is_new;
         let target = self.askers[gateway].policy.watched(&service());
-        let watched = target.map(|target| Watched {
+        let watched = target.map(|target| RolloutTag {
             rule: RULES[rule].name.into(),
             target: target.clone(),
         });
@@ -495,7 +495,7 @@
             engine.running -= 1;
             let asker = &mut self.askers[run.gateway];
             asker.has_news = true;
-            asker.ends.push(Ended {
+            asker.ends.push(AttemptEnd {
                 service: service(),
                 incarnation: Arc::clone(&engine.server.incarnation),
                 watched: run.watched,
@@ -597,8 +597,8 @@
     }
 }
 
-fn question(asker: &Asker, loads: Vec<Load>) -> Question {
-    Question {
+fn question(asker: &Asker, loads: Vec<Load>) -> Poll {
+    Poll {
         host: asker.host.clone(),
         gateway: Gateway {
             hall: "a".into(),
