--- a/crates/core/src/gateway/hub.rs
+++ b/crates/core/src/gateway/hub.rs
@@ -232,20 +232,20 @@
 
     /// Takes note of what a gateway tells.
     pub fn hear(&mut self, question: &Poll, now: Instant) {
-        self.keeper.hear(&question.host, question.got, now);
-        self.deputies.hear(&question.host, question.got, now);
+        self.keeper.hear(&question.host, question.last_reply, now);
+        self.deputies.hear(&question.host, question.last_reply, now);
         if let Some(seen) = self.seen.get_mut(&question.host) {
             // Another process of the host, which callers reach elsewhere.
             seen.on_roll &= seen.gateway == question.gateway;
             seen.gateway.clone_from(&question.gateway);
             seen.ready = question.ready;
-            seen.policy = question.policy;
+            seen.policy = question.policy_version;
             seen.heard = now;
         } else {
             let seen = Seen {
                 gateway: question.gateway.clone(),
                 ready: question.ready,
-                policy: question.policy,
+                policy: question.policy_version,
                 heard: now,
                 subset: Subset::default(),
                 on_roll: false,
@@ -253,9 +253,9 @@
             self.seen.insert(question.host.clone(), seen);
         }
         self.dispatcher
-            .report(&question.host, question.mark, &question.loads);
-        self.observe(&question.observed, now);
-        self.hear_limits(&question.host, &question.limits, now);
+            .report(&question.host, question.last_grant, &question.loads);
+        self.observe(&question.observations, now);
+        self.hear_limits(&question.host, &question.limit_reports, now);
     }
 
     /// The gateway that fetches the list for all: the one on `beside`, or the first that is heard.
--- a/crates/core/src/gateway/polls.rs
+++ b/crates/core/src/gateway/polls.rs
@@ -37,12 +37,12 @@
         self.follow_list(&question.host);
         let mut reply = self.answer_small(question, publication, now);
         let is_small = publication.document.as_packed().len() <= ALONG;
-        let is_along = is_small && publication.number > question.table;
-        reply.newest = publication.number;
+        let is_along = is_small && publication.number > question.known_table;
+        reply.newest_table = publication.number;
         reply.table = is_along.then(|| publication.clone());
         let is_listed = self.has_other_list(question);
-        reply.listing = is_listed.then(|| self.told(question));
-        reply.roll = self.rolls.news(question.roll);
+        reply.server_list = is_listed.then(|| self.told(question));
+        reply.membership = self.rolls.news(question.membership_version);
         self.pace.told(&question.host);
         reply
     }
@@ -54,9 +54,10 @@
         publication: &Publication,
         now: Instant,
     ) -> Option<Instant> {
-        let is_table = publication.number > question.table;
-        let is_large =
-            is_table || self.has_other_list(question) || self.rolls.is_unknown(question.roll);
+        let is_table = publication.number > question.known_table;
+        let is_large = is_table
+            || self.has_other_list(question)
+            || self.rolls.is_unknown(question.membership_version);
         is_large.then(|| self.pace.turn(&question.host, now))
     }
 
@@ -69,23 +70,23 @@
     ) -> Reply {
         self.look(now);
         self.answers = self.answers.wrapping_add(1);
-        let part = self.keeper.tell(&question.host, self.answers, now);
-        let deputy = self.tell_deputy(question, now);
+        let retry_share = self.keeper.tell(&question.host, self.answers, now);
+        let admission_share = self.tell_deputy(question, now);
         let incarnations = self.seen.get(&question.host);
         let incarnations = incarnations.map_or(&[][..], |seen| &seen.subset.incarnations);
         Reply {
             number: self.answers,
-            hub: self.dispatcher.get_hub(),
-            quarantine: self.quarantine.since(question.quarantine),
-            limits: self.limits.since(question.limits_held),
-            part,
-            deputy,
-            deputies: self.deputies_for(question),
-            newest: publication.number.min(question.table),
-            wait: self.wait(question),
-            held: self.listing.version,
+            hub_id: self.dispatcher.get_hub(),
+            quarantine: self.quarantine.since(question.quarantine_version),
+            limits: self.limits.since(question.limits_version),
+            retry_share,
+            admission_share,
+            standbys: self.deputies_for(question),
+            newest_table: publication.number.min(question.known_table),
+            poll_timeout: self.wait(question),
+            server_list_version: self.listing.version,
             policy: self.policy_for(question),
-            loads: self.dispatcher.others(&question.host, incarnations),
+            other_loads: self.dispatcher.others(&question.host, incarnations),
             ..Reply::default()
         }
     }
@@ -99,7 +100,7 @@
     pub fn wait(&self, question: &Poll) -> Duration {
         let count = self.count();
         let wait = (WAIT_EACH * count).clamp(WAIT_LEAST, WAIT_MOST);
-        if question.whole || self.holders.hosts.contains(&question.host) {
+        if question.wants_whole_list || self.holders.hosts.contains(&question.host) {
             return wait;
         }
         wait.max(WAIT_MANY * count)
@@ -107,11 +108,14 @@
 
     /// What a gateway is told of the list.
     fn told(&self, question: &Poll) -> server_list::Update {
-        if question.whole {
+        if question.wants_whole_list {
             return server_list::Update::Whole(ServerList::clone(&self.listing));
         }
         let seen = self.seen.get(&question.host);
-        let change = seen.and_then(|seen| seen.subset.change(&self.listing, question.listing));
+        let change = seen.and_then(|seen| {
+            seen.subset
+                .change(&self.listing, question.server_list_version)
+        });
         change.map_or_else(
             || server_list::Update::Whole(self.subsets.cut(&self.listing, &question.host)),
             server_list::Update::Change,
@@ -125,8 +129,8 @@
             return false;
         }
         let has_other_policy = self.has_other_policy(question);
-        let is_other = self.quarantine.get_version() != question.quarantine;
-        let is_limited = self.limits.is_news(question.limits_held);
+        let is_other = self.quarantine.get_version() != question.quarantine_version;
+        let is_limited = self.limits.is_news(question.limits_version);
         has_other_policy || is_other || is_limited || self.has_other_list(question)
     }
 
@@ -140,11 +144,11 @@
         let Some(seen) = self.seen.get_mut(host).filter(|_| version != 0) else {
             return false;
         };
-        if question.whole {
-            return version != question.listing;
+        if question.wants_whole_list {
+            return version != question.server_list_version;
         }
         let is_current = seen.subset.is_current(&self.listing, &self.delta, host);
-        !is_current || seen.subset.version != question.listing
+        !is_current || seen.subset.version != question.server_list_version
     }
 
     /// Brings what is known of a gateway's subset up to the list.
@@ -159,7 +163,7 @@
     ///
     /// Where not all gateways can be deputies, those beside a replica are none: they go with it.
     fn tell_deputy(&mut self, question: &Poll, now: Instant) -> f64 {
-        if question.whole && !self.are_few() {
+        if question.wants_whole_list && !self.are_few() {
             return 0.0;
         }
         self.deputies.tell(&question.host, self.answers, now)
@@ -167,7 +171,7 @@
 
     /// The deputies, where the asker knows others.
     fn deputies_for(&self, question: &Poll) -> Option<Standbys> {
-        (self.holders.version != question.deputies).then(|| self.holders.clone())
+        (self.holders.version != question.standbys_version).then(|| self.holders.clone())
     }
 
     /// After how long a gateway counts as silent: more than two of the waits between its questions.
--- a/crates/core/src/gateway/rollouts.rs
+++ b/crates/core/src/gateway/rollouts.rs
@@ -71,7 +71,7 @@
     /// Whether the asker goes by another policy than the one in force; before there is one, by none.
     pub(super) fn has_other_policy(&self, question: &Poll) -> bool {
         let version = self.policy.version;
-        version != 0 && version != question.policy
+        version != 0 && version != question.policy_version
     }
 
     /// Takes up what answers show of a version on trial, and of the one beside it.
--- a/crates/core/src/gateway/sync.rs
+++ b/crates/core/src/gateway/sync.rs
@@ -68,33 +68,33 @@
     /// Whether it takes callers: it has a table and a list, and is not stopping.
     pub ready: bool,
     /// The number of the newest table that it knows of: it holds it, or is fetching it.
-    pub table: u64,
+    pub known_table: u64,
     /// Whether it is told the whole list of backend servers, not its subset only.
-    pub whole: bool,
+    pub wants_whole_list: bool,
     /// The version of that, as it holds it.
-    pub listing: u64,
+    pub server_list_version: u64,
     /// The version of the roll that it holds.
-    pub roll: u64,
+    pub membership_version: u64,
     /// The version of the deputies that it knows.
-    pub deputies: u64,
+    pub standbys_version: u64,
     /// The version of the policy on versions that it goes by; 0 before it has one.
-    pub policy: u64,
+    pub policy_version: u64,
     /// The last grant that it has got.
-    pub mark: GrantId,
+    pub last_grant: GrantId,
     /// What it has in flight.
     pub loads: Vec<Load>,
     /// The number of the hub's answer that it has got last.
-    pub got: u64,
+    pub last_reply: u64,
     /// The version of the list of requests in quarantine that it holds.
-    pub quarantine: u64,
+    pub quarantine_version: u64,
     /// What it has to tell of requests under which servers ended.
-    pub observed: Vec<quarantine::Observation>,
+    pub observations: Vec<quarantine::Observation>,
     /// What it has to tell of limits that servers name.
-    pub limits: limit::Words,
+    pub limit_reports: limit::Words,
     /// The hub by whose table of limits it goes, and the version of that.
-    pub limits_held: (u64, u64),
+    pub limits_version: (u64, u64),
     /// The whole list, where this gateway is the one that fetches it and the hub held another.
-    pub fetched: Option<ServerList>,
+    pub fetched_list: Option<ServerList>,
 }
 
 /// What the hub answers.
@@ -103,38 +103,38 @@
     /// Its number; rises with each answer of a hub, and differs from those of other hubs.
     pub number: u64,
     /// The number that the hub drew when it began.
-    pub hub: u64,
+    pub hub_id: u64,
     /// What is new of the requests in quarantine.
     pub quarantine: Option<quarantine::News>,
     /// What is new of the limits that servers name.
     pub limits: Option<limit::News>,
     /// The number of the table in force.
-    pub newest: u64,
+    pub newest_table: u64,
     /// That table, where the asker does not know of it and it is small.
     pub table: Option<Publication>,
     /// What is new of the asker's subset of the list of backend servers, or all of the list, where it holds another.
-    pub listing: Option<ServerListUpdate>,
+    pub server_list: Option<ServerListUpdate>,
     /// The version of the whole list that the hub holds.
-    pub held: u64,
+    pub server_list_version: u64,
     /// What is new of the gateways that live.
-    pub roll: Option<MembershipUpdate>,
+    pub membership: Option<MembershipUpdate>,
     /// How long the asker's next question may wait for something new.
-    pub wait: Duration,
+    pub poll_timeout: Duration,
     /// The part (0 to 1) that the asker holds of the sendings past the first that gateways may do by
     /// themselves.
-    pub part: f64,
+    pub retry_share: f64,
     /// The part (0 to 1) that it holds of what gateways may let in without the hub's word.
-    pub deputy: f64,
+    pub admission_share: f64,
     /// The hosts that hold such a part, where the asker knows others.
-    pub deputies: Option<Standbys>,
+    pub standbys: Option<Standbys>,
     /// Which versions gateways may send to by their own choice, where the asker goes by another policy.
     pub policy: Option<Policy>,
     /// What the other gateways have in flight at the servers of the asker's subset.
-    pub loads: Vec<Load>,
+    pub other_loads: Vec<Load>,
     /// The hosts of the control replicas.
-    pub control: Vec<id::Host>,
+    pub control_hosts: Vec<id::Host>,
     /// The host that leads them.
     pub leader: Option<id::Host>,
     /// Whether the asker is the one that fetches the list for all.
-    pub fetches: bool,
+    pub fetches_list: bool,
 }
--- a/crates/core/tests/evacuated_halls.rs
+++ b/crates/core/tests/evacuated_halls.rs
@@ -93,7 +93,7 @@
         };
         assert_eq!(places, all, "{step}");
         let mut question = messages::question(&"g".parse().expect("a name"));
-        question.policy = policies.last().map_or(0, |policy: &Policy| policy.version);
+        question.policy_version = policies.last().map_or(0, |policy: &Policy| policy.version);
         hub.hear(&question, now);
         assert!(hub.has_news(&question));
         let reply = hub.answer(&question, &<_>::default(), now);
--- a/crates/core/tests/gateway_hub.rs
+++ b/crates/core/tests/gateway_hub.rs
@@ -66,9 +66,9 @@
         hub.hear(&question(host, in_flight), seconds(1));
     }
     let reply = hub.answer(&question("g", 3), &Publication::default(), seconds(1));
-    assert_eq!(reply.loads[0].requests, 5);
+    assert_eq!(reply.other_loads[0].requests, 5);
     let reply = hub.answer(&question("gg", 5), &Publication::default(), seconds(1));
-    assert_eq!(reply.loads[0].requests, 3);
+    assert_eq!(reply.other_loads[0].requests, 3);
 }
 
 #[test]
@@ -81,7 +81,7 @@
     hub.hear(&stopping, seconds(1));
     let both = hub
         .answer(&question("g", 0), &Publication::default(), seconds(1))
-        .roll;
+        .membership;
     let both = Membership::default()
         .after(both.expect("new"))
         .expect("whole");
@@ -89,7 +89,7 @@
     hub.hear(&question("g", 0), seconds(4));
     let one = hub
         .answer(&question("g", 0), &Publication::default(), seconds(4))
-        .roll;
+        .membership;
     let one = Membership::default()
         .after(one.expect("new"))
         .expect("whole");
@@ -105,7 +105,10 @@
     hub.hear(&question("g", 0), seconds(20));
     let reply = hub.answer(&question("g", 0), &Publication::default(), seconds(20));
     assert_eq!(hub.count(), 1);
-    assert!(reply.loads.is_empty(), "what it had in flight is over");
+    assert!(
+        reply.other_loads.is_empty(),
+        "what it had in flight is over"
+    );
 }
 
 #[test]
@@ -119,10 +122,13 @@
     assert!(hub.has_news(&asked));
     let reply = hub.answer(&asked, &Publication::default(), seconds(1));
     let whole = ServerListUpdate::Whole(ServerList::clone(&listing));
-    assert_eq!(reply.listing, Some(whole));
-    asked.listing = listing.version;
+    assert_eq!(reply.server_list, Some(whole));
+    asked.server_list_version = listing.version;
     let reply = hub.answer(&asked, &Publication::default(), seconds(1));
-    assert_eq!((reply.listing, reply.held), (None, listing.version));
+    assert_eq!(
+        (reply.server_list, reply.server_list_version),
+        (None, listing.version)
+    );
 }
 
 #[test]
--- a/crates/core/tests/large_fleets.rs
+++ b/crates/core/tests/large_fleets.rs
@@ -67,8 +67,8 @@
                     .expect("an address"),
             },
             ready: self.ready,
-            listing: self.listing.version,
-            roll: self.roll.version,
+            server_list_version: self.listing.version,
+            membership_version: self.roll.version,
             loads,
             ..messages::question(&format!("g{}", self.place).parse().expect("a name"))
         }
@@ -80,10 +80,10 @@
         hub.hear(&question, now);
         let reply = hub.answer(&question, &Publication::default(), now);
         let bytes = bytes(&reply);
-        if let Some(listing) = reply.listing {
+        if let Some(listing) = reply.server_list {
             self.listing = self.listing.after(listing).expect("about the list held");
         }
-        if let Some(news) = reply.roll {
+        if let Some(news) = reply.membership {
             self.roll = self.roll.after(news).expect("about the roll held");
         }
         bytes
@@ -196,7 +196,7 @@
             hub.hear(&question, now);
             let reply = hub.answer(&question, &Publication::default(), now);
             let is_lost = random.random_range(0..3) == 0;
-            let Some(news) = reply.roll.filter(|_| !is_lost) else {
+            let Some(news) = reply.membership.filter(|_| !is_lost) else {
                 continue;
             };
             // News of a roll that is not held any more are seen as such.
@@ -249,14 +249,17 @@
     let mut hub = Hub::new(Tuning::default(), ms(0));
     hub.list(Arc::new(listing.clone()));
     let mut question = Asker::default().question(Vec::new());
-    question.whole = true;
+    question.wants_whole_list = true;
     hub.hear(&question, ms(1));
     let told = hub.answer(&question, &Publication::default(), ms(1));
-    assert_eq!(told.listing, Some(ServerListUpdate::Whole(listing.clone())));
-    question.listing = listing.version;
+    assert_eq!(
+        told.server_list,
+        Some(ServerListUpdate::Whole(listing.clone()))
+    );
+    question.server_list_version = listing.version;
     hub.hear(&question, ms(2));
     let told = hub.answer(&question, &Publication::default(), ms(2));
-    assert_eq!(told.listing, None);
+    assert_eq!(told.server_list, None);
 }
 
 #[test]
--- a/crates/core/tests/support/ending.rs
+++ b/crates/core/tests/support/ending.rs
@@ -345,7 +345,7 @@
             return;
         }
         let node = &mut self.nodes[place];
-        node.quarantine.heard(reply.hub, upto);
+        node.quarantine.heard(reply.hub_id, upto);
         if let Some(news) = &reply.quarantine {
             node.quarantine.take(news);
         }
@@ -446,14 +446,14 @@
     }
 }
 
-fn question(node: &Node, observed: Vec<Observation>) -> Poll {
+fn question(node: &Node, observations: Vec<Observation>) -> Poll {
     Poll {
         gateway: Gateway {
             hall: "a".into(),
             callers: "127.0.0.1:80".parse().expect("an address"),
         },
-        quarantine: node.quarantine.get_version(),
-        observed,
+        quarantine_version: node.quarantine.get_version(),
+        observations,
         ..messages::question(&node.host)
     }
 }
--- a/crates/core/tests/support/gateways.rs
+++ b/crates/core/tests/support/gateways.rs
@@ -101,9 +101,9 @@
                 hall: "a".into(),
                 callers: "127.0.0.1:80".parse().expect("an address"),
             },
-            table: 1,
-            listing: 1,
-            got: self.got,
+            known_table: 1,
+            server_list_version: 1,
+            last_reply: self.got,
             ..messages::question(&self.host)
         }
     }
@@ -342,7 +342,7 @@
             if due <= now && !node.cut {
                 node.got = reply.number;
                 node.heard = Some(now);
-                node.reserve.heard(reply.deputy, node.asked, now);
+                node.reserve.heard(reply.admission_share, node.asked, now);
             } else if now.since(node.asked) < CALL {
                 node.answer = Some((due, reply));
             }
--- a/crates/core/tests/support/limited.rs
+++ b/crates/core/tests/support/limited.rs
@@ -418,8 +418,8 @@
             let node = &mut self.nodes[place];
             node.asks = self.now + CALL;
             let question = Poll {
-                limits: node.limits.words(),
-                limits_held: node.limits.get_held(),
+                limit_reports: node.limits.words(),
+                limits_version: node.limits.get_held(),
                 ..messages::question(&node.host)
             };
             self.talks.push(Talk {
@@ -466,9 +466,9 @@
         let pause = self.millis(15, 200);
         let node = &mut self.nodes[place];
         node.asks = now + pause;
-        node.hub = Some((reply.hub, now));
+        node.hub = Some((reply.hub_id, now));
         let news = reply.limits.as_ref();
-        let changes = node.limits.heard(reply.hub, told, news, now);
+        let changes = node.limits.heard(reply.hub_id, told, news, now);
         self.limit(place, changes);
     }
 
--- a/crates/core/tests/thousand_gateways.rs
+++ b/crates/core/tests/thousand_gateways.rs
@@ -89,8 +89,8 @@
         Poll {
             gateway: self.callers.clone(),
             ready: self.ready,
-            listing: self.holding.get_version(),
-            roll: self.roll.version,
+            server_list_version: self.holding.get_version(),
+            membership_version: self.roll.version,
             ..messages::question(&self.host)
         }
     }
@@ -105,10 +105,10 @@
     fn ask(&mut self, hub: &mut Hub, now: Instant) -> usize {
         let reply = self.hear(hub, now);
         let bytes = postcard::to_stdvec(&reply).expect("encoded").len();
-        if let Some(news) = reply.listing {
+        if let Some(news) = reply.server_list {
             self.holding.told(news);
         }
-        if let Some(news) = reply.roll {
+        if let Some(news) = reply.membership {
             self.roll = self.roll.after(news).expect("about the roll held");
         }
         bytes
@@ -282,10 +282,16 @@
         let turn = hub.turn(&question, &publication, ms(1));
         assert_eq!(turn, Some(ms(1 + place as u64)));
         let small = hub.answer_small(&question, &publication, ms(1));
-        assert_eq!((small.listing, small.roll, small.table), (None, None, None));
-        assert_eq!(small.newest, 0, "a table is fetched when it is its turn");
-        assert!(small.wait <= Duration::from_millis(250));
-        assert!(postcard::to_stdvec(&small.loads).is_ok_and(|bytes| bytes.len() < 100));
+        assert_eq!(
+            (small.server_list, small.membership, small.table),
+            (None, None, None)
+        );
+        assert_eq!(
+            small.newest_table, 0,
+            "a table is fetched when it is its turn"
+        );
+        assert!(small.poll_timeout <= Duration::from_millis(250));
+        assert!(postcard::to_stdvec(&small.other_loads).is_ok_and(|bytes| bytes.len() < 100));
     }
 }
 
@@ -313,8 +319,8 @@
         let question = askers[1].question();
         hub.hear(&question, last);
         let reply = hub.answer(&question, &Publication::default(), last);
-        let Some(gateway::MembershipUpdate::Whole(roll)) = reply.roll else {
-            panic!("no roll: {:?}", reply.roll);
+        let Some(gateway::MembershipUpdate::Whole(roll)) = reply.membership else {
+            panic!("no roll: {:?}", reply.membership);
         };
         assert_eq!(roll.gateways.len(), gateways);
     }
--- a/crates/curlewlift/src/control/hub.rs
+++ b/crates/curlewlift/src/control/hub.rs
@@ -72,7 +72,7 @@
 
     /// Whether there is something that the asker does not hold yet.
     fn has_news(&mut self, question: &Poll) -> bool {
-        let is_newer = self.machine.get_publication().number > question.table;
+        let is_newer = self.machine.get_publication().number > question.known_table;
         let hub = self.hub.as_mut();
         is_newer || hub.is_some_and(|hub| hub.has_news(question))
     }
@@ -166,8 +166,8 @@
     } else {
         hub.answer_small(&question, &publication, now)
     };
-    reply.control = control;
-    reply.fetches = hub.fetcher(&host, now).as_ref() == Some(&question.host);
+    reply.control_hosts = control;
+    reply.fetches_list = hub.fetcher(&host, now).as_ref() == Some(&question.host);
     reply.leader = Some(host);
     Ok(HubReply::News(Box::new(reply)))
 }
@@ -177,7 +177,7 @@
     let now = state.clock.now();
     let hub = state.hub.as_mut().ok_or_else(begun)?;
     hub.hear(question, now);
-    let fetched = question.fetched.as_ref();
+    let fetched = question.fetched_list.as_ref();
     let fetched = fetched.filter(|listing| hub.get_listing().version != listing.version);
     if let Some(listing) = fetched {
         hub.list(Arc::new(listing.clone()));
--- a/crates/curlewlift/src/gateway/sync.rs
+++ b/crates/curlewlift/src/gateway/sync.rs
@@ -115,9 +115,10 @@
             Err(format!("the answer of {address} came too late"))
         }
         Ok(HubReply::News(reply)) => {
-            node.quarantine.borrow_mut().heard(reply.hub, told);
+            node.quarantine.borrow_mut().heard(reply.hub_id, told);
             let mut limits = node.limits.borrow_mut();
-            let changes = limits.heard(reply.hub, told_limits, reply.limits.as_ref(), node.now());
+            let changes =
+                limits.heard(reply.hub_id, told_limits, reply.limits.as_ref(), node.now());
             drop(limits);
             node.limit(changes.into_iter());
             take(node, around, address, asked, *reply);
@@ -175,20 +176,20 @@
         host: node.host.clone(),
         gateway: node.gateway.clone(),
         ready: node.is_ready(),
-        table: node.newest_table(),
-        whole: holding.keeps_whole(),
-        listing: holding.get_version(),
-        roll: node.roll.borrow().version,
-        deputies: node.deputies.borrow().version,
-        policy: node.policy.borrow().version,
-        mark: hub.mark,
+        known_table: node.newest_table(),
+        wants_whole_list: holding.keeps_whole(),
+        server_list_version: holding.get_version(),
+        membership_version: node.roll.borrow().version,
+        standbys_version: node.deputies.borrow().version,
+        policy_version: node.policy.borrow().version,
+        last_grant: hub.mark,
         loads: node.loads(),
-        got: hub.got,
-        quarantine: quarantine.get_version(),
-        observed: quarantine.get_evidence().untold().0,
-        limits: limits.words(),
-        limits_held: limits.get_held(),
-        fetched: fetched.cloned(),
+        last_reply: hub.got,
+        quarantine_version: quarantine.get_version(),
+        observations: quarantine.get_evidence().untold().0,
+        limit_reports: limits.words(),
+        limits_version: limits.get_held(),
+        fetched_list: fetched.cloned(),
     }
 }
 
@@ -209,10 +210,10 @@
         hub.address = Some(address);
         hub.leader = reply.leader;
         hub.got = reply.number;
-        hub.wait = reply.wait;
-        hub.newest = hub.newest.max(reply.newest);
-        hub.fetches = reply.fetches;
-        hub.listing = reply.held;
+        hub.wait = reply.poll_timeout;
+        hub.newest = hub.newest.max(reply.newest_table);
+        hub.fetches = reply.fetches_list;
+        hub.listing = reply.server_list_version;
     }
     if let Some(news) = reply.quarantine {
         node.quarantine.borrow_mut().take(&news);
@@ -222,25 +223,25 @@
         node.adopt_policy(policy);
     }
     // The one that fetches the list has it first hand.
-    if !reply.fetches {
+    if !reply.fetches_list {
         node.adopt_list(|holding| {
             holding.others_fetch();
-            if let Some(listing) = reply.listing {
+            if let Some(listing) = reply.server_list {
                 holding.told(listing);
             }
         });
     }
-    if let Some(news) = reply.roll {
+    if let Some(news) = reply.membership {
         node.adopt_roll(news);
     }
-    node.known.set(reply.control);
-    if let Some(told) = reply.deputies {
+    node.known.set(reply.control_hosts);
+    if let Some(told) = reply.standbys {
         *node.deputies.borrow_mut() = Deputies::told(&told, &node.host, &around.locate);
     }
-    node.part.borrow_mut().heard(reply.part, asked);
+    node.part.borrow_mut().heard(reply.retry_share, asked);
     node.reserve
         .borrow_mut()
-        .heard(reply.deputy, asked, node.now());
+        .heard(reply.admission_share, asked, node.now());
     node.newer.notify_one();
-    node.hear(&reply.loads);
+    node.hear(&reply.other_loads);
 }
