--- a/crates/core/benches/places.rs
+++ b/crates/core/benches/places.rs
@@ -87,18 +87,18 @@
             service: "chat".parse().expect("a name"),
             rank: u8::try_from(self.asked % 4).expect("small").into(),
             waited: Duration::ZERO,
-            wanted: Duration::from_secs(100_000),
-            patience: Duration::from_secs(100_000),
-            left: Duration::from_secs(10),
+            useful_for: Duration::from_secs(100_000),
+            wait_limit: Duration::from_secs(100_000),
+            time_left: Duration::from_secs(10),
             identity: Identity::default(),
-            observed: Vec::new(),
+            observations: Vec::new(),
             prompt: Tokens(500),
             charge: None,
-            retry: false,
+            needs_retry: false,
             tried: Vec::new(),
             avoid: Vec::new(),
-            rests: Vec::new(),
-            halls: None,
+            backing_off: Vec::new(),
+            allowed_halls: None,
         };
         let SlotDecision::Line(ticket, last) = self.hub.want(want, self.now) else {
             panic!("no place in line");
@@ -116,7 +116,7 @@
             *self.in_flight[place]
                 .entry(Arc::clone(&incarnation))
                 .or_default() += 1;
-            self.marks[place] = grant.mark;
+            self.marks[place] = grant.id;
             self.running.push_back((place, incarnation));
         }
     }
@@ -126,15 +126,15 @@
         let loads = loads.map(|(incarnation, requests)| Load {
             incarnation: Arc::clone(incarnation),
             requests: *requests,
-            reading: Tokens(0),
+            prefill_tokens: Tokens(0),
         });
         let report = Report {
             host: self.hosts[place].clone(),
-            mark: self.marks[place],
+            last_grant: self.marks[place],
             loads: loads.collect(),
-            ends: Vec::new(),
-            observed: Vec::new(),
-            limits: Words::default(),
+            ended: Vec::new(),
+            observations: Vec::new(),
+            limit_reports: Words::default(),
         };
         self.hub.report(&report, self.now);
     }
@@ -162,7 +162,7 @@
     Server {
         incarnation: format!("i-{place:010}").into(),
         name: format!("i-{place:010}").into(),
-        born: 0,
+        started_ms: 0,
         version: "v1".parse().expect("a version"),
         service: "chat".parse().expect("a name"),
         address: "127.0.0.1:1".parse().expect("an address"),
--- a/crates/core/src/gateway/dispatch.rs
+++ b/crates/core/src/gateway/dispatch.rs
@@ -142,9 +142,9 @@
     pub(super) fn ended(&mut self, host: &id::Host, ends: &[AttemptEnd], now: Instant) {
         for ended in ends {
             if let Some(pool) = self.pools.get_mut(&ended.service) {
-                pool.seen(&ended.incarnation, ended.end, now);
+                pool.seen(&ended.incarnation, ended.outcome, now);
             }
-            if let End::Rests(length) = ended.end {
+            if let End::Rests(length) = ended.outcome {
                 self.rests(host, ended, now + length);
             }
         }
@@ -217,14 +217,14 @@
             rule: want.rule,
             rank: want.rank,
             arrived: now - want.waited,
-            wanted: now + want.wanted,
-            until: now + want.patience,
+            wanted: now + want.useful_for,
+            until: now + want.wait_limit,
             prompt: want.prompt,
             hall: want.hall,
             tried: want.tried,
             avoid: want.avoid.into_iter().map(until).collect(),
-            rests: want.rests.into_iter().map(until).collect(),
-            halls: want.halls,
+            rests: want.backing_off.into_iter().map(until).collect(),
+            halls: want.allowed_halls,
         };
         let (number, last) = pool.ask(ask, now);
         let hub = self.hub;
@@ -237,7 +237,7 @@
         let asking = Asking {
             host: want.host,
             identity: want.identity,
-            until: now + want.left,
+            until: now + want.time_left,
             given,
         };
         self.asking.insert(asked.clone(), asking);
@@ -362,19 +362,19 @@
         let load = Load {
             incarnation: Arc::clone(&server.incarnation),
             requests: 1,
-            reading: turn.prompt,
+            prefill_tokens: turn.prompt,
         };
-        let mark = GrantId {
+        let id = GrantId {
             hub: self.hub,
             number: self.occupancy.grant(&host, load, now),
         };
         let permit = given.permit.as_ref().map(|permit| permit.number);
         let grant = Grant {
-            mark,
+            id,
             server,
             permit,
-            drawn: turn.drawn,
-            retry: given.retry.is_some(),
+            rate_charged: turn.drawn,
+            includes_retry: given.retry.is_some(),
         };
         Some((grant, given))
     }
--- a/crates/core/src/gateway/distribution.rs
+++ b/crates/core/src/gateway/distribution.rs
@@ -29,9 +29,9 @@
     /// The table's number.
     pub number: u64,
     /// The length of the whole, in bytes.
-    pub whole: usize,
+    pub total_len: usize,
     /// Where the piece begins.
-    pub from: usize,
+    pub offset: usize,
     /// The piece.
     pub text: String,
 }
@@ -40,20 +40,20 @@
     /// The piece of `publication` that follows the first `from` bytes of number `number`; the first one
     /// where another table is in force by now.
     #[must_use]
-    pub fn cut(publication: &Publication, number: u64, from: usize) -> Self {
+    pub fn cut(publication: &Publication, number: u64, offset: usize) -> Self {
         let text = publication.document.as_packed();
         let wanted = if number == publication.number {
-            from
+            offset
         } else {
             0
         };
-        let from = text.floor_char_boundary(wanted);
-        let end = text.floor_char_boundary(from + SIZE);
+        let offset = text.floor_char_boundary(wanted);
+        let end = text.floor_char_boundary(offset + SIZE);
         Self {
             number: publication.number,
-            whole: text.len(),
-            from,
-            text: text[from..end].to_owned(),
+            total_len: text.len(),
+            offset,
+            text: text[offset..end].to_owned(),
         }
     }
 }
--- a/crates/core/src/gateway/grant.rs
+++ b/crates/core/src/gateway/grant.rs
@@ -36,44 +36,44 @@
     /// The time since it arrived.
     pub waited: Duration,
     /// For how much longer an answer to it can still begin in time.
-    pub wanted: Duration,
+    pub useful_for: Duration,
     /// How much longer it waits.
-    pub patience: Duration,
+    pub wait_limit: Duration,
     /// How much longer it may take in all.
-    pub left: Duration,
+    pub time_left: Duration,
     /// What it is.
     pub identity: Identity,
     /// What its gateway has to tell of it.
-    pub observed: Vec<Observation>,
+    pub observations: Vec<Observation>,
     /// The length of its prompt; 0 where it has none.
     pub prompt: Tokens,
     /// What it counts, where that was not drawn yet.
     pub charge: Option<Charge>,
     /// Whether it was sent before, and its gateway has no further sending left.
-    pub retry: bool,
+    pub needs_retry: bool,
     /// Incarnations that it was sent to before.
     pub tried: Vec<Arc<str>>,
     /// Others that its gateway leaves alone, and for how much longer.
     pub avoid: Vec<(Arc<str>, Duration)>,
     /// Those that have asked its host for rest, and for how much longer.
-    pub rests: Vec<(Arc<str>, Duration)>,
+    pub backing_off: Vec<(Arc<str>, Duration)>,
     /// The data halls that it must stay in; none where it may go anywhere.
-    pub halls: Option<Arc<[Arc<str>]>>,
+    pub allowed_halls: Option<Arc<[Arc<str>]>>,
 }
 
 /// A place at a backend server, given to one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// Which grant it is.
-    pub mark: GrantId,
+    pub id: GrantId,
     /// Where the request is to be sent.
     pub server: Server,
     /// The number of the permit that it is sent by, where servers ended under such a request.
     pub permit: Option<u64>,
     /// Whether it was drawn from a limit that the server has named.
-    pub drawn: bool,
+    pub rate_charged: bool,
     /// Whether the further sending was drawn with it.
-    pub retry: bool,
+    pub includes_retry: bool,
 }
 
 /// What a request was given with its place in line, and gives back if it gets no server.
@@ -122,9 +122,9 @@
     /// Where it was sent.
     pub incarnation: Arc<str>,
     /// For the roll-out that was under way when it began, where one was.
-    pub watched: Option<RolloutTag>,
+    pub rollout: Option<RolloutTag>,
     /// What it says of the backend server.
-    pub end: End,
+    pub outcome: End,
 }
 
 /// What a gateway tells as soon as an answer begins or a sending has ended.
@@ -133,13 +133,13 @@
     /// The gateway's host.
     pub host: id::Host,
     /// The last grant that it has got.
-    pub mark: GrantId,
+    pub last_grant: GrantId,
     /// What it has in flight.
     pub loads: Vec<Load>,
     /// What has ended since its last report.
-    pub ends: Vec<AttemptEnd>,
+    pub ended: Vec<AttemptEnd>,
     /// What it has to tell of requests under which servers ended.
-    pub observed: Vec<Observation>,
+    pub observations: Vec<Observation>,
     /// What it has to tell of limits that servers name.
-    pub limits: Words,
+    pub limit_reports: Words,
 }
--- a/crates/core/src/gateway/hub.rs
+++ b/crates/core/src/gateway/hub.rs
@@ -41,9 +41,9 @@
     ///
     /// Several of the waits that a question takes at most, so that one lost answer takes nobody
     /// out.
-    pub silent: Duration,
+    pub gateway_timeout: Duration,
     /// After how long it is forgotten.
-    pub forget: Duration,
+    pub forget_after: Duration,
     /// How much more than an allowance may be let in.
     pub tolerance: Tolerance,
     /// What is borne of a version that is on trial; none where roll-outs are not to be had.
@@ -53,19 +53,19 @@
     /// What more than its rate a cold server bears.
     pub cold: limit::Slack,
     /// What the host's link carries, in bytes a second; 0 where that is not known.
-    pub link: f64,
+    pub link_bytes_per_s: f64,
 }
 
 impl Default for Tuning {
     fn default() -> Self {
         Self {
-            silent: Duration::from_millis(1_200),
-            forget: Duration::from_secs(10),
+            gateway_timeout: Duration::from_millis(1_200),
+            forget_after: Duration::from_secs(10),
             tolerance: Tolerance::default(),
             rollouts: None,
             retries: None,
             cold: limit::Slack::default(),
-            link: 0.0,
+            link_bytes_per_s: 0.0,
         }
     }
 }
@@ -162,7 +162,7 @@
             keeper: ShareAllocator::new(now),
             deputies: ShareAllocator::new(now),
             holders: Standbys::default(),
-            handout: Distribution::new(tuning.link),
+            handout: Distribution::new(tuning.link_bytes_per_s),
             answers: 0,
             table: 0,
             listing: Arc::default(),
@@ -288,7 +288,7 @@
         }
         let is_first = self.looked.replace(now).is_none();
         self.drop_silent(now);
-        let forget = self.tuning.forget;
+        let forget = self.tuning.forget_after;
         let known = self.seen.len();
         self.seen.retain(|_, seen| now.since(seen.heard) < forget);
         let is_forgotten = self.seen.len() < known;
--- a/crates/core/src/gateway/incarnations.rs
+++ b/crates/core/src/gateway/incarnations.rs
@@ -99,7 +99,7 @@
         let mut each: HashMap<Arc<str>, Server> = HashMap::new();
         for server in listing.servers {
             let goes_before = |other: &Server| {
-                let order = |server: &Server| (!self.is_former(server), server.born);
+                let order = |server: &Server| (!self.is_former(server), server.started_ms);
                 order(&server) > order(other)
             };
             if each.get(&server.name).is_none_or(goes_before) {
--- a/crates/core/src/gateway/membership.rs
+++ b/crates/core/src/gateway/membership.rs
@@ -41,9 +41,9 @@
             MembershipUpdate::Whole(roll) => return Some(roll),
             MembershipUpdate::MembershipChange(change) => change,
         };
-        let stays = |gateway: &&Gateway| !roll.gone.contains(gateway);
+        let stays = |gateway: &&Gateway| !roll.removed.contains(gateway);
         let stay = self.gateways.iter().filter(stays).cloned();
-        let after = Self::new(stay.chain(roll.come).collect());
+        let after = Self::new(stay.chain(roll.added).collect());
         (after.version == roll.version).then_some(after)
     }
 
@@ -61,8 +61,8 @@
         let gone = self.gateways.iter().filter(|other| !next.has(other));
         MembershipChange {
             version: next.version,
-            come: come.cloned().collect(),
-            gone: gone.cloned().collect(),
+            added: come.cloned().collect(),
+            removed: gone.cloned().collect(),
         }
     }
 }
@@ -78,9 +78,9 @@
     /// The version of the roll that comes of it.
     pub version: u64,
     /// Gateways that have come.
-    pub come: Vec<Gateway>,
+    pub added: Vec<Gateway>,
     /// Gateways that have gone.
-    pub gone: Vec<Gateway>,
+    pub removed: Vec<Gateway>,
 }
 
 /// What a gateway is told of the roll.
@@ -144,12 +144,12 @@
         let mut gone: HashSet<&Gateway> = HashSet::new();
         for (_, change) in self.changes.iter().skip(place) {
             // One that comes back, or goes again, is no change.
-            for gateway in &change.gone {
+            for gateway in &change.removed {
                 if !come.remove(gateway) {
                     gone.insert(gateway);
                 }
             }
-            for gateway in &change.come {
+            for gateway in &change.added {
                 if !gone.remove(gateway) {
                     come.insert(gateway);
                 }
@@ -157,8 +157,8 @@
         }
         MembershipChange {
             version: self.present.version,
-            come: come.into_iter().cloned().collect(),
-            gone: gone.into_iter().cloned().collect(),
+            added: come.into_iter().cloned().collect(),
+            removed: gone.into_iter().cloned().collect(),
         }
     }
 }
--- a/crates/core/src/gateway/occupancy.rs
+++ b/crates/core/src/gateway/occupancy.rs
@@ -135,7 +135,10 @@
             let own = held.into_iter().flat_map(Held::all);
             for load in own.filter(|load| load.incarnation == sum.incarnation) {
                 others.requests = others.requests.saturating_sub(load.requests);
-                others.reading.0 = others.reading.0.saturating_sub(load.reading.0);
+                others.prefill_tokens.0 = others
+                    .prefill_tokens
+                    .0
+                    .saturating_sub(load.prefill_tokens.0);
             }
             others
         });
@@ -160,14 +163,14 @@
             ..Load::default()
         });
         sum.requests = sum.requests.saturating_add(load.requests);
-        sum.reading.0 = sum.reading.0.saturating_add(load.reading.0);
+        sum.prefill_tokens.0 = sum.prefill_tokens.0.saturating_add(load.prefill_tokens.0);
     }
 
     fn take_off(&mut self, load: &Load) {
         self.touch(&load.incarnation);
         if let Some(sum) = self.sums.get_mut(&load.incarnation) {
             sum.requests = sum.requests.saturating_sub(load.requests);
-            sum.reading.0 = sum.reading.0.saturating_sub(load.reading.0);
+            sum.prefill_tokens.0 = sum.prefill_tokens.0.saturating_sub(load.prefill_tokens.0);
             if sum.requests == 0 {
                 self.sums.remove(&load.incarnation);
             }
--- a/crates/core/src/gateway/polls.rs
+++ b/crates/core/src/gateway/polls.rs
@@ -177,6 +177,6 @@
     /// After how long a gateway counts as silent: more than two of the waits between its questions.
     pub(super) fn silent(&self) -> Duration {
         let waits = WAIT_MANY * self.count() * 2 + WAIT_LEAST;
-        self.tuning.silent.max(waits)
+        self.tuning.gateway_timeout.max(waits)
     }
 }
--- a/crates/core/src/gateway/rollouts.rs
+++ b/crates/core/src/gateway/rollouts.rs
@@ -125,6 +125,6 @@
     fn is_known(&self, now: Instant) -> bool {
         let version = self.policy.version;
         let all = self.seen.values().all(|seen| seen.policy == version);
-        all && now.since(self.began) >= self.tuning.silent * 2
+        all && now.since(self.began) >= self.tuning.gateway_timeout * 2
     }
 }
--- a/crates/core/src/gateway/server_list.rs
+++ b/crates/core/src/gateway/server_list.rs
@@ -23,7 +23,7 @@
     /// What the server calls itself; another start may keep it.
     pub name: Arc<str>,
     /// When the incarnation began, in milliseconds by the server's own clock; 0 where it does not tell.
-    pub born: u64,
+    pub started_ms: u64,
     /// The version of its software.
     pub version: Version,
     /// The service that it serves.
@@ -55,9 +55,9 @@
     /// The version of the list that comes of it.
     pub version: u64,
     /// Servers that have come, or are other than they were.
-    pub come: Vec<Server>,
+    pub added: Vec<Server>,
     /// The incarnations of servers that have gone.
-    pub gone: Vec<Arc<str>>,
+    pub removed: Vec<Arc<str>>,
 }
 
 /// A list of backend servers: all of them, or a gateway's subset.
@@ -86,11 +86,11 @@
             Update::Whole(listing) => return Some(listing),
             Update::Change(change) => change,
         };
-        let come = change.come.iter().map(|server| &server.incarnation);
-        let replaced: HashSet<_> = come.chain(&change.gone).cloned().collect();
+        let come = change.added.iter().map(|server| &server.incarnation);
+        let replaced: HashSet<_> = come.chain(&change.removed).cloned().collect();
         let stay = self.servers.iter();
         let stay = stay.filter(|server| !replaced.contains(&server.incarnation));
-        let after = Self::new(stay.cloned().chain(change.come).collect());
+        let after = Self::new(stay.cloned().chain(change.added).collect());
         (after.version == change.version).then_some(after)
     }
 
@@ -120,7 +120,7 @@
     /// let server = Server {
     ///     incarnation: "i-1".into(),
     ///     name: "i-1".into(),
-    ///     born: 0,
+    ///     started_ms: 0,
     ///     version: "v1".parse()?,
     ///     service: "chat".parse()?,
     ///     address: "127.0.0.1:80".parse()?,
--- a/crates/core/src/gateway/slots.rs
+++ b/crates/core/src/gateway/slots.rs
@@ -33,13 +33,13 @@
 impl Hub {
     /// Draws what a request counts, and puts it in line.
     pub fn want(&mut self, want: SlotRequest, now: Instant) -> SlotDecision {
-        self.observe(&want.observed, now);
+        self.observe(&want.observations, now);
         if !self.dispatcher.has(&want.service) {
             return SlotDecision::NoServers;
         }
         // By what it is, not by the try: each try is new to its gateway and here, and a request that ends servers
         // was given one for as often as it came: 13 servers ended in 16 s.
-        let permit = match self.cases.ask(&want.identity, want.left, now) {
+        let permit = match self.cases.ask(&want.identity, want.time_left, now) {
             Verdict::Free => None,
             Verdict::Permitted(permit) => Some(permit),
             Verdict::Withheld(why) => return SlotDecision::Withheld(why),
@@ -49,7 +49,7 @@
             permit,
             retry: None,
         };
-        if want.retry {
+        if want.needs_retry {
             if !self.retries.draw(&want.service, now) {
                 self.give_back(given, now);
                 return SlotDecision::NoRetry;
@@ -82,11 +82,11 @@
     /// Takes note of what a gateway tells as soon as an answer begins or a sending has ended.
     pub fn report(&mut self, report: &Report, now: Instant) {
         self.dispatcher
-            .report(&report.host, report.mark, &report.loads);
-        self.dispatcher.ended(&report.host, &report.ends, now);
-        self.watch(&report.ends);
-        self.observe(&report.observed, now);
-        self.hear_limits(&report.host, &report.limits, now);
+            .report(&report.host, report.last_grant, &report.loads);
+        self.dispatcher.ended(&report.host, &report.ended, now);
+        self.watch(&report.ended);
+        self.observe(&report.observations, now);
+        self.hear_limits(&report.host, &report.limit_reports, now);
     }
 
     /// Gives places to those in line for whom there is room.
--- a/crates/core/src/gateway/subset.rs
+++ b/crates/core/src/gateway/subset.rs
@@ -244,8 +244,8 @@
         let come = come.filter_map(|incarnation| place(incarnation).ok());
         Some(Change {
             version: self.version,
-            come: come.map(|place| servers[place].clone()).collect(),
-            gone: self.former.gone.clone(),
+            added: come.map(|place| servers[place].clone()).collect(),
+            removed: self.former.gone.clone(),
         })
     }
 }
--- a/crates/core/src/gateway/sync.rs
+++ b/crates/core/src/gateway/sync.rs
@@ -37,7 +37,7 @@
     /// Requests sent there and not ended.
     pub requests: u32,
     /// Tokens of the prompts among them whose answer has not begun.
-    pub reading: Tokens,
+    pub prefill_tokens: Tokens,
 }
 
 /// The gateways that let requests of all in while the hub gives no word.
--- a/crates/core/src/pool/server.rs
+++ b/crates/core/src/pool/server.rs
@@ -104,7 +104,7 @@
     /// Takes up what other gateways have in flight there.
     pub(super) fn hear(&mut self, load: Option<&Load>) {
         self.others = load.map_or(0, |load| load.requests);
-        self.others_reading = load.map_or(0, |load| load.reading.0);
+        self.others_reading = load.map_or(0, |load| load.prefill_tokens.0);
     }
 
     /// How long it lately took: between two pieces of a stream, else to the first byte, in seconds.
--- a/crates/core/src/pool/servers.rs
+++ b/crates/core/src/pool/servers.rs
@@ -265,7 +265,7 @@
         busy.map(|known| Load {
             incarnation: Arc::clone(&known.server.incarnation),
             requests: known.own,
-            reading: Tokens(known.own_reading),
+            prefill_tokens: Tokens(known.own_reading),
         })
     }
 
--- a/crates/core/src/rollout/trials.rs
+++ b/crates/core/src/rollout/trials.rs
@@ -130,14 +130,14 @@
         let Some(under_way) = self.under_way.get_mut(&ended.service) else {
             return;
         };
-        let watched = ended.watched.as_ref();
+        let watched = ended.rollout.as_ref();
         let Some(watched) = watched.filter(|watched| watched.target == under_way.target) else {
             return;
         };
         let sample = Sample {
             rule: Arc::clone(&watched.rule),
             server: Arc::clone(&ended.incarnation),
-            end: ended.end,
+            end: ended.outcome,
         };
         if under_way.target == *version {
             under_way.trial.target(&sample, servers);
--- a/crates/core/tests/evacuated_halls.rs
+++ b/crates/core/tests/evacuated_halls.rs
@@ -131,7 +131,7 @@
 fn stays_home() {
     let mut hub = hub();
     let bound = |halls: &[&str]| SlotRequest {
-        halls: Some(halls.iter().map(|hall| (*hall).into()).collect()),
+        allowed_halls: Some(halls.iter().map(|hall| (*hall).into()).collect()),
         ..want()
     };
     for time in 1..4 {
--- a/crates/core/tests/gateway_hub.rs
+++ b/crates/core/tests/gateway_hub.rs
@@ -24,7 +24,7 @@
     let load = Load {
         incarnation: "s1".into(),
         requests: in_flight,
-        reading: Tokens(0),
+        prefill_tokens: Tokens(0),
     };
     Poll {
         gateway: Gateway {
@@ -42,7 +42,7 @@
     let server = Server {
         incarnation: "s1".into(),
         name: "s1".into(),
-        born: 0,
+        started_ms: 0,
         version: "v1".parse().expect("a version"),
         service: "chat".parse().expect("a name"),
         address: "127.0.0.1:1".parse().expect("an address"),
--- a/crates/core/tests/hub_places.rs
+++ b/crates/core/tests/hub_places.rs
@@ -45,7 +45,7 @@
     Server {
         incarnation: name.into(),
         name: name.into(),
-        born: 0,
+        started_ms: 0,
         version: "v1".parse().expect("a version"),
         service: "chat".parse().expect("a name"),
         address: "127.0.0.1:1".parse().expect("an address"),
@@ -66,9 +66,9 @@
 fn want(host: &str, rank: u8) -> SlotRequest {
     SlotRequest {
         rank: rank.into(),
-        wanted: Duration::from_millis(100),
-        patience: Duration::from_millis(200),
-        left: Duration::from_secs(10),
+        useful_for: Duration::from_millis(100),
+        wait_limit: Duration::from_millis(200),
+        time_left: Duration::from_secs(10),
         prompt: Tokens(10),
         ..messages::want(&host.parse().expect("a name"))
     }
@@ -87,11 +87,11 @@
 
 fn report(host: &str, number: u64, in_flight: u32) -> Report {
     Report {
-        mark: GrantId { hub: HUB, number },
+        last_grant: GrantId { hub: HUB, number },
         loads: vec![Load {
             incarnation: "s1".into(),
             requests: in_flight,
-            reading: Tokens(0),
+            prefill_tokens: Tokens(0),
         }],
         ..messages::report(&host.parse().expect("a name"))
     }
@@ -105,7 +105,7 @@
     }
     let grants = hub.serve(ms(1));
     assert_eq!(grants.len(), 3, "its slots and one");
-    let mark = grants[2].1.mark;
+    let mark = grants[2].1.id;
     (hub, mark)
 }
 
@@ -149,7 +149,7 @@
     let (mut hub, _) = full();
     asks(&mut hub, "gg", 1, ms(2));
     let mut foreign = report("g", 1_000, 0);
-    foreign.mark.hub = HUB + 1;
+    foreign.last_grant.hub = HUB + 1;
     hub.report(&foreign, ms(3));
     assert!(hub.serve(ms(3)).is_empty(), "what it granted still counts");
 }
@@ -207,11 +207,11 @@
 fn broken_avoided_by_all() {
     let mut hub = hub(&["s1", "s2"]);
     let mut broke = report("g", 0, 0);
-    broke.ends.push(AttemptEnd {
+    broke.ended.push(AttemptEnd {
         service: "chat".parse().expect("a name"),
         incarnation: "s1".into(),
-        watched: None,
-        end: End::Broken,
+        rollout: None,
+        outcome: End::Broken,
     });
     hub.report(&broke, ms(1));
     for _ in 0..3 {
@@ -243,7 +243,7 @@
     /// Takes up the grants that have come.
     fn take(&mut self, now: u64) {
         while let Some((_, grant)) = self.to_it.pop_front_if(|(due, _)| *due <= now) {
-            self.mark = grant.mark;
+            self.mark = grant.id;
             *self.running.entry(grant.server.incarnation).or_default() += 1;
         }
     }
@@ -263,10 +263,10 @@
         let loads = running.map(|(incarnation, requests)| Load {
             incarnation: Arc::clone(incarnation),
             requests: *requests,
-            reading: Tokens(0),
+            prefill_tokens: Tokens(0),
         });
         Report {
-            mark: self.mark,
+            last_grant: self.mark,
             loads: loads.collect(),
             ..report(host, 0, 0)
         }
--- a/crates/core/tests/large_fleets.rs
+++ b/crates/core/tests/large_fleets.rs
@@ -37,7 +37,7 @@
     Server {
         incarnation: format!("i-{place:010}").into(),
         name: format!("i-{place:010}").into(),
-        born: 0,
+        started_ms: 0,
         version: "v1".parse().expect("a version"),
         service: "chat".parse().expect("a name"),
         address: "127.0.0.1:1".parse().expect("an address"),
@@ -147,7 +147,7 @@
         let loads = loads.map(|server| Load {
             incarnation: Arc::clone(&server.incarnation),
             requests: 5,
-            reading: Tokens(1_000),
+            prefill_tokens: Tokens(1_000),
         });
         hub.hear(&asker.question(loads.collect()), ms(300));
     }
--- a/crates/core/tests/line_forecast.rs
+++ b/crates/core/tests/line_forecast.rs
@@ -31,7 +31,7 @@
     pool.adopt(vec![Arc::new(Server {
         incarnation: "s1".into(),
         name: "s1".into(),
-        born: 0,
+        started_ms: 0,
         version: "v1".parse().expect("a version"),
         service: "chat".parse().expect("a name"),
         address: "127.0.0.1:1".parse().expect("an address"),
--- a/crates/core/tests/rollout_plans.rs
+++ b/crates/core/tests/rollout_plans.rs
@@ -67,7 +67,7 @@
     Server {
         incarnation: "s1".into(),
         name: "s1".into(),
-        born: 0,
+        started_ms: 0,
         version: version(name),
         service: "chat".parse().expect("a name"),
         address: "127.0.0.1:1".parse().expect("an address"),
--- a/crates/core/tests/server_lives.rs
+++ b/crates/core/tests/server_lives.rs
@@ -17,7 +17,11 @@
 const SEEDS: u64 = 1_000;
 
 fn births(listing: &ServerList) -> Vec<u64> {
-    listing.servers.iter().map(|server| server.born).collect()
+    listing
+        .servers
+        .iter()
+        .map(|server| server.started_ms)
+        .collect()
 }
 
 #[test]
--- a/crates/core/tests/server_pool.rs
+++ b/crates/core/tests/server_pool.rs
@@ -18,7 +18,7 @@
     Arc::new(Server {
         incarnation: name.into(),
         name: name.into(),
-        born: 0,
+        started_ms: 0,
         version: "v1".parse().expect("a version"),
         service: "chat".parse().expect("a name"),
         address: "127.0.0.1:1".parse().expect("an address"),
@@ -112,7 +112,7 @@
     let load = Load {
         incarnation: "s1".into(),
         requests: 2,
-        reading: Tokens(0),
+        prefill_tokens: Tokens(0),
     };
     pool.hear(&[load]);
     ask(&mut pool, 0, 1);
@@ -199,7 +199,7 @@
     let load = Load {
         incarnation: "s1".into(),
         requests: 1,
-        reading: Tokens(0),
+        prefill_tokens: Tokens(0),
     };
     for _ in 0..50 {
         pool.hear(std::slice::from_ref(&load));
@@ -291,7 +291,7 @@
     let load = |incarnation: &str, reading| Load {
         incarnation: incarnation.into(),
         requests: 1,
-        reading: Tokens(reading),
+        prefill_tokens: Tokens(reading),
     };
     let first = |pool: &mut Pool| {
         ask(pool, 0, 1);
@@ -320,7 +320,7 @@
         .collect();
     assert_ne!(own[0], own[1], "what is sent from here counts too");
     pool.begun(&own[0], Tokens(6_000));
-    let reading: Vec<_> = pool.loads().map(|load| load.reading.0).collect();
+    let reading: Vec<_> = pool.loads().map(|load| load.prefill_tokens.0).collect();
     assert!(
         reading.contains(&0) && reading.contains(&6_000),
         "{reading:?}"
--- a/crates/core/tests/support/ending.rs
+++ b/crates/core/tests/support/ending.rs
@@ -143,7 +143,7 @@
         let servers = up.map(|place| Server {
             incarnation: self.name(place),
             name: self.name(place),
-            born: 0,
+            started_ms: 0,
             version: "v1".parse().expect("a version"),
             service: "chat".parse().expect("a name"),
             address: "127.0.0.1:1".parse().expect("an address"),
@@ -311,7 +311,7 @@
         }
         let node = &self.nodes[place];
         let report = Report {
-            observed: node.quarantine.get_evidence().untold().0,
+            observations: node.quarantine.get_evidence().untold().0,
             ..messages::report(&node.host)
         };
         if let Some(hub) = &mut self.hub {
@@ -461,7 +461,7 @@
 fn want(node: &Node, identity: &Identity) -> SlotRequest {
     SlotRequest {
         identity: identity.clone(),
-        observed: node.quarantine.get_evidence().untold_of(identity),
+        observations: node.quarantine.get_evidence().untold_of(identity),
         ..messages::want(&node.host)
     }
 }
--- a/crates/core/tests/support/gateways.rs
+++ b/crates/core/tests/support/gateways.rs
@@ -207,7 +207,7 @@
         let server = Server {
             incarnation: "s".into(),
             name: "s".into(),
-            born: 0,
+            started_ms: 0,
             version: "v1".parse().expect("a version"),
             service: "chat".parse().expect("a name"),
             address: "127.0.0.1:1".parse().expect("an address"),
@@ -478,7 +478,7 @@
 
 fn want(host: &id::Host, charge: Charge) -> SlotRequest {
     SlotRequest {
-        left: Duration::from_secs(10),
+        time_left: Duration::from_secs(10),
         charge: Some(charge),
         ..messages::want(host)
     }
--- a/crates/core/tests/support/limited.rs
+++ b/crates/core/tests/support/limited.rs
@@ -592,8 +592,8 @@
                 self.send(place, server, grant, given)?
             }
             Stage::Sent(server, grant, given, sent) => {
-                let is_drawn = grant.as_ref().is_some_and(|grant| grant.drawn);
-                let mark = grant.map_or(GrantId::default(), |grant| grant.mark);
+                let is_drawn = grant.as_ref().is_some_and(|grant| grant.rate_charged);
+                let mark = grant.map_or(GrantId::default(), |grant| grant.id);
                 self.undrawn += u32::from(!is_drawn && self.was_told(place, &server, sent));
                 self.arrive(place, server, mark, given)
             }
@@ -641,7 +641,7 @@
         let looks = self.flaw != Some(Flaw::NoLookAtPlace);
         let server = Arc::new(grant.server.clone());
         let node = &mut self.nodes[place];
-        let is_beyond = !grant.drawn && node.limits.closes(&server, grant.mark);
+        let is_beyond = !grant.rate_charged && node.limits.closes(&server, grant.id);
         let is_beyond = is_beyond && looks;
         if is_late || is_beyond || !node.pool.take(&server, Tokens(0), now) {
             self.refused += 1;
@@ -659,10 +659,8 @@
         given: Instant,
     ) -> Option<(Stage, Instant)> {
         let due = self.now + self.millis(1, 4);
-        let is_drawn = grant.as_ref().is_some_and(|grant| grant.drawn);
-        let mark = grant
-            .as_ref()
-            .map_or(GrantId::default(), |grant| grant.mark);
+        let is_drawn = grant.as_ref().is_some_and(|grant| grant.rate_charged);
+        let mark = grant.as_ref().map_or(GrantId::default(), |grant| grant.id);
         let is_beyond = !is_drawn && self.nodes[place].limits.closes(&server, mark);
         let looks = !matches!(
             self.flaw,
@@ -793,7 +791,7 @@
         let node = &self.nodes[place];
         let report = Report {
             loads: node.pool.loads().collect(),
-            limits: node.limits.words(),
+            limit_reports: node.limits.words(),
             ..messages::report(&node.host)
         };
         if let Some((_, hub)) = &mut self.hub {
--- a/crates/core/tests/support/lives.rs
+++ b/crates/core/tests/support/lives.rs
@@ -1,13 +1,13 @@
-//! Lives of servers.
+//! Incarnations of servers.
 
 use curlewlift_core::gateway::Server;
 
-/// The life of the server `name` that began at `born`.
-pub(crate) fn life(name: &str, born: u64) -> Server {
+/// The incarnation of the server `name` that started at `started_ms`.
+pub(crate) fn life(name: &str, started_ms: u64) -> Server {
     Server {
-        incarnation: format!("{name}/{born}").into(),
+        incarnation: format!("{name}/{started_ms}").into(),
         name: name.into(),
-        born,
+        started_ms,
         version: "v1".parse().expect("a version"),
         service: "chat".parse().expect("a name"),
         address: "127.0.0.1:1".parse().expect("an address"),
--- a/crates/core/tests/support/messages.rs
+++ b/crates/core/tests/support/messages.rs
@@ -22,18 +22,18 @@
         service: "chat".parse().expect("a name"),
         rank: Rank::default(),
         waited: Duration::ZERO,
-        wanted: Duration::from_secs(1),
-        patience: Duration::from_secs(1),
-        left: Duration::from_secs(5),
+        useful_for: Duration::from_secs(1),
+        wait_limit: Duration::from_secs(1),
+        time_left: Duration::from_secs(5),
         identity: Identity::default(),
-        observed: Vec::new(),
+        observations: Vec::new(),
         prompt: Tokens(0),
         charge: None,
-        retry: false,
+        needs_retry: false,
         tried: Vec::new(),
         avoid: Vec::new(),
-        rests: Vec::new(),
-        halls: None,
+        backing_off: Vec::new(),
+        allowed_halls: None,
     }
 }
 
@@ -67,10 +67,10 @@
 pub(crate) fn report(host: &id::Host) -> Report {
     Report {
         host: host.clone(),
-        mark: GrantId::default(),
+        last_grant: GrantId::default(),
         loads: Vec::new(),
-        ends: Vec::new(),
-        observed: Vec::new(),
-        limits: Words::default(),
+        ended: Vec::new(),
+        observations: Vec::new(),
+        limit_reports: Words::default(),
     }
 }
--- a/crates/core/tests/support/resting.rs
+++ b/crates/core/tests/support/resting.rs
@@ -213,7 +213,7 @@
         Server {
             incarnation: format!("s{place}/{}", engine.life).into(),
             name: format!("s{place}").into(),
-            born: engine.life,
+            started_ms: engine.life,
             version: "v1".parse().expect("a version"),
             service: "chat".parse().expect("a name"),
             address: "127.0.0.1:1".parse().expect("an address"),
@@ -503,8 +503,8 @@
         let server = Arc::new(grant.server);
         let looks = self.flaw != Some(Flaw::NoLookAtPlace);
         let node = &mut self.nodes[place];
-        if grant.mark.follows(node.mark) {
-            node.mark = grant.mark;
+        if grant.id.follows(node.mark) {
+            node.mark = grant.id;
         }
         if !node.pool.take(&server, Tokens(0), now) && looks {
             self.report(place, &server, End::Nothing);
@@ -603,13 +603,13 @@
         let ended = AttemptEnd {
             service: server.service.clone(),
             incarnation: Arc::clone(&server.incarnation),
-            watched: None,
-            end,
+            rollout: None,
+            outcome: end,
         };
         let report = Report {
-            mark: node.mark,
+            last_grant: node.mark,
             loads: node.pool.loads().collect(),
-            ends: vec![ended],
+            ended: vec![ended],
             ..messages::report(&node.host)
         };
         if let Some(hub) = &mut self.hub {
@@ -621,8 +621,8 @@
 fn want(node: &Node, now: Instant) -> SlotRequest {
     SlotRequest {
         avoid: node.pool.avoided(&[], now).collect(),
-        rests: node.pool.get_notices().resting(now).collect(),
-        halls: None,
+        backing_off: node.pool.get_notices().resting(now).collect(),
+        allowed_halls: None,
         ..messages::want(&node.host)
     }
 }
--- a/crates/core/tests/thousand_gateways.rs
+++ b/crates/core/tests/thousand_gateways.rs
@@ -431,7 +431,7 @@
                 wanted += 1;
                 let is_sent = budgets[place].take(1.0 / 1_119.0, now) || {
                     let want = SlotRequest {
-                        retry: true,
+                        needs_retry: true,
                         ..messages::want(&host(place))
                     };
                     matches!(hub.want(want, now), SlotDecision::Line(..))
--- a/crates/curlewlift/src/control/handout.rs
+++ b/crates/curlewlift/src/control/handout.rs
@@ -53,7 +53,7 @@
             return Ok(None);
         }
         let piece = Chunk::cut(publication, number, from);
-        if piece.from == piece.whole {
+        if piece.offset == piece.total_len {
             handout.done(host);
             self.turn.notify_one();
         }
--- a/crates/curlewlift/src/gateway/place.rs
+++ b/crates/curlewlift/src/gateway/place.rs
@@ -83,13 +83,15 @@
 
     /// Whether a further sending was drawn with it at the hub.
     pub(super) fn is_retry(&self) -> bool {
-        self.grant.as_ref().is_some_and(|grant| grant.retry)
+        self.grant
+            .as_ref()
+            .is_some_and(|grant| grant.includes_retry)
     }
 
     /// Which grant the hub gave it by.
     fn mark(&self) -> GrantId {
         let grant = self.grant.as_ref();
-        grant.map_or(GrantId::default(), |grant| grant.mark)
+        grant.map_or(GrantId::default(), |grant| grant.id)
     }
 
     /// The number of the permit that the request is sent by, where it needs one.
@@ -221,7 +223,7 @@
         if self.node.policy.borrow().closes(&self.server.hall) {
             return true;
         }
-        let is_drawn = self.grant.as_ref().is_some_and(|grant| grant.drawn);
+        let is_drawn = self.grant.as_ref().is_some_and(|grant| grant.rate_charged);
         let limits = self.node.limits.borrow();
         if !is_drawn && limits.closes(&self.server, self.mark()) {
             return true;
--- a/crates/curlewlift/src/gateway/places.rs
+++ b/crates/curlewlift/src/gateway/places.rs
@@ -164,22 +164,22 @@
             rule: watched.then(|| Arc::clone(wanted.rule)),
             rank: ask.rank,
             waited: now.since(ask.arrived),
-            wanted: ask.wanted.since(now),
-            patience,
-            left: wanted.left,
+            useful_for: ask.wanted.since(now),
+            wait_limit: patience,
+            time_left: wanted.left,
             identity: wanted.identity.clone(),
-            observed: self
+            observations: self
                 .quarantine
                 .borrow()
                 .get_evidence()
                 .untold_of(wanted.identity),
             prompt: ask.prompt,
             charge: charge.cloned(),
-            retry: wanted.retry,
+            needs_retry: wanted.retry,
             tried: ask.tried.clone(),
             avoid: avoid.unwrap_or_default(),
-            rests: rests.unwrap_or_default(),
-            halls: ask.halls.clone(),
+            backing_off: rests.unwrap_or_default(),
+            allowed_halls: ask.halls.clone(),
         }
     }
 
@@ -187,8 +187,8 @@
     fn take(&self, wanted: Wanted<'_>, grant: Grant, prompt: Tokens, is_late: bool) -> Word {
         let service = wanted.service;
         let mut hub = self.hub.borrow_mut();
-        if grant.mark.follows(hub.mark) {
-            hub.mark = grant.mark;
+        if grant.id.follows(hub.mark) {
+            hub.mark = grant.id;
         }
         drop(hub);
         let server = Arc::new(grant.server.clone());
@@ -198,7 +198,7 @@
             .borrow_mut()
             .meet(std::iter::once(&*server), now);
         self.limit(met.into_iter());
-        let is_beyond = !grant.drawn && self.limits.borrow().closes(&server, grant.mark);
+        let is_beyond = !grant.rate_charged && self.limits.borrow().closes(&server, grant.id);
         let is_evacuated = self.policy.borrow().closes(&server.hall);
         let is_closed = is_beyond || is_evacuated;
         let take = |service: &mut Service| {
@@ -265,8 +265,8 @@
         self.ends.borrow_mut().push(AttemptEnd {
             service: service.clone(),
             incarnation: incarnation.into(),
-            watched,
-            end,
+            rollout: watched,
+            outcome: end,
         });
         self.reports.notify_one();
     }
@@ -283,11 +283,11 @@
         };
         let report = Report {
             host: node.host.clone(),
-            mark: node.hub.borrow().mark,
+            last_grant: node.hub.borrow().mark,
             loads: node.loads(),
-            ends,
-            observed: node.quarantine.borrow().get_evidence().untold().0,
-            limits: node.limits.borrow().words(),
+            ended: ends,
+            observations: node.quarantine.borrow().get_evidence().untold().0,
+            limit_reports: node.limits.borrow().words(),
         };
         let call = RenewCall::Hub(HubCall::Tell(report));
         let told: Result<HubReply, Refusal> =
--- a/crates/curlewlift/src/gateway/tables.rs
+++ b/crates/curlewlift/src/gateway/tables.rs
@@ -80,12 +80,12 @@
             self.number = piece.number;
             self.text.clear();
         }
-        if piece.from != self.text.len() {
+        if piece.offset != self.text.len() {
             self.text.clear();
             return Progress::None;
         }
         self.text.push_str(&piece.text);
-        if self.text.len() < piece.whole {
+        if self.text.len() < piece.total_len {
             return Progress::Piece;
         }
         // Says that it has the whole: it is the next one's turn.
--- a/crates/curlewlift/src/platform/entries.rs
+++ b/crates/curlewlift/src/platform/entries.rs
@@ -128,7 +128,7 @@
     Ok(Server {
         incarnation,
         name: name.into(),
-        born: instance.born.unwrap_or_default(),
+        started_ms: instance.born.unwrap_or_default(),
         version: instance.version.parse().map_err(told)?,
         service: instance.service.parse().map_err(told)?,
         address: instance.address,
--- a/crates/curlewlift/src/platform/start.rs
+++ b/crates/curlewlift/src/platform/start.rs
@@ -189,7 +189,7 @@
                 rollouts: settings.rollouts(),
                 cold: settings.cold(),
                 retries: Some(settings.retries()),
-                link: settings.limits.link(),
+                link_bytes_per_s: settings.limits.link(),
                 ..Tuning::default()
             },
         },
--- a/crates/lab/src/rollout/world.rs
+++ b/crates/lab/src/rollout/world.rs
@@ -130,7 +130,7 @@
         server: Server {
             incarnation: Arc::clone(&name),
             name,
-            born: 0,
+            started_ms: 0,
             version: version(is_new),
             service: service(),
             address: "127.0.0.1:1".parse().expect("an address"),
@@ -390,18 +390,18 @@
             rule: Some(RULES[rule].name.into()),
             rank: 0.into(),
             waited: Duration::ZERO,
-            wanted: Duration::from_millis(200),
-            patience: Duration::from_millis(200),
-            left: Duration::from_secs(10),
+            useful_for: Duration::from_millis(200),
+            wait_limit: Duration::from_millis(200),
+            time_left: Duration::from_secs(10),
             identity: Identity::default(),
-            observed: Vec::new(),
+            observations: Vec::new(),
             prompt: Tokens(100),
             charge: None,
-            retry: false,
+            needs_retry: false,
             tried: Vec::new(),
             avoid: Vec::new(),
-            rests: Vec::new(),
-            halls: None,
+            backing_off: Vec::new(),
+            allowed_halls: None,
         };
         let Some(hub) = &mut self.hub else { return };
         match hub.want(want, now) {
@@ -498,8 +498,8 @@
             asker.ends.push(AttemptEnd {
                 service: service(),
                 incarnation: Arc::clone(&engine.server.incarnation),
-                watched: run.watched,
-                end: run.play.end,
+                rollout: run.watched,
+                outcome: run.play.end,
             });
             if run.play.is_bad && engine.is_new {
                 self.outcome.bad += 1;
@@ -529,11 +529,11 @@
             let Some(hub) = &mut self.hub else { return };
             let report = Report {
                 host: asker.host.clone(),
-                mark: asker.mark,
+                last_grant: asker.mark,
                 loads: loads.clone(),
-                ends: std::mem::take(&mut asker.ends),
-                observed: Vec::new(),
-                limits: Words::default(),
+                ended: std::mem::take(&mut asker.ends),
+                observations: Vec::new(),
+                limit_reports: Words::default(),
             };
             hub.report(&report, now);
             if asks {
@@ -556,7 +556,7 @@
         let loads = loads.into_iter().map(|(incarnation, requests)| Load {
             incarnation,
             requests,
-            reading: Tokens(0),
+            prefill_tokens: Tokens(0),
         });
         loads.collect()
     }
@@ -578,7 +578,7 @@
     }
 
     fn take(&mut self, gateway: usize, rule: usize, grant: &Grant) {
-        self.askers[gateway].mark = grant.mark;
+        self.askers[gateway].mark = grant.id;
         let incarnation = &grant.server.incarnation;
         let mut engines = self.engines.iter();
         let place = engines.position(|engine| engine.server.incarnation == *incarnation);
