--- a/crates/core/benches/places.rs
+++ b/crates/core/benches/places.rs
@@ -51,8 +51,8 @@
     fn new(servers: usize) -> Self {
         let listing = ServerList::new((0..servers).map(server).collect());
         let now = Instant::default();
-        let mut hub = Hub::new(Tuning::default(), now).drawn(7);
-        hub.list(Arc::new(listing));
+        let mut hub = Hub::new(Tuning::default(), now).with_id(7);
+        hub.set_server_list(Arc::new(listing));
         let hosts = (0..GATEWAYS).map(|place| format!("g{place}").parse().expect("a name"));
         let mut fleet = Self {
             hub,
@@ -100,7 +100,7 @@
             backing_off: Vec::new(),
             allowed_halls: None,
         };
-        let SlotDecision::Line(ticket, last) = self.hub.want(want, self.now) else {
+        let SlotDecision::Queued(ticket, last) = self.hub.request_slot(want, self.now) else {
             panic!("no place in line");
         };
         self.waiting.insert(ticket, place);
@@ -110,7 +110,7 @@
     }
 
     fn serve(&mut self) {
-        for (ticket, grant) in self.hub.serve(self.now) {
+        for (ticket, grant) in self.hub.grant_slots(self.now) {
             let place = self.waiting.remove(&ticket).expect("it waits");
             let incarnation = grant.server.incarnation;
             *self.in_flight[place]
@@ -144,7 +144,7 @@
         self.now = self.now + Duration::from_micros(260);
         self.ask();
         self.serve();
-        black_box(self.hub.give_up(self.now));
+        black_box(self.hub.reject_doomed(self.now));
         let Some((place, incarnation)) = self.running.pop_front() else {
             return;
         };
@@ -154,7 +154,7 @@
         self.in_flight[place].retain(|_, requests| *requests > 0);
         self.report(place);
         self.serve();
-        black_box(self.hub.give_up(self.now));
+        black_box(self.hub.reject_doomed(self.now));
     }
 }
 
--- a/crates/core/src/gateway/bulk_schedule.rs
+++ b/crates/core/src/gateway/bulk_schedule.rs
@@ -25,7 +25,7 @@
 
 impl BulkSchedule {
     /// When it is the turn of `host`, which wants to be told at `now`.
-    pub fn turn(&mut self, host: &Host, now: Instant) -> Instant {
+    pub fn reserve(&mut self, host: &Host, now: Instant) -> Instant {
         let turn = self.turns.get(host).copied();
         if let Some(turn) = turn.filter(|turn| now.since(*turn) < UNUSED) {
             return turn;
@@ -37,7 +37,7 @@
     }
 
     /// `host` is told.
-    pub fn told(&mut self, host: &Host) {
+    pub fn finish(&mut self, host: &Host) {
         self.turns.remove(host);
     }
 }
--- a/crates/core/src/gateway/distribution.rs
+++ b/crates/core/src/gateway/distribution.rs
@@ -98,7 +98,7 @@
     }
 
     /// `host` has got the whole.
-    pub fn done(&mut self, host: &Host) {
+    pub fn finish(&mut self, host: &Host) {
         self.turns.remove(host);
     }
 }
--- a/crates/core/src/gateway/hub.rs
+++ b/crates/core/src/gateway/hub.rs
@@ -120,7 +120,7 @@
     pub(super) deputies: ShareAllocator,
     /// Who holds those, as gateways are told.
     pub(super) holders: Standbys,
-    handout: Distribution,
+    distribution: Distribution,
     /// The number of its last answer.
     pub(super) answers: u64,
     table: u64,
@@ -162,7 +162,7 @@
             keeper: ShareAllocator::new(now),
             deputies: ShareAllocator::new(now),
             holders: Standbys::default(),
-            handout: Distribution::new(tuning.link_bytes_per_s),
+            distribution: Distribution::new(tuning.link_bytes_per_s),
             answers: 0,
             table: 0,
             listing: Arc::default(),
@@ -185,7 +185,7 @@
 
     /// Its own number, drawn when it begins: it tells its grants and answers from those of other hubs.
     #[must_use]
-    pub fn drawn(mut self, number: u64) -> Self {
+    pub fn with_id(mut self, number: u64) -> Self {
         self.dispatcher = Dispatcher::new(number);
         self.cases = quarantine::Desk::new(number);
         self.answers = number;
@@ -194,7 +194,7 @@
     }
 
     /// Takes up a newer table's allowances.
-    pub fn adopt(&mut self, table: &Table, now: Instant) {
+    pub fn apply_table(&mut self, table: &Table, now: Instant) {
         if table.get_number() > self.table {
             self.table = table.get_number();
             let accounts = table.accounts();
@@ -210,14 +210,14 @@
     }
 
     /// Says that the table that was taken up is the first of all, so that nobody has used anything.
-    pub fn first_table(&mut self, now: Instant) {
-        self.set_present(now);
+    pub fn mark_first_table(&mut self, now: Instant) {
+        self.reserve_for_standbys(now);
         self.desk.begin_full(now);
     }
 
     /// Takes up a newer list of backend servers.
-    pub fn list(&mut self, listing: Arc<ServerList>) {
-        let admitted = self.admitted(&listing);
+    pub fn set_server_list(&mut self, listing: Arc<ServerList>) {
+        let admitted = self.admitted_servers(&listing);
         self.dispatcher.adopt(&admitted, &self.limits);
         self.delta = Delta::between(&self.listing, &listing);
         self.subsets = Subsets::of(&listing);
@@ -226,14 +226,16 @@
 
     /// The list that it gives out.
     #[must_use]
-    pub fn get_listing(&self) -> &Arc<ServerList> {
+    pub fn get_server_list(&self) -> &Arc<ServerList> {
         &self.listing
     }
 
     /// Takes note of what a gateway tells.
-    pub fn hear(&mut self, question: &Poll, now: Instant) {
-        self.keeper.hear(&question.host, question.last_reply, now);
-        self.deputies.hear(&question.host, question.last_reply, now);
+    pub fn on_poll(&mut self, question: &Poll, now: Instant) {
+        self.keeper
+            .on_poll(&question.host, question.last_reply, now);
+        self.deputies
+            .on_poll(&question.host, question.last_reply, now);
         if let Some(seen) = self.seen.get_mut(&question.host) {
             // Another process of the host, which callers reach elsewhere.
             seen.on_roll &= seen.gateway == question.gateway;
@@ -255,7 +257,7 @@
         self.dispatcher
             .report(&question.host, question.last_grant, &question.loads);
         self.observe(&question.observations, now);
-        self.hear_limits(&question.host, &question.limit_reports, now);
+        self.apply_limit_reports(&question.host, &question.limit_reports, now);
     }
 
     /// The gateway that fetches the list for all: the one on `beside`, or the first that is heard.
@@ -272,22 +274,22 @@
 
     /// How many gateways it knows.
     #[must_use]
-    pub fn count(&self) -> u32 {
+    pub fn gateway_count(&self) -> u32 {
         u32::try_from(self.seen.len()).unwrap_or(u32::MAX)
     }
 
     /// Whether a gateway was heard so lately that it is not silent.
     fn is_live(&self, seen: &Seen, now: Instant) -> bool {
-        seen.is_live(self.silent(), now)
+        seen.is_live(self.gateway_timeout(), now)
     }
 
     /// Looks which gateways live, at most once in [`LOOK`].
-    pub(super) fn look(&mut self, now: Instant) {
+    pub(super) fn scan_gateways(&mut self, now: Instant) {
         if self.looked.is_some_and(|looked| now.since(looked) < LOOK) {
             return;
         }
         let is_first = self.looked.replace(now).is_none();
-        self.drop_silent(now);
+        self.drop_timed_out(now);
         let forget = self.tuning.forget_after;
         let known = self.seen.len();
         self.seen.retain(|_, seen| now.since(seen.heard) < forget);
@@ -296,7 +298,7 @@
             let seen = &self.seen;
             self.limits.keep(|host| seen.contains_key(host));
         }
-        let silent = self.silent();
+        let silent = self.gateway_timeout();
         let mut is_changed = is_first || is_forgotten;
         for seen in self.seen.values_mut() {
             let on_roll = seen.ready && seen.is_live(silent, now);
@@ -311,8 +313,8 @@
     }
 
     /// Drops what silent gateways had in flight.
-    fn drop_silent(&mut self, now: Instant) {
-        let silent = self.silent();
+    fn drop_timed_out(&mut self, now: Instant) {
+        let silent = self.gateway_timeout();
         let silent = self
             .seen
             .iter()
@@ -326,34 +328,38 @@
 /// # Parts and tables
 impl Hub {
     /// Takes up the parts as they stand in the log.
-    pub fn adopt_parts(&mut self, parts: &Shares, now: Instant) {
-        self.keeper.adopt(parts, now);
+    pub fn apply_retry_shares(&mut self, parts: &Shares, now: Instant) {
+        self.keeper.apply(parts, now);
     }
 
     /// The parts as they are to be, where they are to change.
-    pub fn tend_parts(&mut self, now: Instant) -> Option<Shares> {
-        self.keeper.tend(usize::MAX, now)
+    pub fn propose_retry_shares(&mut self, now: Instant) -> Option<Shares> {
+        self.keeper.propose(usize::MAX, now)
     }
 
     /// Takes up the deputies as they stand in the log.
-    pub fn adopt_deputies(&mut self, parts: &Shares, now: Instant) {
-        self.deputies.adopt(parts, now);
+    pub fn apply_standbys(&mut self, parts: &Shares, now: Instant) {
+        self.deputies.apply(parts, now);
         self.holders = Standbys::new(parts.holders.iter().cloned().collect());
     }
 
     /// The deputies as they are to be, where they are to change.
-    pub fn tend_deputies(&mut self, now: Instant) -> Option<Shares> {
-        let most = if self.are_few() { usize::MAX } else { DEPUTIES };
-        self.deputies.tend(most, now)
+    pub fn propose_standbys(&mut self, now: Instant) -> Option<Shares> {
+        let most = if self.all_can_be_standbys() {
+            usize::MAX
+        } else {
+            DEPUTIES
+        };
+        self.deputies.propose(most, now)
     }
 
     /// Whether all gateways can be deputies.
-    pub(super) fn are_few(&self) -> bool {
+    pub(super) fn all_can_be_standbys(&self) -> bool {
         self.seen.len() <= FEW
     }
 
     /// Whose turn it is to be handed the table.
-    pub fn handout(&mut self) -> &mut Distribution {
-        &mut self.handout
+    pub fn distribution(&mut self) -> &mut Distribution {
+        &mut self.distribution
     }
 }
--- a/crates/core/src/gateway/incarnations.rs
+++ b/crates/core/src/gateway/incarnations.rs
@@ -63,8 +63,8 @@
 /// ```
 /// use curlewlift_core::gateway::ServerList;
 /// use curlewlift_core::gateway::Incarnations;
-/// let mut lives = Incarnations::default();
-/// assert!(lives.take(ServerList::default()).servers.is_empty());
+/// let mut incarnations = Incarnations::default();
+/// assert!(incarnations.apply(ServerList::default()).servers.is_empty());
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Incarnations {
@@ -75,7 +75,7 @@
     /// Takes up a copy of the list; gives it with each server once, in its present incarnation.
     ///
     /// A server that the copy leaves out is forgotten: what comes under its name later is a start anew.
-    pub fn take(&mut self, listing: ServerList) -> ServerList {
+    pub fn apply(&mut self, listing: ServerList) -> ServerList {
         let mut known = HashMap::with_capacity(listing.servers.len());
         let mut servers = Vec::with_capacity(listing.servers.len());
         for server in self.once_each(listing) {
--- a/crates/core/src/gateway/leader_search.rs
+++ b/crates/core/src/gateway/leader_search.rs
@@ -33,7 +33,7 @@
 ///
 /// ```
 /// use curlewlift_core::gateway::LeaderSearch;
-/// let mut search = Search::default();
+/// let mut search = LeaderSearch::default();
 /// search.missed();
 /// let first = search.pause(1_000, 0.5);
 /// for _ in 0..10 {
--- a/crates/core/src/gateway/limits.rs
+++ b/crates/core/src/gateway/limits.rs
@@ -11,7 +11,7 @@
 /// # Limits
 impl Hub {
     /// Takes note of what a gateway tells of limits.
-    pub(super) fn hear_limits(&mut self, host: &id::Host, words: &Words, now: Instant) {
+    pub(super) fn apply_limit_reports(&mut self, host: &id::Host, words: &Words, now: Instant) {
         let last = self.dispatcher.last_grant();
         let changes = self.limits.hear(host, words, last, now);
         self.dispatcher.limit(changes.into_iter(), now);
@@ -19,7 +19,7 @@
 
     /// For how long requests waited only because servers had named limits, since this was last asked for, over all
     /// services.
-    pub fn take_held(&mut self) -> Duration {
+    pub fn take_limit_wait(&mut self) -> Duration {
         self.dispatcher.take_held()
     }
 
--- a/crates/core/src/gateway/membership.rs
+++ b/crates/core/src/gateway/membership.rs
@@ -36,7 +36,7 @@
     ///
     /// The version tells: it comes from the content, so that what was missed or told twice shows.
     #[must_use]
-    pub fn after(&self, news: MembershipUpdate) -> Option<Self> {
+    pub fn apply(&self, news: MembershipUpdate) -> Option<Self> {
         let roll = match news {
             MembershipUpdate::Whole(roll) => return Some(roll),
             MembershipUpdate::MembershipChange(change) => change,
@@ -48,7 +48,7 @@
     }
 
     /// Whether a gateway is on it.
-    fn has(&self, gateway: &Gateway) -> bool {
+    fn contains(&self, gateway: &Gateway) -> bool {
         let found = self
             .gateways
             .binary_search_by(|other| order(other, gateway));
@@ -56,9 +56,9 @@
     }
 
     /// What makes `next` of this one.
-    fn change(&self, next: &Self) -> MembershipChange {
-        let come = next.gateways.iter().filter(|other| !self.has(other));
-        let gone = self.gateways.iter().filter(|other| !next.has(other));
+    fn change_to(&self, next: &Self) -> MembershipChange {
+        let come = next.gateways.iter().filter(|other| !self.contains(other));
+        let gone = self.gateways.iter().filter(|other| !next.contains(other));
         MembershipChange {
             version: next.version,
             added: come.cloned().collect(),
@@ -110,7 +110,7 @@
         if roll.version == self.present.version {
             return;
         }
-        let change = self.present.change(&roll);
+        let change = self.present.change_to(&roll);
         let former = std::mem::replace(&mut self.present, roll);
         self.changes.push_back((former.version, change));
         if self.changes.len() > KEPT {
--- a/crates/core/src/gateway/quarantine.rs
+++ b/crates/core/src/gateway/quarantine.rs
@@ -12,13 +12,13 @@
 /// # Requests in quarantine
 impl Hub {
     /// Takes up the requests in quarantine as they are agreed.
-    pub fn adopt_quarantine(&mut self, list: &List, now: Instant) {
+    pub fn apply_quarantine(&mut self, list: &List, now: Instant) {
         self.cases.adopt(list, now);
         self.quarantine = list.clone();
     }
 
     /// What of them is to be agreed now.
-    pub fn tend_quarantine(&mut self, now: Instant) -> Vec<Step> {
+    pub fn propose_quarantine_steps(&mut self, now: Instant) -> Vec<Step> {
         self.cases.tend(now)
     }
 
@@ -26,20 +26,20 @@
     pub(super) fn observe(&mut self, observed: &[Observation], now: Instant) {
         for observation in observed {
             if self.cases.hear(observation, now) {
-                self.withhold(&observation.identity, now);
+                self.reject_unpermitted(&observation.identity, now);
             }
         }
     }
 
     /// Takes those out of line that are a request under which one more server has ended, but for as many as
     /// may still go.
-    fn withhold(&mut self, identity: &Identity, now: Instant) {
+    fn reject_unpermitted(&mut self, identity: &Identity, now: Instant) {
         for ticket in self.dispatcher.unpermitted(identity) {
             let left = self.dispatcher.left(&ticket, now);
             match self.cases.ask(identity, left, now) {
                 Verdict::Permitted(permit) => self.dispatcher.permit(&ticket, permit),
                 Verdict::Withheld(_) => {
-                    self.leave(&ticket, now);
+                    self.cancel(&ticket, now);
                     self.withheld.push(ticket);
                 }
                 Verdict::Free => {}
--- a/crates/core/src/gateway/rollouts.rs
+++ b/crates/core/src/gateway/rollouts.rs
@@ -21,33 +21,33 @@
 impl Hub {
     /// Takes up the roll-outs as they are agreed; `now_ms` is the Unix time, `own` the order that was taken
     /// under this hub.
-    pub fn adopt_plans(&mut self, plans: &Plans, own: Option<&Order>, now_ms: u64, now: Instant) {
+    pub fn apply_plans(&mut self, plans: &Plans, own: Option<&Order>, now_ms: u64, now: Instant) {
         self.trials.adopt(plans, own, now_ms, now);
-        self.renew_policy();
+        self.refresh_policy();
     }
 
     /// Takes up which data halls are evacuated, as it is agreed.
-    pub fn adopt_evacuated(&mut self, halls: &Halls) {
+    pub fn apply_evacuations(&mut self, halls: &Halls) {
         self.evacuated = halls.clone();
-        self.renew_policy();
+        self.refresh_policy();
     }
 
     /// Works out anew who may send where.
-    fn renew_policy(&mut self) {
+    fn refresh_policy(&mut self) {
         self.policy = self.trials.get_policy().clone().closing(&self.evacuated);
-        let admitted = self.admitted(&self.listing);
+        let admitted = self.admitted_servers(&self.listing);
         self.dispatcher.adopt(&admitted, &self.limits);
     }
 
     /// The steps of roll-outs that are to be agreed now, with what speaks for each.
-    pub fn tend_rollouts(&mut self, now: Instant) -> Vec<(Step, String)> {
+    pub fn propose_rollout_steps(&mut self, now: Instant) -> Vec<(Step, String)> {
         let established = self.trials.establish(&self.listing, now).into_iter();
         let mut steps: Vec<_> = established.map(|step| (step, String::new())).collect();
-        let is_known = self.is_known(now);
+        let is_known = self.is_policy_applied(now);
         let mut trials = std::mem::take(&mut self.trials);
         let scene = |service: &_, target: &_| Scene {
             is_known,
-            ..self.scene(service, target)
+            ..self.conditions(service, target)
         };
         steps.extend(trials.tend(scene, now));
         self.trials = trials;
@@ -55,7 +55,7 @@
     }
 
     /// What of a list the hub gives places at.
-    pub(super) fn admitted(&self, listing: &ServerList) -> ServerList {
+    pub(super) fn admitted_servers(&self, listing: &ServerList) -> ServerList {
         let servers = listing.servers.iter();
         let admitted = servers
             .filter(|server| self.trials.admits(server) && !self.evacuated.has(&server.hall));
@@ -63,19 +63,19 @@
     }
 
     /// The policy on versions and halls, where the asker goes by another.
-    pub(super) fn policy_for(&self, question: &Poll) -> Option<Policy> {
-        let is_other = self.has_other_policy(question);
+    pub(super) fn policy_update(&self, question: &Poll) -> Option<Policy> {
+        let is_other = self.has_policy_update(question);
         is_other.then(|| self.policy.clone())
     }
 
     /// Whether the asker goes by another policy than the one in force; before there is one, by none.
-    pub(super) fn has_other_policy(&self, question: &Poll) -> bool {
+    pub(super) fn has_policy_update(&self, question: &Poll) -> bool {
         let version = self.policy.version;
         version != 0 && version != question.policy_version
     }
 
     /// Takes up what answers show of a version on trial, and of the one beside it.
-    pub(super) fn watch(&mut self, ends: &[AttemptEnd]) {
+    pub(super) fn observe_outcomes(&mut self, ends: &[AttemptEnd]) {
         for ended in ends {
             if !self.trials.is_under_way(&ended.service) {
                 continue;
@@ -84,20 +84,20 @@
             let Some(version) = server.map(|server| server.version.clone()) else {
                 continue;
             };
-            let servers = self.takers(&ended.service);
+            let servers = self.accepting_servers(&ended.service);
             let servers = servers.filter(|server| server.version == version).count();
             self.trials.ended(ended, &version, servers);
         }
     }
 
     /// The servers of a service that take new work.
-    fn takers(&self, service: &id::Service) -> impl Iterator<Item = &Server> {
+    fn accepting_servers(&self, service: &id::Service) -> impl Iterator<Item = &Server> {
         let servers = self.listing.servers.iter();
         servers.filter(move |server| server.service == *service && !server.leaving)
     }
 
     /// What there is around a roll-out of `service` to `target`.
-    fn scene(&self, service: &id::Service, target: &Version) -> Scene {
+    fn conditions(&self, service: &id::Service, target: &Version) -> Scene {
         let mut scene = Scene::default();
         for server in self
             .listing
@@ -122,7 +122,7 @@
     /// Whether every gateway goes by the policy in force, as far as this hub knows of gateways.
     ///
     /// A hub that has only begun has not heard them all yet.
-    fn is_known(&self, now: Instant) -> bool {
+    fn is_policy_applied(&self, now: Instant) -> bool {
         let version = self.policy.version;
         let all = self.seen.values().all(|seen| seen.policy == version);
         all && now.since(self.began) >= self.tuning.gateway_timeout * 2
--- a/crates/core/src/gateway/server_list.rs
+++ b/crates/core/src/gateway/server_list.rs
@@ -81,7 +81,7 @@
 
     /// The list after `news`; none where they are not about this one.
     #[must_use]
-    pub fn after(&self, news: Update) -> Option<Self> {
+    pub fn apply(&self, news: Update) -> Option<Self> {
         let change = match news {
             Update::Whole(listing) => return Some(listing),
             Update::Change(change) => change,
--- a/crates/core/src/gateway/server_list_cache.rs
+++ b/crates/core/src/gateway/server_list_cache.rs
@@ -75,18 +75,18 @@
     }
 
     /// Takes up a copy of the whole list.
-    pub fn fetched(&mut self, copy: ServerList) {
-        let whole = self.lives.take(copy);
+    pub fn set_whole(&mut self, copy: ServerList) {
+        let whole = self.lives.apply(copy);
         self.subset = whole.subset(&self.host);
         self.lacks = false;
         self.whole = Some(whole);
     }
 
     /// Takes up what the hub tells.
-    pub fn told(&mut self, news: ServerListUpdate) {
+    pub fn apply(&mut self, news: ServerListUpdate) {
         match news {
-            ServerListUpdate::Whole(listing) if self.keeps_whole => self.fetched(listing),
-            news => match self.subset.after(news) {
+            ServerListUpdate::Whole(listing) if self.keeps_whole => self.set_whole(listing),
+            news => match self.subset.apply(news) {
                 Some(after) => {
                     self.subset = after;
                     self.lacks = false;
@@ -98,7 +98,7 @@
     }
 
     /// Says that others fetch the list: one that was fetched here is soon older than the hub's.
-    pub fn others_fetch(&mut self) {
+    pub fn drop_fetched(&mut self) {
         if !self.keeps_whole {
             self.whole = None;
         }
--- a/crates/core/src/gateway/shares.rs
+++ b/crates/core/src/gateway/shares.rs
@@ -38,9 +38,9 @@
 impl Shares {
     /// The part that `host` holds, 0 to 1.
     #[must_use]
-    pub fn of(&self, host: &Host) -> f64 {
+    pub fn share_of(&self, host: &Host) -> f64 {
         if self.holders.contains(host) {
-            self.share(1)
+            self.fraction(1)
         } else {
             0.0
         }
@@ -48,7 +48,7 @@
 
     /// So many parts, 0 to 1.
     #[must_use]
-    pub fn share(&self, parts: usize) -> f64 {
+    pub fn fraction(&self, parts: usize) -> f64 {
         let parts = u32::try_from(parts).unwrap_or(u32::MAX);
         f64::from(parts.min(self.count)) / f64::from(self.count.max(1))
     }
@@ -75,8 +75,8 @@
     /// When the last change was begun.
     changed: Instant,
     told: BTreeMap<Host, Told>,
-    /// What [`Keeper::present`] last came to, and until when that stands.
-    present: Option<(f64, Instant)>,
+    /// What [`ShareAllocator::hub_fraction`] last came to, and until when that stands.
+    hub_fraction: Option<(f64, Instant)>,
 }
 
 impl ShareAllocator {
@@ -90,12 +90,12 @@
             proposed: None,
             changed: now,
             told: BTreeMap::new(),
-            present: None,
+            hub_fraction: None,
         }
     }
 
     /// Takes up the parts as they stand in the log at `now`.
-    pub fn adopt(&mut self, parts: &Shares, now: Instant) {
+    pub fn apply(&mut self, parts: &Shares, now: Instant) {
         if *parts == self.parts {
             return;
         }
@@ -104,30 +104,30 @@
         }
         self.parts = parts.clone();
         self.proposed = None;
-        self.present = None;
+        self.hub_fraction = None;
     }
 
     /// A gateway asks, and says which answer it has got last.
-    pub fn hear(&mut self, host: &Host, got: u64, now: Instant) {
+    pub fn on_poll(&mut self, host: &Host, got: u64, now: Instant) {
         if let Some(told) = self.told.get_mut(host)
             && told.last.0 == got
         {
             let was_aside = told.got.is_none_or(|got| got + quota::ASIDE <= now);
             told.got = Some(told.last.1);
             if was_aside {
-                self.present = None;
+                self.hub_fraction = None;
             }
         }
     }
 
     /// A gateway is answered: gives the answer's number and the part that it holds.
-    pub fn tell(&mut self, host: &Host, number: u64, now: Instant) -> f64 {
-        let got = self.got(host);
+    pub fn on_reply(&mut self, host: &Host, number: u64, now: Instant) -> f64 {
+        let got = self.acknowledged_at(host);
         let last = (number, now);
         self.told.insert(host.clone(), Told { last, got });
         let stays = |next: &Shares| next.holders.contains(host);
         if self.proposed.as_ref().is_none_or(stays) {
-            self.parts.of(host)
+            self.parts.share_of(host)
         } else {
             0.0
         }
@@ -138,36 +138,40 @@
     ///
     /// It is asked for at each request, and worked out again only when it can have changed: that costs time
     /// linear in the holders.
-    pub fn present(&mut self, now: Instant) -> f64 {
-        if let Some((present, until)) = self.present
+    pub fn hub_fraction(&mut self, now: Instant) -> f64 {
+        if let Some((present, until)) = self.hub_fraction
             && now < until
         {
             return present;
         }
-        let heard = self.parts.holders.iter().filter_map(|host| self.got(host));
+        let heard = self
+            .parts
+            .holders
+            .iter()
+            .filter_map(|host| self.acknowledged_at(host));
         let ends = heard.map(|got| got + quota::ASIDE).filter(|end| now < *end);
         let (count, until) = ends.fold((0, now + quota::ASIDE), |(count, until), end| {
             (count + 1, until.min(end))
         });
-        let present = 1.0 - self.parts.share(self.parts.holders.len() - count);
-        self.present = Some((present, until));
+        let present = 1.0 - self.parts.fraction(self.parts.holders.len() - count);
+        self.hub_fraction = Some((present, until));
         present
     }
 
     /// When the newest answer was given that `host` says it has got.
-    fn got(&self, host: &Host) -> Option<Instant> {
+    fn acknowledged_at(&self, host: &Host) -> Option<Instant> {
         self.told.get(host).and_then(|told| told.got)
     }
 
     /// The parts as they are to be, where they are to change; none is added to `most` holders or more.
-    pub fn tend(&mut self, most: usize, now: Instant) -> Option<Shares> {
+    pub fn propose(&mut self, most: usize, now: Instant) -> Option<Shares> {
         if now.since(self.changed) < APART || self.proposed.is_some() {
             return None;
         }
         let holders = &self.parts.holders;
         self.told
             .retain(|host, told| holders.contains(host) || now.since(told.last.1) < quota::HELD);
-        let next = self.next(most, now);
+        let next = self.next_shares(most, now);
         if next == self.parts {
             return None;
         }
@@ -176,7 +180,7 @@
         Some(next)
     }
 
-    fn next(&self, most: usize, now: Instant) -> Shares {
+    fn next_shares(&self, most: usize, now: Instant) -> Shares {
         let goes_by = |host: &Host| {
             let last = self.told.get(host).map_or(self.began, |told| told.last.1);
             now.since(last) < quota::HELD
@@ -193,7 +197,10 @@
             let holders = if holders.is_empty() { come } else { holders };
             return Shares { count, holders };
         }
-        let heard_of_it = |host: &Host| self.got(host).is_some_and(|got| got >= self.grown);
+        let heard_of_it = |host: &Host| {
+            self.acknowledged_at(host)
+                .is_some_and(|got| got >= self.grown)
+        };
         if holders.iter().all(heard_of_it) {
             holders.extend(come);
         }
--- a/crates/core/src/gateway/slots.rs
+++ b/crates/core/src/gateway/slots.rs
@@ -18,13 +18,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SlotDecision {
     /// It waits in line; another may have lost its place for want of room.
-    Line(Ticket, Option<Ticket>),
+    Queued(Ticket, Option<Ticket>),
     /// The service has no servers here.
     NoServers,
     /// Its customer has used up its allowance; there is enough after this time, if nobody else draws.
-    Beyond(Duration),
+    QuotaExceeded(Duration),
     /// Servers ended under such a request.
-    Withheld(Withheld),
+    Rejected(Withheld),
     /// It was sent before, and no further sending is left.
     NoRetry,
 }
@@ -32,7 +32,7 @@
 /// # Places at backend servers
 impl Hub {
     /// Draws what a request counts, and puts it in line.
-    pub fn want(&mut self, want: SlotRequest, now: Instant) -> SlotDecision {
+    pub fn request_slot(&mut self, want: SlotRequest, now: Instant) -> SlotDecision {
         self.observe(&want.observations, now);
         if !self.dispatcher.has(&want.service) {
             return SlotDecision::NoServers;
@@ -42,7 +42,7 @@
         let permit = match self.cases.ask(&want.identity, want.time_left, now) {
             Verdict::Free => None,
             Verdict::Permitted(permit) => Some(permit),
-            Verdict::Withheld(why) => return SlotDecision::Withheld(why),
+            Verdict::Withheld(why) => return SlotDecision::Rejected(why),
         };
         let mut given = Given {
             charge: None,
@@ -51,32 +51,34 @@
         };
         if want.needs_retry {
             if !self.retries.draw(&want.service, now) {
-                self.give_back(given, now);
+                self.release(given, now);
                 return SlotDecision::NoRetry;
             }
             given.retry = Some(want.service.clone());
         }
-        self.set_present(now);
+        self.reserve_for_standbys(now);
         if let Some(charge) = &want.charge {
             if let Err(wait) = self.desk.draw(charge, now) {
-                self.give_back(given, now);
-                return SlotDecision::Beyond(wait);
+                self.release(given, now);
+                return SlotDecision::QuotaExceeded(wait);
             }
             given.charge = Some(charge.clone());
         }
         match self.dispatcher.want(want, given, now) {
-            Ok((ticket, last)) => SlotDecision::Line(ticket, last.map(|last| self.lost(last, now))),
+            Ok((ticket, last)) => {
+                SlotDecision::Queued(ticket, last.map(|last| self.release_queued(last, now)))
+            }
             Err(given) => {
-                self.give_back(given, now);
+                self.release(given, now);
                 SlotDecision::NoServers
             }
         }
     }
 
     /// Takes a request out of line.
-    pub fn leave(&mut self, ticket: &Ticket, now: Instant) {
+    pub fn cancel(&mut self, ticket: &Ticket, now: Instant) {
         let given = self.dispatcher.leave(ticket);
-        self.give_back(given, now);
+        self.release(given, now);
     }
 
     /// Takes note of what a gateway tells as soon as an answer begins or a sending has ended.
@@ -84,13 +86,13 @@
         self.dispatcher
             .report(&report.host, report.last_grant, &report.loads);
         self.dispatcher.ended(&report.host, &report.ended, now);
-        self.watch(&report.ended);
+        self.observe_outcomes(&report.ended);
         self.observe(&report.observations, now);
-        self.hear_limits(&report.host, &report.limit_reports, now);
+        self.apply_limit_reports(&report.host, &report.limit_reports, now);
     }
 
     /// Gives places to those in line for whom there is room.
-    pub fn serve(&mut self, now: Instant) -> Vec<(Ticket, Grant)> {
+    pub fn grant_slots(&mut self, now: Instant) -> Vec<(Ticket, Grant)> {
         self.dispatcher.set_on_trial(self.trials.on_trial());
         let served = self.dispatcher.serve(now).into_iter();
         let served = served.map(|(ticket, grant, given)| {
@@ -105,22 +107,22 @@
 
     /// Takes those out of line who are not likely to get a place in time, and tells of those who have lost
     /// theirs as servers ended under such requests.
-    pub fn give_up(&mut self, now: Instant) -> Vec<Ticket> {
+    pub fn reject_doomed(&mut self, now: Instant) -> Vec<Ticket> {
         let mut out = std::mem::take(&mut self.withheld);
         for hopeless in self.dispatcher.give_up(now) {
-            out.push(self.lost(hopeless, now));
+            out.push(self.release_queued(hopeless, now));
         }
         out
     }
 
     /// Takes back what a request was given that has lost its place in line.
-    fn lost(&mut self, (ticket, given): Left, now: Instant) -> Ticket {
-        self.give_back(given, now);
+    fn release_queued(&mut self, (ticket, given): Left, now: Instant) -> Ticket {
+        self.release(given, now);
         ticket
     }
 
     /// Takes back what a request was given that got no server.
-    fn give_back(&mut self, given: Given, now: Instant) {
+    fn release(&mut self, given: Given, now: Instant) {
         if let Some(charge) = given.charge {
             self.desk.give_back(&charge, now);
         }
@@ -133,14 +135,14 @@
     }
 
     /// Sets aside what gateways that are not heard may be letting in by themselves.
-    pub(super) fn set_present(&mut self, now: Instant) {
-        let present = self.deputies.present(now);
+    pub(super) fn reserve_for_standbys(&mut self, now: Instant) {
+        let present = self.deputies.hub_fraction(now);
         self.desk.set_present(present, now);
     }
 
     /// What only the passing of time brings: gateways fall silent, and their parts are set aside.
     pub fn tick(&mut self, now: Instant) {
-        self.set_present(now);
-        self.look(now);
+        self.reserve_for_standbys(now);
+        self.scan_gateways(now);
     }
 }
--- a/crates/core/tests/cold_servers.rs
+++ b/crates/core/tests/cold_servers.rs
@@ -80,9 +80,9 @@
         cold: SLACK,
         ..Tuning::default()
     };
-    let mut hub = Hub::new(tuning, now).drawn(number);
-    hub.adopt(&table(), now);
-    hub.list(Arc::new(ServerList::new(servers.to_vec())));
+    let mut hub = Hub::new(tuning, now).with_id(number);
+    hub.apply_table(&table(), now);
+    hub.set_server_list(Arc::new(ServerList::new(servers.to_vec())));
     hub
 }
 
@@ -102,16 +102,16 @@
             0 => {
                 let place = random.random_range(0..servers.len());
                 servers[place].cold = random.random();
-                leader.list(Arc::new(ServerList::new(servers.to_vec())));
+                leader.set_server_list(Arc::new(ServerList::new(servers.to_vec())));
             }
             1 => leader = hub(step + 2, &servers, now),
             2 => crowd = random.random_range(0..20),
             _ => {}
         }
         for _ in 0..crowd {
-            leader.want(messages::want(&"g".parse().expect("a name")), now);
+            leader.request_slot(messages::want(&"g".parse().expect("a name")), now);
         }
-        for (_, grant) in leader.serve(now) {
+        for (_, grant) in leader.grant_slots(now) {
             let sent = sent.entry(grant.server.incarnation).or_default();
             sent.push_back(now);
             while now.since(sent[0]) >= SECOND {
@@ -119,7 +119,7 @@
             }
             most = most.max(sent.len());
         }
-        leader.give_up(now);
+        leader.reject_doomed(now);
     }
     most
 }
@@ -144,9 +144,9 @@
         let mut given = 0;
         for _ in 0..1_000 {
             now = now + STEP;
-            hub.want(messages::want(&"g".parse().expect("a name")), now);
-            given += hub.serve(now).len();
-            hub.give_up(now);
+            hub.request_slot(messages::want(&"g".parse().expect("a name")), now);
+            given += hub.grant_slots(now).len();
+            hub.reject_doomed(now);
         }
         let a_second = f64::from(u32::try_from(given).expect("few")) / 10.0;
         assert!((a_second - usual).abs() < 1.0, "{cold}: {a_second}");
--- a/crates/core/tests/evacuated_halls.rs
+++ b/crates/core/tests/evacuated_halls.rs
@@ -37,9 +37,9 @@
 }
 
 fn hub() -> Hub {
-    let mut hub = Hub::new(Tuning::default(), ms(0)).drawn(1);
-    hub.adopt_evacuated(&Halls::default());
-    hub.list(Arc::new(ServerList::new(vec![
+    let mut hub = Hub::new(Tuning::default(), ms(0)).with_id(1);
+    hub.apply_evacuations(&Halls::default());
+    hub.set_server_list(Arc::new(ServerList::new(vec![
         server("s1", "a"),
         server("s2", "b"),
     ])));
@@ -62,8 +62,11 @@
 
 /// Where the hub gives places to one request.
 fn given(hub: &mut Hub, want: SlotRequest, now: Instant) -> Vec<String> {
-    assert!(matches!(hub.want(want, now), SlotDecision::Line(..)));
-    let grants = hub.serve(now).into_iter();
+    assert!(matches!(
+        hub.request_slot(want, now),
+        SlotDecision::Queued(..)
+    ));
+    let grants = hub.grant_slots(now).into_iter();
     grants
         .map(|(_, grant)| grant.server.name.to_string())
         .collect()
@@ -82,7 +85,7 @@
         .iter()
         .enumerate()
     {
-        hub.adopt_evacuated(halls);
+        hub.apply_evacuations(halls);
         let now = ms(1_000 * (step as u64 + 1));
         let mut places: Vec<_> = (0..2).flat_map(|_| given(&mut hub, want(), now)).collect();
         places.sort();
@@ -94,9 +97,9 @@
         assert_eq!(places, all, "{step}");
         let mut question = messages::question(&"g".parse().expect("a name"));
         question.policy_version = policies.last().map_or(0, |policy: &Policy| policy.version);
-        hub.hear(&question, now);
-        assert!(hub.has_news(&question));
-        let reply = hub.answer(&question, &<_>::default(), now);
+        hub.on_poll(&question, now);
+        assert!(hub.has_update(&question));
+        let reply = hub.reply(&question, &<_>::default(), now);
         policies.push(reply.policy.expect("another policy"));
     }
     assert_eq!(policies[0], policies[2]);
@@ -137,11 +140,11 @@
     for time in 1..4 {
         assert_eq!(given(&mut hub, bound(&["b"]), ms(time)), ["s2"]);
     }
-    hub.adopt_evacuated(&evacuated("b"));
+    hub.apply_evacuations(&evacuated("b"));
     assert!(given(&mut hub, bound(&["b"]), ms(10)).is_empty());
     assert_eq!(given(&mut hub, want(), ms(10)), ["s1"], "others go on");
     assert_eq!(
-        hub.give_up(ms(11)).len(),
+        hub.reject_doomed(ms(11)).len(),
         1,
         "no server of its halls is left"
     );
--- a/crates/core/tests/gateway_hub.rs
+++ b/crates/core/tests/gateway_hub.rs
@@ -61,37 +61,37 @@
 #[test]
 fn sums_of_others() {
     let mut hub = Hub::new(Tuning::default(), seconds(0));
-    hub.list(listing());
+    hub.set_server_list(listing());
     for (host, in_flight) in [("g", 3), ("gg", 4), ("gg", 5)] {
-        hub.hear(&question(host, in_flight), seconds(1));
+        hub.on_poll(&question(host, in_flight), seconds(1));
     }
-    let reply = hub.answer(&question("g", 3), &Publication::default(), seconds(1));
+    let reply = hub.reply(&question("g", 3), &Publication::default(), seconds(1));
     assert_eq!(reply.other_loads[0].requests, 5);
-    let reply = hub.answer(&question("gg", 5), &Publication::default(), seconds(1));
+    let reply = hub.reply(&question("gg", 5), &Publication::default(), seconds(1));
     assert_eq!(reply.other_loads[0].requests, 3);
 }
 
 #[test]
 fn silent_leave_roll() {
     let mut hub = Hub::new(Tuning::default(), seconds(0));
-    hub.hear(&question("g", 0), seconds(1));
-    hub.hear(&question("gg", 0), seconds(1));
+    hub.on_poll(&question("g", 0), seconds(1));
+    hub.on_poll(&question("gg", 0), seconds(1));
     let mut stopping = question("ggg", 0);
     stopping.ready = false;
-    hub.hear(&stopping, seconds(1));
+    hub.on_poll(&stopping, seconds(1));
     let both = hub
-        .answer(&question("g", 0), &Publication::default(), seconds(1))
+        .reply(&question("g", 0), &Publication::default(), seconds(1))
         .membership;
     let both = Membership::default()
-        .after(both.expect("new"))
+        .apply(both.expect("new"))
         .expect("whole");
     assert_eq!(both.gateways.len(), 2, "a stopping one takes no callers");
-    hub.hear(&question("g", 0), seconds(4));
+    hub.on_poll(&question("g", 0), seconds(4));
     let one = hub
-        .answer(&question("g", 0), &Publication::default(), seconds(4))
+        .reply(&question("g", 0), &Publication::default(), seconds(4))
         .membership;
     let one = Membership::default()
-        .after(one.expect("new"))
+        .apply(one.expect("new"))
         .expect("whole");
     assert_eq!(one.gateways.len(), 1);
 }
@@ -99,12 +99,12 @@
 #[test]
 fn forgotten_in_time() {
     let mut hub = Hub::new(Tuning::default(), seconds(0));
-    hub.list(listing());
-    hub.hear(&question("g", 0), seconds(1));
-    hub.hear(&question("gg", 2), seconds(1));
-    hub.hear(&question("g", 0), seconds(20));
-    let reply = hub.answer(&question("g", 0), &Publication::default(), seconds(20));
-    assert_eq!(hub.count(), 1);
+    hub.set_server_list(listing());
+    hub.on_poll(&question("g", 0), seconds(1));
+    hub.on_poll(&question("gg", 2), seconds(1));
+    hub.on_poll(&question("g", 0), seconds(20));
+    let reply = hub.reply(&question("g", 0), &Publication::default(), seconds(20));
+    assert_eq!(hub.gateway_count(), 1);
     assert!(
         reply.other_loads.is_empty(),
         "what it had in flight is over"
@@ -116,15 +116,15 @@
     let listing = listing();
     let mut hub = Hub::new(Tuning::default(), seconds(0));
     let mut asked = question("g", 0);
-    hub.hear(&asked, seconds(1));
-    assert!(!hub.has_news(&asked), "no list is no news");
-    hub.list(Arc::clone(&listing));
-    assert!(hub.has_news(&asked));
-    let reply = hub.answer(&asked, &Publication::default(), seconds(1));
+    hub.on_poll(&asked, seconds(1));
+    assert!(!hub.has_update(&asked), "no list is no news");
+    hub.set_server_list(Arc::clone(&listing));
+    assert!(hub.has_update(&asked));
+    let reply = hub.reply(&asked, &Publication::default(), seconds(1));
     let whole = ServerListUpdate::Whole(ServerList::clone(&listing));
     assert_eq!(reply.server_list, Some(whole));
     asked.server_list_version = listing.version;
-    let reply = hub.answer(&asked, &Publication::default(), seconds(1));
+    let reply = hub.reply(&asked, &Publication::default(), seconds(1));
     assert_eq!(
         (reply.server_list, reply.server_list_version),
         (None, listing.version)
@@ -136,12 +136,12 @@
     let mut hub = Hub::new(Tuning::default(), seconds(0));
     let beside = "gg".parse().expect("a name");
     assert_eq!(hub.fetcher(&beside, seconds(1)), None);
-    hub.hear(&question("g", 0), seconds(1));
+    hub.on_poll(&question("g", 0), seconds(1));
     let fetcher = |hub: &Hub, now| hub.fetcher(&beside, now).map(|host| host.to_string());
     assert_eq!(fetcher(&hub, seconds(1)).as_deref(), Some("g"));
-    hub.hear(&question("gg", 0), seconds(1));
+    hub.on_poll(&question("gg", 0), seconds(1));
     assert_eq!(fetcher(&hub, seconds(1)).as_deref(), Some("gg"));
-    hub.hear(&question("g", 0), seconds(5));
+    hub.on_poll(&question("g", 0), seconds(5));
     assert_eq!(
         fetcher(&hub, seconds(5)).as_deref(),
         Some("g"),
--- a/crates/core/tests/hub_places.rs
+++ b/crates/core/tests/hub_places.rs
@@ -58,8 +58,8 @@
 
 fn hub(names: &[&str]) -> Hub {
     let servers = names.iter().map(|name| server(name));
-    let mut hub = Hub::new(Tuning::default(), ms(0)).drawn(HUB);
-    hub.list(Arc::new(ServerList::new(servers.collect())));
+    let mut hub = Hub::new(Tuning::default(), ms(0)).with_id(HUB);
+    hub.set_server_list(Arc::new(ServerList::new(servers.collect())));
     hub
 }
 
@@ -76,13 +76,13 @@
 
 fn line(wanted: SlotDecision) -> Ticket {
     match wanted {
-        SlotDecision::Line(ticket, _) => ticket,
+        SlotDecision::Queued(ticket, _) => ticket,
         other => panic!("no place in line: {other:?}"),
     }
 }
 
 fn asks(hub: &mut Hub, host: &str, rank: u8, now: Instant) -> Ticket {
-    line(hub.want(want(host, rank), now))
+    line(hub.request_slot(want(host, rank), now))
 }
 
 fn report(host: &str, number: u64, in_flight: u32) -> Report {
@@ -103,7 +103,7 @@
     for _ in 0..=SLOTS {
         asks(&mut hub, "g", 1, ms(1));
     }
-    let grants = hub.serve(ms(1));
+    let grants = hub.grant_slots(ms(1));
     assert_eq!(grants.len(), 3, "its slots and one");
     let mark = grants[2].1.id;
     (hub, mark)
@@ -114,11 +114,15 @@
     let (mut hub, mark) = full();
     let low = asks(&mut hub, "g", 2, ms(2));
     let high = asks(&mut hub, "gg", 0, ms(3));
-    assert!(hub.serve(ms(3)).is_empty(), "no room");
+    assert!(hub.grant_slots(ms(3)).is_empty(), "no room");
     hub.report(&report("g", mark.number, 2), ms(4));
-    assert_eq!(hub.serve(ms(4))[0].0, high, "whatever gateway it came to");
+    assert_eq!(
+        hub.grant_slots(ms(4))[0].0,
+        high,
+        "whatever gateway it came to"
+    );
     hub.report(&report("g", mark.number, 1), ms(5));
-    assert_eq!(hub.serve(ms(5))[0].0, low);
+    assert_eq!(hub.grant_slots(ms(5))[0].0, low);
 }
 
 #[test]
@@ -127,9 +131,9 @@
     asks(&mut hub, "g", 1, ms(500));
     let mut elder = want("gg", 1);
     elder.waited = Duration::from_millis(300);
-    let elder = line(hub.want(elder, ms(501)));
+    let elder = line(hub.request_slot(elder, ms(501)));
     hub.report(&report("g", mark.number, 2), ms(502));
-    assert_eq!(hub.serve(ms(502))[0].0, elder);
+    assert_eq!(hub.grant_slots(ms(502))[0].0, elder);
 }
 
 #[test]
@@ -138,10 +142,10 @@
     asks(&mut hub, "gg", 1, ms(2));
     // It was written before the second grant had come.
     hub.report(&report("g", mark.number - 2, 1), ms(3));
-    assert!(hub.serve(ms(3)).is_empty());
+    assert!(hub.grant_slots(ms(3)).is_empty());
     // All three have come, and one has ended.
     hub.report(&report("g", mark.number, 2), ms(4));
-    assert_eq!(hub.serve(ms(4)).len(), 1);
+    assert_eq!(hub.grant_slots(ms(4)).len(), 1);
 }
 
 #[test]
@@ -151,15 +155,22 @@
     let mut foreign = report("g", 1_000, 0);
     foreign.last_grant.hub = HUB + 1;
     hub.report(&foreign, ms(3));
-    assert!(hub.serve(ms(3)).is_empty(), "what it granted still counts");
+    assert!(
+        hub.grant_slots(ms(3)).is_empty(),
+        "what it granted still counts"
+    );
 }
 
 #[test]
 fn lost_grant_expires() {
     let (mut hub, _) = full();
     asks(&mut hub, "gg", 1, ms(2));
-    assert!(hub.serve(ms(400)).is_empty());
-    assert_eq!(hub.serve(ms(502)).len(), 1, "nobody has taken them up");
+    assert!(hub.grant_slots(ms(400)).is_empty());
+    assert_eq!(
+        hub.grant_slots(ms(502)).len(),
+        1,
+        "nobody has taken them up"
+    );
 }
 
 #[test]
@@ -173,12 +184,16 @@
         loads: report("g", 0, 3).loads,
         ..messages::question(&"g".parse().expect("a name"))
     };
-    hub.hear(&question, ms(0));
+    hub.on_poll(&question, ms(0));
     asks(&mut hub, "gg", 1, ms(10));
     hub.tick(ms(1_100));
-    assert!(hub.serve(ms(1_100)).is_empty());
+    assert!(hub.grant_slots(ms(1_100)).is_empty());
     hub.tick(ms(1_300));
-    assert_eq!(hub.serve(ms(1_300)).len(), 1, "its requests have ended");
+    assert_eq!(
+        hub.grant_slots(ms(1_300)).len(),
+        1,
+        "its requests have ended"
+    );
 }
 
 #[test]
@@ -186,21 +201,21 @@
     let (mut hub, mark) = full();
     let gone = asks(&mut hub, "gg", 0, ms(2));
     let next = asks(&mut hub, "gg", 1, ms(3));
-    hub.leave(&gone, ms(1));
+    hub.cancel(&gone, ms(1));
     hub.report(&report("g", mark.number, 2), ms(4));
-    assert_eq!(hub.serve(ms(4))[0].0, next);
+    assert_eq!(hub.grant_slots(ms(4))[0].0, next);
 }
 
 /// Who waited at a former hub takes nobody out of the next one's line.
 #[test]
 fn tickets_of_another_hub() {
-    let mut former = hub(&["s1"]).drawn(HUB + 1);
-    former.list(Arc::new(ServerList::new(vec![server("s1")])));
+    let mut former = hub(&["s1"]).with_id(HUB + 1);
+    former.set_server_list(Arc::new(ServerList::new(vec![server("s1")])));
     let left = asks(&mut former, "g", 1, ms(1));
     let mut hub = hub(&["s1"]);
     asks(&mut hub, "g", 1, ms(1));
-    hub.leave(&left, ms(1));
-    assert_eq!(hub.serve(ms(2)).len(), 1);
+    hub.cancel(&left, ms(1));
+    assert_eq!(hub.grant_slots(ms(2)).len(), 1);
 }
 
 #[test]
@@ -217,7 +232,7 @@
     for _ in 0..3 {
         asks(&mut hub, "gg", 1, ms(2));
     }
-    let grants = hub.serve(ms(2));
+    let grants = hub.grant_slots(ms(2));
     let elsewhere = |(_, grant): &(Ticket, Grant)| &*grant.server.incarnation == "s2";
     assert_eq!((grants.len(), grants.iter().all(elsewhere)), (3, true));
 }
@@ -227,7 +242,7 @@
     let mut hub = hub(&["s1"]);
     let mut other = want("g", 1);
     other.service = "none".parse().expect("a name");
-    assert_eq!(hub.want(other, ms(1)), SlotDecision::NoServers);
+    assert_eq!(hub.request_slot(other, ms(1)), SlotDecision::NoServers);
 }
 
 /// A gateway as the hub meets it: words take their time, and come in order.
@@ -335,7 +350,7 @@
     }
 
     fn serve(&mut self, now: u64) {
-        for (ticket, grant) in self.hub.serve(ms(now)) {
+        for (ticket, grant) in self.hub.grant_slots(ms(now)) {
             self.given += 1;
             let host = self.asked.get(&ticket).expect("it asked");
             let side = self.sides.get_mut(host).expect("one of them");
--- a/crates/core/tests/large_fleets.rs
+++ b/crates/core/tests/large_fleets.rs
@@ -77,14 +77,14 @@
     /// Asks, takes the answer up, and tells how many bytes it had.
     fn ask(&mut self, hub: &mut Hub, now: Instant) -> usize {
         let question = self.question(Vec::new());
-        hub.hear(&question, now);
-        let reply = hub.answer(&question, &Publication::default(), now);
+        hub.on_poll(&question, now);
+        let reply = hub.reply(&question, &Publication::default(), now);
         let bytes = bytes(&reply);
         if let Some(listing) = reply.server_list {
-            self.listing = self.listing.after(listing).expect("about the list held");
+            self.listing = self.listing.apply(listing).expect("about the list held");
         }
         if let Some(news) = reply.membership {
-            self.roll = self.roll.after(news).expect("about the roll held");
+            self.roll = self.roll.apply(news).expect("about the roll held");
         }
         bytes
     }
@@ -97,7 +97,7 @@
 /// Gateways that hold what a hub with so many servers has told them.
 fn fleet(servers: &[Server]) -> (Hub, Vec<Asker>) {
     let mut hub = Hub::new(Tuning::default(), ms(0));
-    hub.list(Arc::new(ServerList::new(servers.to_vec())));
+    hub.set_server_list(Arc::new(ServerList::new(servers.to_vec())));
     let mut askers: Vec<_> = (0..GATEWAYS)
         .map(|place| Asker {
             place,
@@ -127,7 +127,7 @@
     let (mut hub, mut askers) = fleet(&servers);
     let quiet = ask_all(&mut hub, &mut askers, ms(300));
     servers[17].leaving = true;
-    hub.list(Arc::new(ServerList::new(servers.clone())));
+    hub.set_server_list(Arc::new(ServerList::new(servers.clone())));
     let told = ask_all(&mut hub, &mut askers, ms(400)) - quiet;
     // The whole list to all of them is 25 MB.
     assert!(told < 50_000, "{told} B for one server of {SERVERS}");
@@ -149,7 +149,7 @@
             requests: 5,
             prefill_tokens: Tokens(1_000),
         });
-        hub.hear(&asker.question(loads.collect()), ms(300));
+        hub.on_poll(&asker.question(loads.collect()), ms(300));
     }
     let answer = askers[0].ask(&mut hub, ms(301));
     assert!(answer < 1_000, "{answer} B, and 48,000 of all servers");
@@ -193,16 +193,16 @@
             let asker = &mut askers[place];
             asker.ready = random.random_range(0..4) > 0;
             let question = asker.question(Vec::new());
-            hub.hear(&question, now);
-            let reply = hub.answer(&question, &Publication::default(), now);
+            hub.on_poll(&question, now);
+            let reply = hub.reply(&question, &Publication::default(), now);
             let is_lost = random.random_range(0..3) == 0;
             let Some(news) = reply.membership.filter(|_| !is_lost) else {
                 continue;
             };
             // News of a roll that is not held any more are seen as such.
-            let stale = Membership::default().after(news.clone());
+            let stale = Membership::default().apply(news.clone());
             assert!(stale.is_none_or(|roll| roll == Membership::new(roll.gateways.clone())));
-            let after = asker.roll.after(news).expect("about the roll held");
+            let after = asker.roll.apply(news).expect("about the roll held");
             assert_eq!(after, Membership::new(after.gateways.clone()));
             asker.roll = after;
         }
@@ -247,18 +247,18 @@
 fn whole_beside_replicas() {
     let listing = ServerList::new(servers(SERVERS));
     let mut hub = Hub::new(Tuning::default(), ms(0));
-    hub.list(Arc::new(listing.clone()));
+    hub.set_server_list(Arc::new(listing.clone()));
     let mut question = Asker::default().question(Vec::new());
     question.wants_whole_list = true;
-    hub.hear(&question, ms(1));
-    let told = hub.answer(&question, &Publication::default(), ms(1));
+    hub.on_poll(&question, ms(1));
+    let told = hub.reply(&question, &Publication::default(), ms(1));
     assert_eq!(
         told.server_list,
         Some(ServerListUpdate::Whole(listing.clone()))
     );
     question.server_list_version = listing.version;
-    hub.hear(&question, ms(2));
-    let told = hub.answer(&question, &Publication::default(), ms(2));
+    hub.on_poll(&question, ms(2));
+    let told = hub.reply(&question, &Publication::default(), ms(2));
     assert_eq!(told.server_list, None);
 }
 
@@ -269,14 +269,14 @@
     let present = ServerList::new(servers(SERVERS));
     let host: curlewlift_core::id::Host = "g".parse().expect("a name");
     let mut holding = ServerListCache::new(host.clone(), false);
-    holding.fetched(ServerList::new(Vec::new()));
-    holding.others_fetch();
-    holding.told(ServerListUpdate::Whole(present.subset(&host)));
+    holding.set_whole(ServerList::new(Vec::new()));
+    holding.drop_fetched();
+    holding.apply(ServerListUpdate::Whole(present.subset(&host)));
     assert_eq!(holding.for_hub(0), None);
     let mut beside = ServerListCache::new(host, true);
-    beside.fetched(ServerList::new(Vec::new()));
-    beside.others_fetch();
-    beside.told(ServerListUpdate::Whole(present.clone()));
+    beside.set_whole(ServerList::new(Vec::new()));
+    beside.drop_fetched();
+    beside.apply(ServerListUpdate::Whole(present.clone()));
     assert_eq!(beside.for_hub(0), Some(&present));
     assert_eq!(beside.for_hub(present.version), None);
     assert_eq!(beside.get_subset().servers.len(), 32);
--- a/crates/core/tests/server_lives.rs
+++ b/crates/core/tests/server_lives.rs
@@ -28,13 +28,13 @@
 fn late_copies() {
     let mut lives = Incarnations::default();
     let copy = |born| ServerList::new(vec![life("s1", born)]);
-    assert_eq!(births(&lives.take(copy(10))), [10]);
-    assert_eq!(births(&lives.take(copy(20))), [20]);
-    assert_eq!(births(&lives.take(copy(10))), [20], "a late copy");
-    assert_eq!(births(&lives.take(copy(20))), [20]);
+    assert_eq!(births(&lives.apply(copy(10))), [10]);
+    assert_eq!(births(&lives.apply(copy(20))), [20]);
+    assert_eq!(births(&lives.apply(copy(10))), [20], "a late copy");
+    assert_eq!(births(&lives.apply(copy(20))), [20]);
     // A server whose clock went back still has begun anew.
-    assert_eq!(births(&lives.take(copy(5))), [5]);
-    assert_eq!(births(&lives.take(copy(20))), [5]);
+    assert_eq!(births(&lives.apply(copy(5))), [5]);
+    assert_eq!(births(&lives.apply(copy(20))), [5]);
 }
 
 /// A late copy from before a server was to leave does not take it back; three in a row do.
@@ -47,7 +47,7 @@
             ..life("s1", 10)
         }])
     };
-    let mut leaves = |leaving| lives.take(copy(leaving)).servers[0].leaving;
+    let mut leaves = |leaving| lives.apply(copy(leaving)).servers[0].leaving;
     assert!(!leaves(false));
     assert!(leaves(true));
     assert!(leaves(false) && leaves(false), "two late copies");
@@ -60,9 +60,9 @@
 fn two_entries() {
     let mut lives = Incarnations::default();
     let both = || ServerList::new(vec![life("s1", 10), life("s1", 20)]);
-    assert_eq!(births(&lives.take(both())), [20]);
-    lives.take(ServerList::new(vec![life("s1", 5)]));
-    assert_eq!(births(&lives.take(both())), [10], "20 has ended");
+    assert_eq!(births(&lives.apply(both())), [20]);
+    lives.apply(ServerList::new(vec![life("s1", 5)]));
+    assert_eq!(births(&lives.apply(both())), [10], "20 has ended");
 }
 
 /// Restarts between any two copies, of which two in a row may be late ones: what is given is the life that was
@@ -74,7 +74,7 @@
         let mut lives = Incarnations::default();
         let mut told = vec![100];
         let mut late = 0;
-        lives.take(ServerList::new(vec![life("s1", 100)]));
+        lives.apply(ServerList::new(vec![life("s1", 100)]));
         for _ in 0..60 {
             let newest = *told.last().expect("one");
             let is_late = late < 2 && random.random_ratio(1, 3);
@@ -87,7 +87,7 @@
             } else {
                 newest
             };
-            let given = lives.take(ServerList::new(vec![life("s1", born)]));
+            let given = lives.apply(ServerList::new(vec![life("s1", born)]));
             let present = if is_late { newest } else { born };
             assert_eq!(births(&given), [present], "seed {seed}");
             if !is_late && born != newest {
--- a/crates/core/tests/support/ending.rs
+++ b/crates/core/tests/support/ending.rs
@@ -157,9 +157,9 @@
 
     fn begin_hub(&mut self) {
         let number = self.random.next_u64();
-        let mut hub = Hub::new(Tuning::default(), self.now).drawn(number);
-        hub.adopt_quarantine(&self.list, self.now);
-        hub.list(self.listing());
+        let mut hub = Hub::new(Tuning::default(), self.now).with_id(number);
+        hub.apply_quarantine(&self.list, self.now);
+        hub.set_server_list(self.listing());
         self.hub = Some(hub);
     }
 
@@ -234,17 +234,17 @@
         let Some(hub) = &mut self.hub else {
             return;
         };
-        if hub.get_listing().version != listing.version {
-            hub.list(listing);
+        if hub.get_server_list().version != listing.version {
+            hub.set_server_list(listing);
         }
         if let Some((_, steps)) = self.commit.take_if(|(due, _)| *due <= now) {
             for step in &steps {
                 self.list.apply(step);
             }
-            hub.adopt_quarantine(&self.list, now);
+            hub.apply_quarantine(&self.list, now);
         }
         hub.tick(now);
-        let steps = hub.tend_quarantine(now);
+        let steps = hub.propose_quarantine_steps(now);
         if !steps.is_empty() {
             self.commit = Some((now + COMMIT, steps));
         }
@@ -338,8 +338,8 @@
         let Some(hub) = &mut self.hub else {
             return;
         };
-        hub.hear(&question, self.now);
-        let reply = hub.answer(&question, &Publication::default(), self.now);
+        hub.on_poll(&question, self.now);
+        let reply = hub.reply(&question, &Publication::default(), self.now);
         // The answer is lost as often as the question.
         if !self.is_heard(place) {
             return;
@@ -381,17 +381,17 @@
         let want = want(node, identity);
         let now = self.now;
         let hub = self.hub.as_mut().expect("it is heard");
-        let ticket = match hub.want(want, now) {
-            SlotDecision::Line(ticket, _) => ticket,
-            SlotDecision::Withheld(why) => return Err(Came::Withheld(why)),
+        let ticket = match hub.request_slot(want, now) {
+            SlotDecision::Queued(ticket, _) => ticket,
+            SlotDecision::Rejected(why) => return Err(Came::Withheld(why)),
             _ => return Err(Came::NoServer),
         };
-        let served = hub.serve(now).into_iter();
+        let served = hub.grant_slots(now).into_iter();
         let mut grants = served.filter(|(served, _)| *served == ticket);
         if let Some((_, grant)) = grants.next() {
             return Ok((grant.server.incarnation, grant.permit));
         }
-        hub.leave(&ticket, now);
+        hub.cancel(&ticket, now);
         Err(Came::NoServer)
     }
 
--- a/crates/core/tests/support/gateways.rs
+++ b/crates/core/tests/support/gateways.rs
@@ -161,7 +161,7 @@
         };
         world.begin_hub();
         if let Some(hub) = &mut world.hub {
-            hub.first_table(now);
+            hub.mark_first_table(now);
         }
         world
     }
@@ -186,7 +186,7 @@
             accounts: Some(vec![account]),
         });
         if let Some(hub) = &mut self.hub {
-            hub.adopt(&table.expect("a table"), self.now);
+            hub.apply_table(&table.expect("a table"), self.now);
         }
     }
 
@@ -203,7 +203,7 @@
             ..Tuning::default()
         };
         let number = self.random.next_u64();
-        let mut hub = Hub::new(tuning, self.now).drawn(number);
+        let mut hub = Hub::new(tuning, self.now).with_id(number);
         let server = Server {
             incarnation: "s".into(),
             name: "s".into(),
@@ -216,8 +216,8 @@
             leaving: false,
             cold: false,
         };
-        hub.list(Arc::new(ServerList::new(vec![server])));
-        hub.adopt_deputies(&self.parts, self.now);
+        hub.set_server_list(Arc::new(ServerList::new(vec![server])));
+        hub.apply_standbys(&self.parts, self.now);
         self.hub = Some(hub);
         self.adopt();
     }
@@ -321,10 +321,10 @@
             && let Some((_, parts)) = self.commit.take()
         {
             self.parts = parts;
-            hub.adopt_deputies(&self.parts, now);
+            hub.apply_standbys(&self.parts, now);
         }
         hub.tick(now);
-        if let Some(parts) = hub.tend_deputies(now) {
+        if let Some(parts) = hub.propose_standbys(now) {
             self.commit = Some((now + COMMIT, parts));
         }
     }
@@ -353,8 +353,8 @@
         };
         node.asked = now;
         let question = node.question();
-        hub.hear(&question, now);
-        let reply = hub.answer(&question, &Publication::default(), now);
+        hub.on_poll(&question, now);
+        let reply = hub.reply(&question, &Publication::default(), now);
         let delay = if slow { delay * 8 } else { delay };
         let due = if is_lost {
             now + CALL * 2
@@ -398,7 +398,7 @@
             return;
         };
         let served: Vec<_> = hub
-            .serve(now)
+            .grant_slots(now)
             .into_iter()
             .map(|(ticket, _)| ticket)
             .collect();
@@ -409,7 +409,7 @@
                 return false;
             }
             if *leaves <= now {
-                hub.leave(ticket, now);
+                hub.cancel(ticket, now);
             }
             *leaves > now
         });
@@ -440,14 +440,16 @@
             want.tried = vec!["s".into()];
             want.avoid = vec![("s".into(), Duration::from_secs(10))];
         }
-        let SlotDecision::Line(ticket, _) = hub.want(want, now) else {
+        let SlotDecision::Queued(ticket, _) = hub.request_slot(want, now) else {
             return false;
         };
         if gets_none {
             self.waiting.push((leaves, ticket, cost));
             return false;
         }
-        hub.serve(now).iter().any(|(served, _)| *served == ticket)
+        hub.grant_slots(now)
+            .iter()
+            .any(|(served, _)| *served == ticket)
     }
 
     /// Whether a request is let in without the hub: by the gateway, or by a deputy that it reaches.
--- a/crates/core/tests/support/limited.rs
+++ b/crates/core/tests/support/limited.rs
@@ -284,8 +284,8 @@
 
     fn begin_hub(&mut self) {
         let number = self.random.next_u64();
-        let mut hub = Hub::new(Tuning::default(), self.now).drawn(number);
-        hub.list(self.listing());
+        let mut hub = Hub::new(Tuning::default(), self.now).with_id(number);
+        hub.set_server_list(self.listing());
         self.hub = Some((number, hub));
     }
 
@@ -374,7 +374,7 @@
             self.limit(place, met);
         }
         if let Some((_, hub)) = &mut self.hub {
-            hub.list(listing);
+            hub.set_server_list(listing);
         }
     }
 
@@ -447,8 +447,8 @@
                 let Some((_, hub)) = &mut self.hub else {
                     return;
                 };
-                hub.hear(&question, now);
-                let reply = hub.answer(&question, &Publication::default(), now);
+                hub.on_poll(&question, now);
+                let reply = hub.reply(&question, &Publication::default(), now);
                 let says = Says::Answers(Box::new(reply));
                 self.talks.push(Talk { due, says, ..talk });
             }
@@ -518,8 +518,8 @@
         let now = self.now;
         let (mut grants, mut hopeless) = (Vec::new(), Vec::new());
         if let Some((_, hub)) = &mut self.hub {
-            grants = hub.serve(now);
-            hopeless = hub.give_up(now);
+            grants = hub.grant_slots(now);
+            hopeless = hub.reject_doomed(now);
         }
         let is_hopeless = |request: &Request| matches!(&request.stage, Stage::InLine(own) if hopeless.contains(own));
         let refused = self.requests.extract_if(.., |request| is_hopeless(request));
@@ -573,7 +573,7 @@
             Stage::InLine(ticket) => {
                 self.refused += 1;
                 if let Some((_, hub)) = &mut self.hub {
-                    hub.leave(&ticket, now);
+                    hub.cancel(&ticket, now);
                 }
                 return None;
             }
@@ -627,7 +627,9 @@
         };
         // It is sent to whoever leads at the address that answered last.
         let hub = self.hub.as_mut().filter(|_| !node.cut);
-        if let Some(SlotDecision::Line(ticket, _)) = hub.map(|(_, hub)| hub.want(want, now)) {
+        if let Some(SlotDecision::Queued(ticket, _)) =
+            hub.map(|(_, hub)| hub.request_slot(want, now))
+        {
             return Some((Stage::InLine(ticket), now + HELD));
         }
         self.refused += 1;
--- a/crates/core/tests/support/resting.rs
+++ b/crates/core/tests/support/resting.rs
@@ -243,8 +243,8 @@
 
     fn begin_hub(&mut self) {
         let number = self.random.next_u64();
-        let mut hub = Hub::new(Tuning::default(), self.now).drawn(number);
-        hub.list(self.copy());
+        let mut hub = Hub::new(Tuning::default(), self.now).with_id(number);
+        hub.set_server_list(self.copy());
         self.hub = Some(hub);
     }
 
@@ -382,7 +382,7 @@
         if self.draw(50) == 0 {
             let copy = self.copy();
             if let Some(hub) = &mut self.hub {
-                hub.list(copy);
+                hub.set_server_list(copy);
             }
         }
     }
@@ -400,8 +400,8 @@
         let hears = self.hears(place);
         let node = &mut self.nodes[place];
         let stage = match &mut self.hub {
-            Some(hub) if hears => match hub.want(want(node, now), now) {
-                SlotDecision::Line(ticket, _) => Stage::InLine(ticket),
+            Some(hub) if hears => match hub.request_slot(want(node, now), now) {
+                SlotDecision::Queued(ticket, _) => Stage::InLine(ticket),
                 _ => return,
             },
             _ => {
@@ -425,7 +425,7 @@
     /// Hub and gateways give places.
     fn serve(&mut self) {
         let now = self.now;
-        let grants = self.hub.as_mut().map(|hub| hub.serve(now));
+        let grants = self.hub.as_mut().map(|hub| hub.grant_slots(now));
         for (ticket, grant) in grants.into_iter().flatten() {
             let due = now + self.millis(2, 60);
             let is_its = |request: &&mut Request| matches!(&request.stage, Stage::InLine(own) if *own == ticket);
@@ -474,7 +474,7 @@
             Stage::InLine(ticket) => {
                 self.refused += 1;
                 if let Some(hub) = &mut self.hub {
-                    hub.leave(&ticket, now);
+                    hub.cancel(&ticket, now);
                 }
                 return None;
             }
--- a/crates/core/tests/thousand_gateways.rs
+++ b/crates/core/tests/thousand_gateways.rs
@@ -97,8 +97,8 @@
 
     fn hear(&self, hub: &mut Hub, now: Instant) -> Reply {
         let question = self.question();
-        hub.hear(&question, now);
-        hub.answer(&question, &Publication::default(), now)
+        hub.on_poll(&question, now);
+        hub.reply(&question, &Publication::default(), now)
     }
 
     /// Asks, takes the answer up, and tells how many bytes it had.
@@ -106,10 +106,10 @@
         let reply = self.hear(hub, now);
         let bytes = postcard::to_stdvec(&reply).expect("encoded").len();
         if let Some(news) = reply.server_list {
-            self.holding.told(news);
+            self.holding.apply(news);
         }
         if let Some(news) = reply.membership {
-            self.roll = self.roll.after(news).expect("about the roll held");
+            self.roll = self.roll.apply(news).expect("about the roll held");
         }
         bytes
     }
@@ -118,7 +118,7 @@
 /// Gateways that hold what the hub has told them.
 fn fleet(servers: &[Server], gateways: usize) -> (Hub, Vec<Asker>) {
     let mut hub = Hub::new(Tuning::default(), ms(0));
-    hub.list(Arc::new(ServerList::new(servers.to_vec())));
+    hub.set_server_list(Arc::new(ServerList::new(servers.to_vec())));
     let mut askers: Vec<_> = (0..gateways).map(Asker::new).collect();
     for round in [100, 200] {
         for asker in &mut askers {
@@ -138,7 +138,7 @@
         .map(|asker| asker.ask(&mut hub, ms(300)))
         .sum();
     servers.last_mut().expect("some").leaving = true;
-    hub.list(Arc::new(ServerList::new(servers.clone())));
+    hub.set_server_list(Arc::new(ServerList::new(servers.clone())));
     let told: usize = askers
         .iter_mut()
         .map(|asker| asker.ask(&mut hub, ms(400)))
@@ -153,12 +153,12 @@
     let mut servers = servers();
     let (mut hub, askers) = fleet(&servers, GATEWAYS);
     servers[17].leaving = true;
-    hub.list(Arc::new(ServerList::new(servers.clone())));
+    hub.set_server_list(Arc::new(ServerList::new(servers.clone())));
     let mut concerned = 0;
     for asker in &askers {
         let question = asker.question();
-        hub.hear(&question, ms(300));
-        concerned += usize::from(hub.has_news(&question));
+        hub.on_poll(&question, ms(300));
+        concerned += usize::from(hub.has_update(&question));
     }
     assert!((1..40).contains(&concerned), "{concerned} of {GATEWAYS}");
 }
@@ -188,7 +188,7 @@
                     None => listed.push(server.clone()),
                 }
             }
-            hub.list(Arc::new(ServerList::new(listed.clone())));
+            hub.set_server_list(Arc::new(ServerList::new(listed.clone())));
             let place = random.random_range(0..askers.len());
             if random.random_range(0..4) == 0 {
                 askers[place].hear(&mut hub, ms(now));
@@ -250,16 +250,20 @@
 fn turns_in_order() {
     let mut pace = BulkSchedule::default();
     let first: Vec<_> = (0..GATEWAYS)
-        .map(|place| pace.turn(&host(place), ms(0)))
+        .map(|place| pace.reserve(&host(place), ms(0)))
         .collect();
     assert!(first.windows(2).all(|two| two[0] < two[1]));
     assert!(first[GATEWAYS - 1] <= ms(1_000), "all within a second");
     for (place, turn) in first.iter().enumerate().skip(300) {
-        assert_eq!(pace.turn(&host(place), ms(250)), *turn);
+        assert_eq!(pace.reserve(&host(place), ms(250)), *turn);
     }
-    pace.told(&host(0));
-    assert_eq!(pace.turn(&host(0), ms(10)), ms(1_000), "behind all others");
-    let gone = pace.turn(&host(1), ms(6_100));
+    pace.finish(&host(0));
+    assert_eq!(
+        pace.reserve(&host(0), ms(10)),
+        ms(1_000),
+        "behind all others"
+    );
+    let gone = pace.reserve(&host(1), ms(6_100));
     assert!(
         gone >= ms(6_100),
         "a turn that was not used is no right to go first"
@@ -270,7 +274,7 @@
 #[test]
 fn small_answers() {
     let mut hub = Hub::new(Tuning::default(), ms(0));
-    hub.list(Arc::new(ServerList::new(servers())));
+    hub.set_server_list(Arc::new(ServerList::new(servers())));
     let publication = Publication {
         number: 7,
         ..Publication::default()
@@ -278,10 +282,10 @@
     let askers: Vec<_> = (0..100).map(Asker::new).collect();
     for (place, asker) in askers.iter().enumerate() {
         let question = asker.question();
-        hub.hear(&question, ms(1));
-        let turn = hub.turn(&question, &publication, ms(1));
+        hub.on_poll(&question, ms(1));
+        let turn = hub.bulk_time(&question, &publication, ms(1));
         assert_eq!(turn, Some(ms(1 + place as u64)));
-        let small = hub.answer_small(&question, &publication, ms(1));
+        let small = hub.small_reply(&question, &publication, ms(1));
         assert_eq!(
             (small.server_list, small.membership, small.table),
             (None, None, None)
@@ -306,19 +310,19 @@
         (2_000, 2_100.0),
     ] {
         let mut hub = Hub::new(Tuning::default(), ms(0));
-        hub.list(Arc::new(ServerList::new(servers()[..1].to_vec())));
+        hub.set_server_list(Arc::new(ServerList::new(servers()[..1].to_vec())));
         let askers: Vec<_> = (0..gateways).map(Asker::new).collect();
         for asker in &askers {
-            hub.hear(&asker.question(), ms(1));
+            hub.on_poll(&asker.question(), ms(1));
         }
-        let wait = hub.wait(&askers[0].question());
+        let wait = hub.poll_timeout(&askers[0].question());
         let each = 1.0 / wait.as_secs_f64();
         let all = each * f64::from(u32::try_from(gateways).expect("few"));
         assert!(all <= most, "{gateways}: {all} questions a second");
         let last = ms(1) + wait * 2;
         let question = askers[1].question();
-        hub.hear(&question, last);
-        let reply = hub.answer(&question, &Publication::default(), last);
+        hub.on_poll(&question, last);
+        let reply = hub.reply(&question, &Publication::default(), last);
         let Some(gateway::MembershipUpdate::Whole(roll)) = reply.membership else {
             panic!("no roll: {:?}", reply.membership);
         };
@@ -400,7 +404,7 @@
     };
     let new_hub = |now| {
         let mut hub = Hub::new(tuning, now);
-        hub.list(Arc::new(ServerList::new(servers())));
+        hub.set_server_list(Arc::new(ServerList::new(servers())));
         hub
     };
     for seed in 0..5 {
@@ -434,7 +438,7 @@
                         needs_retry: true,
                         ..messages::want(&host(place))
                     };
-                    matches!(hub.want(want, now), SlotDecision::Line(..))
+                    matches!(hub.request_slot(want, now), SlotDecision::Queued(..))
                 };
                 if is_sent {
                     granted += 1;
--- a/crates/curlewlift/src/control/evacuations.rs
+++ b/crates/curlewlift/src/control/evacuations.rs
@@ -64,7 +64,7 @@
             return;
         };
         let evacuated = self.machine.get_evacuated();
-        hub.adopt_evacuated(evacuated);
+        hub.apply_evacuations(evacuated);
         #[allow(clippy::cast_precision_loss)]
         metrics::gauge!("curlewlift_halls_evacuated").set(evacuated.iter().count() as f64);
         self.news.notify_waiters();
--- a/crates/curlewlift/src/control/handout.rs
+++ b/crates/curlewlift/src/control/handout.rs
@@ -48,13 +48,13 @@
     fn cut(&mut self, host: &id::Host, number: u64, from: usize) -> Result<Option<Chunk>, Refusal> {
         let now = self.clock.now();
         let publication = self.machine.get_publication();
-        let handout = self.hub.as_mut().ok_or_else(hub::begun)?.handout();
+        let handout = self.hub.as_mut().ok_or_else(hub::begun)?.distribution();
         if !handout.admit(host, now) {
             return Ok(None);
         }
         let piece = Chunk::cut(publication, number, from);
         if piece.offset == piece.total_len {
-            handout.done(host);
+            handout.finish(host);
             self.turn.notify_one();
         }
         Ok(Some(piece))
@@ -66,7 +66,7 @@
         let Some(hub) = &mut self.hub else {
             return;
         };
-        for _ in 0..hub.handout().expire(now) {
+        for _ in 0..hub.distribution().expire(now) {
             self.turn.notify_one();
         }
     }
--- a/crates/curlewlift/src/control/hub.rs
+++ b/crates/curlewlift/src/control/hub.rs
@@ -64,7 +64,7 @@
             return;
         }
         match (gateways.decode)(publication) {
-            Ok(table) => hub.adopt(&table, self.clock.now()),
+            Ok(table) => hub.apply_table(&table, self.clock.now()),
             Err(why) => log::error!("table {} cannot be read: {why}", publication.number),
         }
         self.news.notify_waiters();
@@ -74,7 +74,7 @@
     fn has_news(&mut self, question: &Poll) -> bool {
         let is_newer = self.machine.get_publication().number > question.known_table;
         let hub = self.hub.as_mut();
-        is_newer || hub.is_some_and(|hub| hub.has_news(question))
+        is_newer || hub.is_some_and(|hub| hub.has_update(question))
     }
 
     /// For how much longer the asker waits to be told what is large and new to it.
@@ -82,7 +82,7 @@
         let now = self.clock.now();
         let publication = self.machine.get_publication();
         let hub = self.hub.as_mut();
-        let turn = hub.and_then(|hub| hub.turn(question, publication, now));
+        let turn = hub.and_then(|hub| hub.bulk_time(question, publication, now));
         turn.map_or(Duration::ZERO, |turn| turn.since(now))
     }
 
@@ -102,7 +102,7 @@
     pub(super) fn first_table(&mut self) {
         let now = self.clock.now();
         if let Some(hub) = &mut self.hub {
-            hub.first_table(now);
+            hub.mark_first_table(now);
         }
     }
 }
@@ -136,7 +136,11 @@
 
 async fn ask(state: &Shared, question: Poll) -> Result<HubReply, Refusal> {
     let mut has_news = hear(&mut state.borrow_mut(), &question)?;
-    let wait = state.borrow().hub.as_ref().map(|hub| hub.wait(&question));
+    let wait = state
+        .borrow()
+        .hub
+        .as_ref()
+        .map(|hub| hub.poll_timeout(&question));
     let until = Instant::now() + wait.unwrap_or_default();
     while !has_news {
         let news = Rc::clone(&state.borrow().news);
@@ -162,9 +166,9 @@
     let host = state.replica.get_host().clone();
     let hub = state.hub.as_mut().ok_or_else(begun)?;
     let mut reply = if is_turn {
-        hub.answer(&question, &publication, now)
+        hub.reply(&question, &publication, now)
     } else {
-        hub.answer_small(&question, &publication, now)
+        hub.small_reply(&question, &publication, now)
     };
     reply.control_hosts = control;
     reply.fetches_list = hub.fetcher(&host, now).as_ref() == Some(&question.host);
@@ -176,11 +180,11 @@
 fn hear(state: &mut State, question: &Poll) -> Result<bool, Refusal> {
     let now = state.clock.now();
     let hub = state.hub.as_mut().ok_or_else(begun)?;
-    hub.hear(question, now);
+    hub.on_poll(question, now);
     let fetched = question.fetched_list.as_ref();
-    let fetched = fetched.filter(|listing| hub.get_listing().version != listing.version);
+    let fetched = fetched.filter(|listing| hub.get_server_list().version != listing.version);
     if let Some(listing) = fetched {
-        hub.list(Arc::new(listing.clone()));
+        hub.set_server_list(Arc::new(listing.clone()));
         state.news.notify_waiters();
     }
     let is_taken = fetched.is_some();
--- a/crates/curlewlift/src/control/parts.rs
+++ b/crates/curlewlift/src/control/parts.rs
@@ -14,9 +14,9 @@
             return;
         };
         let parts = self.machine.get_parts();
-        hub.adopt_parts(parts, now);
+        hub.apply_retry_shares(parts, now);
         let deputies = self.machine.get_deputies();
-        hub.adopt_deputies(deputies, now);
+        hub.apply_standbys(deputies, now);
         let (held, deputies) = (parts.holders.len(), deputies.holders.len());
         let detail = format!("parts={} held={held} deputies={deputies}", parts.count);
         self.timeline
@@ -30,8 +30,8 @@
         let Some(hub) = &mut self.hub else {
             return;
         };
-        let parts = hub.tend_parts(now).map(Record::Parts);
-        let deputies = hub.tend_deputies(now).map(Record::Deputies);
+        let parts = hub.propose_retry_shares(now).map(Record::Parts);
+        let deputies = hub.propose_standbys(now).map(Record::Deputies);
         for record in parts.into_iter().chain(deputies) {
             // A change that is lost goes with this leader, and with it the hub that waits for it.
             if let Err(why) = self.propose(&record) {
--- a/crates/curlewlift/src/control/places.rs
+++ b/crates/curlewlift/src/control/places.rs
@@ -38,7 +38,7 @@
         state.places.remove(&self.ticket);
         let now = state.clock.now();
         if let Some(hub) = &mut state.hub {
-            hub.leave(&self.ticket, now);
+            hub.cancel(&self.ticket, now);
         }
     }
 }
@@ -73,7 +73,7 @@
     let news = Rc::clone(&state.borrow().news);
     loop {
         let listed = news.notified();
-        let hub_listed = |hub: &Hub| hub.get_listing().version != 0;
+        let hub_listed = |hub: &Hub| hub.get_server_list().version != 0;
         if state.borrow().hub.as_ref().is_none_or(hub_listed) {
             return;
         }
@@ -86,15 +86,17 @@
     let mut borrowed = state.borrow_mut();
     let now = borrowed.clock.now();
     let hub = borrowed.hub.as_mut().ok_or_else(hub::begun)?;
-    if hub.get_listing().version == 0 {
+    if hub.get_server_list().version == 0 {
         return Err(hub::begun());
     }
-    let (ticket, last) = match hub.want(want, now) {
-        SlotDecision::Line(ticket, last) => (ticket, last),
+    let (ticket, last) = match hub.request_slot(want, now) {
+        SlotDecision::Queued(ticket, last) => (ticket, last),
         SlotDecision::NoServers => return Ok(Lined::Answered(HubReply::Place(None))),
-        SlotDecision::Withheld(why) => return Ok(Lined::Answered(HubReply::Withheld(why))),
+        SlotDecision::Rejected(why) => return Ok(Lined::Answered(HubReply::Withheld(why))),
         SlotDecision::NoRetry => return Ok(Lined::Answered(HubReply::NoRetry)),
-        SlotDecision::Beyond(filled) => return Ok(Lined::Answered(HubReply::Beyond(filled))),
+        SlotDecision::QuotaExceeded(filled) => {
+            return Ok(Lined::Answered(HubReply::Beyond(filled)));
+        }
     };
     let (sender, place) = oneshot::channel();
     borrowed.places.insert(ticket.clone(), sender);
@@ -124,15 +126,15 @@
         let Some(hub) = &mut self.hub else {
             return;
         };
-        for (ticket, grant) in hub.serve(now) {
+        for (ticket, grant) in hub.grant_slots(now) {
             // A grant whose request has gone is in no report, and soon counts no more.
             if let Some(place) = self.places.remove(&ticket) {
                 let _ = place.send(grant);
             }
         }
-        let held = hub.take_held().as_millis();
+        let held = hub.take_limit_wait().as_millis();
         metrics::counter!("curlewlift_limit_wait_ms").increment(u64::try_from(held).unwrap_or(0));
-        for ticket in hub.give_up(now) {
+        for ticket in hub.reject_doomed(now) {
             // Dropping the sender tells who waits that there will be no place.
             self.places.remove(&ticket);
         }
--- a/crates/curlewlift/src/control/quarantine.rs
+++ b/crates/curlewlift/src/control/quarantine.rs
@@ -14,7 +14,7 @@
         let Some(hub) = &mut self.hub else {
             return;
         };
-        hub.adopt_quarantine(self.machine.get_quarantine(), now);
+        hub.apply_quarantine(self.machine.get_quarantine(), now);
         for step in steps {
             self.timeline.note(line(step));
         }
@@ -27,7 +27,7 @@
         let Some(hub) = &mut self.hub else {
             return;
         };
-        let steps = hub.tend_quarantine(now);
+        let steps = hub.propose_quarantine_steps(now);
         if steps.is_empty() {
             return;
         }
--- a/crates/curlewlift/src/control/replica.rs
+++ b/crates/curlewlift/src/control/replica.rs
@@ -308,7 +308,7 @@
             self.grantor = Some(Grantor::new(self.lease, now));
             if let Some(gateways) = &self.gateways {
                 let number = rand::rng().next_u64();
-                self.hub = Some(Hub::new(gateways.tuning, now).drawn(number));
+                self.hub = Some(Hub::new(gateways.tuning, now).with_id(number));
                 self.take_up();
                 self.take_up_parts();
                 self.take_up_plans(None);
--- a/crates/curlewlift/src/control/rollouts.rs
+++ b/crates/curlewlift/src/control/rollouts.rs
@@ -106,7 +106,7 @@
         let Some(hub) = &mut self.hub else {
             return;
         };
-        hub.adopt_plans(
+        hub.apply_plans(
             self.machine.get_plans(),
             own,
             crate::process::unix_ms(),
@@ -121,7 +121,7 @@
         let Some(hub) = &mut self.hub else {
             return;
         };
-        for (step, why) in hub.tend_rollouts(now) {
+        for (step, why) in hub.propose_rollout_steps(now) {
             if let Step::Advanced {
                 service,
                 target,
--- a/crates/curlewlift/src/gateway/lists.rs
+++ b/crates/curlewlift/src/gateway/lists.rs
@@ -67,7 +67,7 @@
                 answered = true;
                 // Its first pages may be older than what the hub has told since.
                 if due(&node, beside).is_some() {
-                    node.adopt_list(|holding| holding.fetched(listing));
+                    node.adopt_list(|holding| holding.set_whole(listing));
                     node.changed.notify_one();
                 }
                 None
--- a/crates/curlewlift/src/gateway/node.rs
+++ b/crates/curlewlift/src/gateway/node.rs
@@ -321,7 +321,7 @@
     /// Takes up what is new of the gateways that live.
     pub(super) fn adopt_roll(&self, news: gateway::MembershipUpdate) {
         let mut roll = self.roll.borrow_mut();
-        match roll.after(news) {
+        match roll.apply(news) {
             Some(after) => *roll = after,
             // The news are about another roll: the whole one comes with the next answer.
             None => roll.version = 0,
--- a/crates/curlewlift/src/gateway/sync.rs
+++ b/crates/curlewlift/src/gateway/sync.rs
@@ -225,9 +225,9 @@
     // The one that fetches the list has it first hand.
     if !reply.fetches_list {
         node.adopt_list(|holding| {
-            holding.others_fetch();
+            holding.drop_fetched();
             if let Some(listing) = reply.server_list {
-                holding.told(listing);
+                holding.apply(listing);
             }
         });
     }
--- a/crates/lab/src/rollout/world.rs
+++ b/crates/lab/src/rollout/world.rs
@@ -270,8 +270,8 @@
                 rollouts: Some(BOUNDS),
                 ..Tuning::default()
             };
-            let mut hub = Hub::new(tuning, self.clock()).drawn(self.hubs);
-            hub.adopt_plans(&self.plans, None, self.now, self.clock());
+            let mut hub = Hub::new(tuning, self.clock()).with_id(self.hubs);
+            hub.apply_plans(&self.plans, None, self.now, self.clock());
             self.hub = Some(hub);
         }
     }
@@ -314,7 +314,7 @@
         };
         let now = self.clock();
         if let Some(hub) = &mut self.hub {
-            hub.adopt_plans(&self.plans, own, self.now, now);
+            hub.apply_plans(&self.plans, own, self.now, now);
         }
         let after = self.phase();
         if after == before || !after.is_some_and(Phase::is_end) {
@@ -349,7 +349,7 @@
         });
         let listing = ServerList::new(listed.map(|engine| engine.server.clone()).collect());
         if let Some(hub) = &mut self.hub {
-            hub.list(Arc::new(listing));
+            hub.set_server_list(Arc::new(listing));
             hub.tick(now);
         }
     }
@@ -404,8 +404,8 @@
             allowed_halls: None,
         };
         let Some(hub) = &mut self.hub else { return };
-        match hub.want(want, now) {
-            SlotDecision::Line(ticket, last) => {
+        match hub.request_slot(want, now) {
+            SlotDecision::Queued(ticket, last) => {
                 self.waiting.insert(ticket, (gateway, rule));
                 if let Some(last) = last {
                     self.waiting.remove(&last);
@@ -538,8 +538,8 @@
             hub.report(&report, now);
             if asks {
                 let question = question(asker, loads);
-                hub.hear(&question, now);
-                let reply = hub.answer(&question, &Publication::default(), now);
+                hub.on_poll(&question, now);
+                let reply = hub.reply(&question, &Publication::default(), now);
                 if let Some(policy) = reply.policy {
                     asker.policy = policy;
                 }
@@ -564,8 +564,8 @@
     fn serve(&mut self) {
         let now = self.clock();
         let Some(hub) = &mut self.hub else { return };
-        let served = hub.serve(now);
-        let hopeless = hub.give_up(now);
+        let served = hub.grant_slots(now);
+        let hopeless = hub.reject_doomed(now);
         for ticket in hopeless {
             self.waiting.remove(&ticket);
             self.outcome.refused += 1;
@@ -591,7 +591,7 @@
         }
         let now = self.clock();
         let Some(hub) = &mut self.hub else { return };
-        for (step, _) in hub.tend_rollouts(now) {
+        for (step, _) in hub.propose_rollout_steps(now) {
             self.steps.push((self.now + AGREE, step));
         }
     }
