--- a/crates/core/benches/places.rs
+++ b/crates/core/benches/places.rs
@@ -13,16 +13,16 @@
 use criterion::criterion_group;
 use criterion::criterion_main;
 use curlewlift_core::clock::Instant;
+use curlewlift_core::gateway::GrantId;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
 use curlewlift_core::gateway::Load;
-use curlewlift_core::gateway::Mark;
 use curlewlift_core::gateway::Report;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::SlotDecision;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::gateway::Ticket;
 use curlewlift_core::gateway::Tuning;
-use curlewlift_core::gateway::Want;
-use curlewlift_core::gateway::Wanted;
 use curlewlift_core::id;
 use curlewlift_core::limit::Reports;
 use curlewlift_core::quarantine::Identity;
@@ -39,7 +39,7 @@
     hosts: Vec<id::Host>,
     /// What each gateway has in flight.
     in_flight: Vec<BTreeMap<Arc<str>, u32>>,
-    marks: Vec<Mark>,
+    marks: Vec<GrantId>,
     /// Whose request waits.
     waiting: HashMap<Ticket, usize>,
     running: VecDeque<(usize, Arc<str>)>,
@@ -49,16 +49,16 @@
 
 impl Fleet {
     fn new(servers: usize) -> Self {
-        let listing = Listing::new((0..servers).map(server).collect());
+        let listing = ServerList::new((0..servers).map(server).collect());
         let now = Instant::default();
-        let mut hub = Hub::new(Tuning::default(), now).drawn(7);
-        hub.list(Arc::new(listing));
+        let mut hub = Hub::new(Tuning::default(), now).with_id(7);
+        hub.set_server_list(Arc::new(listing));
         let hosts = (0..GATEWAYS).map(|place| format!("g{place}").parse().expect("a name"));
         let mut fleet = Self {
             hub,
             hosts: hosts.collect(),
             in_flight: vec![BTreeMap::new(); GATEWAYS],
-            marks: vec![Mark::default(); GATEWAYS],
+            marks: vec![GrantId::default(); GATEWAYS],
             waiting: HashMap::new(),
             running: VecDeque::new(),
             asked: 0,
@@ -80,27 +80,27 @@
     fn ask(&mut self) {
         self.asked += 1;
         let place = self.asked % GATEWAYS;
-        let want = Want {
+        let want = SlotRequest {
             host: self.hosts[place].clone(),
             hall: "a".into(),
             rule: None,
             service: "chat".parse().expect("a name"),
             rank: u8::try_from(self.asked % 4).expect("small").into(),
             waited: Duration::ZERO,
-            wanted: Duration::from_secs(100_000),
-            patience: Duration::from_secs(100_000),
-            left: Duration::from_secs(10),
+            useful_for: Duration::from_secs(100_000),
+            wait_limit: Duration::from_secs(100_000),
+            time_left: Duration::from_secs(10),
             identity: Identity::default(),
-            observed: Vec::new(),
+            observations: Vec::new(),
             prompt: Tokens(500),
             charge: None,
-            retry: false,
+            needs_retry: false,
             tried: Vec::new(),
             avoid: Vec::new(),
-            rests: Vec::new(),
-            halls: None,
+            backing_off: Vec::new(),
+            allowed_halls: None,
         };
-        let Wanted::Line(ticket, last) = self.hub.want(want, self.now) else {
+        let SlotDecision::Queued(ticket, last) = self.hub.request_slot(want, self.now) else {
             panic!("no place in line");
         };
         self.waiting.insert(ticket, place);
@@ -110,13 +110,13 @@
     }
 
     fn serve(&mut self) {
-        for (ticket, grant) in self.hub.serve(self.now) {
+        for (ticket, grant) in self.hub.grant_slots(self.now) {
             let place = self.waiting.remove(&ticket).expect("it waits");
             let incarnation = grant.server.incarnation;
             *self.in_flight[place]
                 .entry(Arc::clone(&incarnation))
                 .or_default() += 1;
-            self.marks[place] = grant.mark;
+            self.marks[place] = grant.id;
             self.running.push_back((place, incarnation));
         }
     }
@@ -126,15 +126,15 @@
         let loads = loads.map(|(incarnation, requests)| Load {
             incarnation: Arc::clone(incarnation),
             requests: *requests,
-            reading: Tokens(0),
+            prefill_tokens: Tokens(0),
         });
         let report = Report {
             host: self.hosts[place].clone(),
-            mark: self.marks[place],
+            last_grant: self.marks[place],
             loads: loads.collect(),
-            ends: Vec::new(),
-            observed: Vec::new(),
-            limits: Reports::default(),
+            ended: Vec::new(),
+            observations: Vec::new(),
+            limit_reports: Reports::default(),
         };
         self.hub.report(&report, self.now);
     }
@@ -144,7 +144,7 @@
         self.now = self.now + Duration::from_micros(260);
         self.ask();
         self.serve();
-        black_box(self.hub.give_up(self.now));
+        black_box(self.hub.reject_doomed(self.now));
         let Some((place, incarnation)) = self.running.pop_front() else {
             return;
         };
@@ -154,7 +154,7 @@
         self.in_flight[place].retain(|_, requests| *requests > 0);
         self.report(place);
         self.serve();
-        black_box(self.hub.give_up(self.now));
+        black_box(self.hub.reject_doomed(self.now));
     }
 }
 
@@ -162,7 +162,7 @@
     Server {
         incarnation: format!("i-{place:010}").into(),
         name: format!("i-{place:010}").into(),
-        born: 0,
+        started_ms: 0,
         version: "v1".parse().expect("a version"),
         service: "chat".parse().expect("a name"),
         address: "127.0.0.1:1".parse().expect("an address"),
--- a/crates/core/src/gateway/dispatch.rs
+++ b/crates/core/src/gateway/dispatch.rs
@@ -18,13 +18,13 @@
 use crate::quarantine::Identity;
 use crate::quarantine::Permit;
 
-use super::Ended;
+use super::AttemptEnd;
 use super::Grant;
-use super::Listing;
+use super::GrantId;
 use super::Load;
-use super::Mark;
 use super::Server;
-use super::Want;
+use super::ServerList;
+use super::SlotRequest;
 use super::grant::Given;
 use super::occupancy::Occupancy;
 
@@ -81,7 +81,7 @@
     }
 
     /// Takes up a list of backend servers; of their `limits` a service that is new here knows nothing yet.
-    pub(super) fn adopt(&mut self, listing: &Listing, limits: &limit::Table) {
+    pub(super) fn adopt(&mut self, listing: &ServerList, limits: &limit::Table) {
         let mut by_service = listing.by_service();
         for (service, pool) in &mut self.pools {
             pool.update_servers(by_service.remove(service).unwrap_or_default());
@@ -133,25 +133,25 @@
     }
 
     /// Takes up what a gateway has in flight.
-    pub(super) fn report(&mut self, host: &id::Host, mark: Mark, loads: &[Load]) {
+    pub(super) fn report(&mut self, host: &id::Host, mark: GrantId, loads: &[Load]) {
         let seen = if mark.hub == self.hub { mark.number } else { 0 };
         self.occupancy.report(host, seen, loads);
     }
 
     /// Takes note of how sendings of a gateway ended.
-    pub(super) fn ended(&mut self, host: &id::Host, ends: &[Ended], now: Instant) {
+    pub(super) fn ended(&mut self, host: &id::Host, ends: &[AttemptEnd], now: Instant) {
         for ended in ends {
             if let Some(pool) = self.pools.get_mut(&ended.service) {
-                pool.observe(&ended.incarnation, ended.end, now);
+                pool.observe(&ended.incarnation, ended.outcome, now);
             }
-            if let AttemptOutcome::Backoff(length) = ended.end {
+            if let AttemptOutcome::Backoff(length) = ended.outcome {
                 self.rests(host, ended, now + length);
             }
         }
     }
 
     /// A server has asked a host for rest: those that the host has in line for its service do not go there.
-    fn rests(&mut self, host: &id::Host, ended: &Ended, until: Instant) {
+    fn rests(&mut self, host: &id::Host, ended: &AttemptEnd, until: Instant) {
         let Some(pool) = self.pools.get_mut(&ended.service) else {
             return;
         };
@@ -205,7 +205,7 @@
     /// What it was given, where the service has no servers here.
     pub(super) fn want(
         &mut self,
-        want: Want,
+        want: SlotRequest,
         given: Given,
         now: Instant,
     ) -> Result<(Ticket, Option<Left>), Given> {
@@ -217,14 +217,14 @@
             rule: want.rule,
             rank: want.rank,
             arrived: now - want.waited,
-            send_by: now + want.wanted,
-            wait_until: now + want.patience,
+            send_by: now + want.useful_for,
+            wait_until: now + want.wait_limit,
             prompt: want.prompt,
             hall: want.hall,
             tried: want.tried,
             avoid: want.avoid.into_iter().map(until).collect(),
-            backoffs: want.rests.into_iter().map(until).collect(),
-            allowed_halls: want.halls,
+            backoffs: want.backing_off.into_iter().map(until).collect(),
+            allowed_halls: want.allowed_halls,
         };
         let (number, last) = pool.enqueue(ask, now);
         let hub = self.hub;
@@ -237,7 +237,7 @@
         let asking = Asking {
             host: want.host,
             identity: want.identity,
-            until: now + want.left,
+            until: now + want.time_left,
             given,
         };
         self.asking.insert(asked.clone(), asking);
@@ -362,19 +362,19 @@
         let load = Load {
             incarnation: Arc::clone(&server.incarnation),
             requests: 1,
-            reading: turn.prompt,
+            prefill_tokens: turn.prompt,
         };
-        let mark = Mark {
+        let id = GrantId {
             hub: self.hub,
             number: self.occupancy.grant(&host, load, now),
         };
         let permit = given.permit.as_ref().map(|permit| permit.number);
         let grant = Grant {
-            mark,
+            id,
             server,
             permit,
-            drawn: turn.charged_to_limit,
-            retry: given.retry.is_some(),
+            rate_charged: turn.charged_to_limit,
+            includes_retry: given.retry.is_some(),
         };
         Some((grant, given))
     }
--- a/crates/core/src/gateway/handout.rs
+++ b/crates/core/src/gateway/distribution.rs
@@ -25,35 +25,35 @@
 
 /// A piece of a packed document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Piece {
+pub struct Chunk {
     /// The table's number.
     pub number: u64,
     /// The length of the whole, in bytes.
-    pub whole: usize,
+    pub total_len: usize,
     /// Where the piece begins.
-    pub from: usize,
+    pub offset: usize,
     /// The piece.
     pub text: String,
 }
 
-impl Piece {
+impl Chunk {
     /// The piece of `publication` that follows the first `from` bytes of number `number`; the first one
     /// where another table is in force by now.
     #[must_use]
-    pub fn cut(publication: &Publication, number: u64, from: usize) -> Self {
+    pub fn cut(publication: &Publication, number: u64, offset: usize) -> Self {
         let text = publication.document.as_packed();
         let wanted = if number == publication.number {
-            from
+            offset
         } else {
             0
         };
-        let from = text.floor_char_boundary(wanted);
-        let end = text.floor_char_boundary(from + SIZE);
+        let offset = text.floor_char_boundary(wanted);
+        let end = text.floor_char_boundary(offset + SIZE);
         Self {
             number: publication.number,
-            whole: text.len(),
-            from,
-            text: text[from..end].to_owned(),
+            total_len: text.len(),
+            offset,
+            text: text[offset..end].to_owned(),
         }
     }
 }
@@ -63,13 +63,13 @@
 /// All at once fill the leader's link for longer than any question waits, so that none of them gets the
 /// whole and the leader is not heard any more.
 #[derive(Clone, Debug)]
-pub struct Handout {
+pub struct Distribution {
     turns: BTreeMap<Host, Instant>,
     /// How many gateways are handed it at the same time.
     most: usize,
 }
 
-impl Handout {
+impl Distribution {
     /// For a leader whose link carries `link` bytes a second.
     #[must_use]
     pub fn new(link: f64) -> Self {
@@ -98,7 +98,7 @@
     }
 
     /// `host` has got the whole.
-    pub fn done(&mut self, host: &Host) {
+    pub fn finish(&mut self, host: &Host) {
         self.turns.remove(host);
     }
 }
--- a/crates/core/src/gateway/hub.rs
+++ b/crates/core/src/gateway/hub.rs
@@ -18,18 +18,18 @@
 use crate::rollout::Trials;
 use crate::route::Table;
 
-use super::Deputies;
+use super::BulkSchedule;
+use super::Distribution;
 use super::Gateway;
-use super::Handout;
-use super::Keeper;
-use super::Listing;
-use super::Pace;
-use super::Parts;
-use super::Question;
+use super::Poll;
+use super::ServerList;
+use super::ShareAllocator;
+use super::Shares;
+use super::Standbys;
 use super::Ticket;
 use super::dispatch::Dispatcher;
+use super::membership::MembershipHistory;
 use super::retries::Retries;
-use super::roll::Rolls;
 use super::subset::Delta;
 use super::subset::Subset;
 use super::subset::Subsets;
@@ -41,9 +41,9 @@
     ///
     /// Several of the waits that a question takes at most, so that one lost answer takes nobody
     /// out.
-    pub silent: Duration,
+    pub gateway_timeout: Duration,
     /// After how long it is forgotten.
-    pub forget: Duration,
+    pub forget_after: Duration,
     /// How much more than an allowance may be let in.
     pub tolerance: Tolerance,
     /// What is borne of a version that is on trial; none where roll-outs are not to be had.
@@ -53,19 +53,19 @@
     /// What more than its rate a cold server bears.
     pub cold: limit::Slack,
     /// What the host's link carries, in bytes a second; 0 where that is not known.
-    pub link: f64,
+    pub link_bytes_per_s: f64,
 }
 
 impl Default for Tuning {
     fn default() -> Self {
         Self {
-            silent: Duration::from_millis(1_200),
-            forget: Duration::from_secs(10),
+            gateway_timeout: Duration::from_millis(1_200),
+            forget_after: Duration::from_secs(10),
             tolerance: Tolerance::default(),
             rollouts: None,
             retries: None,
             cold: limit::Slack::default(),
-            link: 0.0,
+            link_bytes_per_s: 0.0,
         }
     }
 }
@@ -115,21 +115,21 @@
     pub(super) dispatcher: Dispatcher,
     pub(super) desk: Limiter,
     /// Of the parts of the sendings past the first.
-    pub(super) keeper: Keeper,
+    pub(super) keeper: ShareAllocator,
     /// Of the parts of what is let in without its word.
-    pub(super) deputies: Keeper,
+    pub(super) deputies: ShareAllocator,
     /// Who holds those, as gateways are told.
-    pub(super) holders: Deputies,
-    handout: Handout,
+    pub(super) holders: Standbys,
+    distribution: Distribution,
     /// The number of its last answer.
     pub(super) answers: u64,
     table: u64,
-    pub(super) listing: Arc<Listing>,
+    pub(super) listing: Arc<ServerList>,
     pub(super) subsets: Subsets,
     /// What the list has changed in since the one before it.
     pub(super) delta: Delta,
-    pub(super) rolls: Rolls,
-    pub(super) pace: Pace,
+    pub(super) rolls: MembershipHistory,
+    pub(super) pace: BulkSchedule,
     pub(super) trials: Trials,
     /// The data halls that are evacuated.
     pub(super) evacuated: evacuation::EvacuatedHalls,
@@ -159,17 +159,17 @@
             seen: BTreeMap::new(),
             dispatcher: Dispatcher::default(),
             desk: Limiter::new(tuning.tolerance),
-            keeper: Keeper::new(now),
-            deputies: Keeper::new(now),
-            holders: Deputies::default(),
-            handout: Handout::new(tuning.link),
+            keeper: ShareAllocator::new(now),
+            deputies: ShareAllocator::new(now),
+            holders: Standbys::default(),
+            distribution: Distribution::new(tuning.link_bytes_per_s),
             answers: 0,
             table: 0,
             listing: Arc::default(),
             subsets: Subsets::default(),
             delta: Delta::default(),
-            rolls: Rolls::default(),
-            pace: Pace::default(),
+            rolls: MembershipHistory::default(),
+            pace: BulkSchedule::default(),
             trials: Trials::new(tuning.rollouts),
             evacuated: evacuation::EvacuatedHalls::default(),
             policy: Policy::default(),
@@ -185,7 +185,7 @@
 
     /// Its own number, drawn when it begins: it tells its grants and answers from those of other hubs.
     #[must_use]
-    pub fn drawn(mut self, number: u64) -> Self {
+    pub fn with_id(mut self, number: u64) -> Self {
         self.dispatcher = Dispatcher::new(number);
         self.cases = quarantine::Tracker::new(number);
         self.answers = number;
@@ -194,7 +194,7 @@
     }
 
     /// Takes up a newer table's allowances.
-    pub fn adopt(&mut self, table: &Table, now: Instant) {
+    pub fn apply_table(&mut self, table: &Table, now: Instant) {
         if table.get_number() > self.table {
             self.table = table.get_number();
             let accounts = table.accounts();
@@ -210,14 +210,14 @@
     }
 
     /// Says that the table that was taken up is the first of all, so that nobody has used anything.
-    pub fn first_table(&mut self, now: Instant) {
-        self.set_present(now);
+    pub fn mark_first_table(&mut self, now: Instant) {
+        self.reserve_for_standbys(now);
         self.desk.fill_all(now);
     }
 
     /// Takes up a newer list of backend servers.
-    pub fn list(&mut self, listing: Arc<Listing>) {
-        let admitted = self.admitted(&listing);
+    pub fn set_server_list(&mut self, listing: Arc<ServerList>) {
+        let admitted = self.admitted_servers(&listing);
         self.dispatcher.adopt(&admitted, &self.limits);
         self.delta = Delta::between(&self.listing, &listing);
         self.subsets = Subsets::of(&listing);
@@ -226,26 +226,28 @@
 
     /// The list that it gives out.
     #[must_use]
-    pub fn get_listing(&self) -> &Arc<Listing> {
+    pub fn get_server_list(&self) -> &Arc<ServerList> {
         &self.listing
     }
 
     /// Takes note of what a gateway tells.
-    pub fn hear(&mut self, question: &Question, now: Instant) {
-        self.keeper.hear(&question.host, question.got, now);
-        self.deputies.hear(&question.host, question.got, now);
+    pub fn on_poll(&mut self, question: &Poll, now: Instant) {
+        self.keeper
+            .on_poll(&question.host, question.last_reply, now);
+        self.deputies
+            .on_poll(&question.host, question.last_reply, now);
         if let Some(seen) = self.seen.get_mut(&question.host) {
             // Another process of the host, which callers reach elsewhere.
             seen.on_roll &= seen.gateway == question.gateway;
             seen.gateway.clone_from(&question.gateway);
             seen.ready = question.ready;
-            seen.policy = question.policy;
+            seen.policy = question.policy_version;
             seen.heard = now;
         } else {
             let seen = Seen {
                 gateway: question.gateway.clone(),
                 ready: question.ready,
-                policy: question.policy,
+                policy: question.policy_version,
                 heard: now,
                 subset: Subset::default(),
                 on_roll: false,
@@ -253,9 +255,9 @@
             self.seen.insert(question.host.clone(), seen);
         }
         self.dispatcher
-            .report(&question.host, question.mark, &question.loads);
-        self.observe(&question.observed, now);
-        self.hear_limits(&question.host, &question.limits, now);
+            .report(&question.host, question.last_grant, &question.loads);
+        self.observe(&question.observations, now);
+        self.apply_limit_reports(&question.host, &question.limit_reports, now);
     }
 
     /// The gateway that fetches the list for all: the one on `beside`, or the first that is heard.
@@ -272,23 +274,23 @@
 
     /// How many gateways it knows.
     #[must_use]
-    pub fn count(&self) -> u32 {
+    pub fn gateway_count(&self) -> u32 {
         u32::try_from(self.seen.len()).unwrap_or(u32::MAX)
     }
 
     /// Whether a gateway was heard so lately that it is not silent.
     fn is_live(&self, seen: &Seen, now: Instant) -> bool {
-        seen.is_live(self.silent(), now)
+        seen.is_live(self.gateway_timeout(), now)
     }
 
     /// Looks which gateways live, at most once in [`LOOK`].
-    pub(super) fn look(&mut self, now: Instant) {
+    pub(super) fn scan_gateways(&mut self, now: Instant) {
         if self.looked.is_some_and(|looked| now.since(looked) < LOOK) {
             return;
         }
         let is_first = self.looked.replace(now).is_none();
-        self.drop_silent(now);
-        let forget = self.tuning.forget;
+        self.drop_timed_out(now);
+        let forget = self.tuning.forget_after;
         let known = self.seen.len();
         self.seen.retain(|_, seen| now.since(seen.heard) < forget);
         let is_forgotten = self.seen.len() < known;
@@ -296,7 +298,7 @@
             let seen = &self.seen;
             self.limits.retain_gateways(|host| seen.contains_key(host));
         }
-        let silent = self.silent();
+        let silent = self.gateway_timeout();
         let mut is_changed = is_first || is_forgotten;
         for seen in self.seen.values_mut() {
             let on_roll = seen.ready && seen.is_live(silent, now);
@@ -311,8 +313,8 @@
     }
 
     /// Drops what silent gateways had in flight.
-    fn drop_silent(&mut self, now: Instant) {
-        let silent = self.silent();
+    fn drop_timed_out(&mut self, now: Instant) {
+        let silent = self.gateway_timeout();
         let silent = self
             .seen
             .iter()
@@ -326,34 +328,38 @@
 /// # Parts and tables
 impl Hub {
     /// Takes up the parts as they stand in the log.
-    pub fn adopt_parts(&mut self, parts: &Parts, now: Instant) {
-        self.keeper.adopt(parts, now);
+    pub fn apply_retry_shares(&mut self, parts: &Shares, now: Instant) {
+        self.keeper.apply(parts, now);
     }
 
     /// The parts as they are to be, where they are to change.
-    pub fn tend_parts(&mut self, now: Instant) -> Option<Parts> {
-        self.keeper.tend(usize::MAX, now)
+    pub fn propose_retry_shares(&mut self, now: Instant) -> Option<Shares> {
+        self.keeper.propose(usize::MAX, now)
     }
 
     /// Takes up the deputies as they stand in the log.
-    pub fn adopt_deputies(&mut self, parts: &Parts, now: Instant) {
-        self.deputies.adopt(parts, now);
-        self.holders = Deputies::new(parts.holders.iter().cloned().collect());
+    pub fn apply_standbys(&mut self, parts: &Shares, now: Instant) {
+        self.deputies.apply(parts, now);
+        self.holders = Standbys::new(parts.holders.iter().cloned().collect());
     }
 
     /// The deputies as they are to be, where they are to change.
-    pub fn tend_deputies(&mut self, now: Instant) -> Option<Parts> {
-        let most = if self.are_few() { usize::MAX } else { DEPUTIES };
-        self.deputies.tend(most, now)
+    pub fn propose_standbys(&mut self, now: Instant) -> Option<Shares> {
+        let most = if self.all_can_be_standbys() {
+            usize::MAX
+        } else {
+            DEPUTIES
+        };
+        self.deputies.propose(most, now)
     }
 
     /// Whether all gateways can be deputies.
-    pub(super) fn are_few(&self) -> bool {
+    pub(super) fn all_can_be_standbys(&self) -> bool {
         self.seen.len() <= FEW
     }
 
     /// Whose turn it is to be handed the table.
-    pub fn handout(&mut self) -> &mut Handout {
-        &mut self.handout
+    pub fn distribution(&mut self) -> &mut Distribution {
+        &mut self.distribution
     }
 }
--- a/crates/core/src/gateway/roll.rs
+++ b/crates/core/src/gateway/membership.rs
@@ -16,14 +16,14 @@
 
 /// The gateways that live.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Roll {
+pub struct Membership {
     /// Tells one content from another; not an order.
     pub version: u64,
     /// Those that take callers.
     pub gateways: Vec<Gateway>,
 }
 
-impl Roll {
+impl Membership {
     /// The roll of `gateways`, in whatever order they come.
     #[must_use]
     pub fn new(mut gateways: Vec<Gateway>) -> Self {
@@ -36,19 +36,19 @@
     ///
     /// The version tells: it comes from the content, so that what was missed or told twice shows.
     #[must_use]
-    pub fn after(&self, news: News) -> Option<Self> {
+    pub fn apply(&self, news: MembershipUpdate) -> Option<Self> {
         let roll = match news {
-            News::Whole(roll) => return Some(roll),
-            News::Change(change) => change,
+            MembershipUpdate::Whole(roll) => return Some(roll),
+            MembershipUpdate::MembershipChange(change) => change,
         };
-        let stays = |gateway: &&Gateway| !roll.gone.contains(gateway);
+        let stays = |gateway: &&Gateway| !roll.removed.contains(gateway);
         let stay = self.gateways.iter().filter(stays).cloned();
-        let after = Self::new(stay.chain(roll.come).collect());
+        let after = Self::new(stay.chain(roll.added).collect());
         (after.version == roll.version).then_some(after)
     }
 
     /// Whether a gateway is on it.
-    fn has(&self, gateway: &Gateway) -> bool {
+    fn contains(&self, gateway: &Gateway) -> bool {
         let found = self
             .gateways
             .binary_search_by(|other| order(other, gateway));
@@ -56,13 +56,13 @@
     }
 
     /// What makes `next` of this one.
-    fn change(&self, next: &Self) -> Change {
-        let come = next.gateways.iter().filter(|other| !self.has(other));
-        let gone = self.gateways.iter().filter(|other| !next.has(other));
-        Change {
+    fn change_to(&self, next: &Self) -> MembershipChange {
+        let come = next.gateways.iter().filter(|other| !self.contains(other));
+        let gone = self.gateways.iter().filter(|other| !next.contains(other));
+        MembershipChange {
             version: next.version,
-            come: come.cloned().collect(),
-            gone: gone.cloned().collect(),
+            added: come.cloned().collect(),
+            removed: gone.cloned().collect(),
         }
     }
 }
@@ -74,22 +74,22 @@
 
 /// What makes one roll of another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Change {
+pub struct MembershipChange {
     /// The version of the roll that comes of it.
     pub version: u64,
     /// Gateways that have come.
-    pub come: Vec<Gateway>,
+    pub added: Vec<Gateway>,
     /// Gateways that have gone.
-    pub gone: Vec<Gateway>,
+    pub removed: Vec<Gateway>,
 }
 
 /// What a gateway is told of the roll.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum MembershipUpdate {
     /// All of it.
-    Whole(Roll),
+    Whole(Membership),
     /// What has changed since the roll that it holds.
-    Change(Change),
+    MembershipChange(MembershipChange),
 }
 
 /// The present roll, and what led to it.
@@ -97,20 +97,20 @@
 /// While hosts come and go each answer tells a change. Worked out from two whole rolls it costs time linear in the
 /// gateways, so all answers together quadratic; put together from the changes between, it costs what has changed.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Rolls {
-    present: Roll,
+pub(super) struct MembershipHistory {
+    present: Membership,
     /// The versions of former rolls, and the change that each was followed by.
-    changes: VecDeque<(u64, Change)>,
+    changes: VecDeque<(u64, MembershipChange)>,
 }
 
-impl Rolls {
+impl MembershipHistory {
     /// Takes up which gateways live now.
     pub(super) fn set(&mut self, gateways: Vec<Gateway>) {
-        let roll = Roll::new(gateways);
+        let roll = Membership::new(gateways);
         if roll.version == self.present.version {
             return;
         }
-        let change = self.present.change(&roll);
+        let change = self.present.change_to(&roll);
         let former = std::mem::replace(&mut self.present, roll);
         self.changes.push_back((former.version, change));
         if self.changes.len() > KEPT {
@@ -119,15 +119,15 @@
     }
 
     /// What a gateway is told that holds the roll with the version `held`; none where that is this one.
-    pub(super) fn news(&self, held: u64) -> Option<News> {
+    pub(super) fn news(&self, held: u64) -> Option<MembershipUpdate> {
         if held == self.present.version {
             return None;
         }
         let mut former = self.changes.iter();
         let since = former.rposition(|(version, _)| *version == held && held != 0);
         Some(match since {
-            Some(since) => News::Change(self.since(since)),
-            None => News::Whole(self.present.clone()),
+            Some(since) => MembershipUpdate::MembershipChange(self.since(since)),
+            None => MembershipUpdate::Whole(self.present.clone()),
         })
     }
 
@@ -139,26 +139,26 @@
     }
 
     /// The changes from the one at `place` on, as one.
-    fn since(&self, place: usize) -> Change {
+    fn since(&self, place: usize) -> MembershipChange {
         let mut come: HashSet<&Gateway> = HashSet::new();
         let mut gone: HashSet<&Gateway> = HashSet::new();
         for (_, change) in self.changes.iter().skip(place) {
             // One that comes back, or goes again, is no change.
-            for gateway in &change.gone {
+            for gateway in &change.removed {
                 if !come.remove(gateway) {
                     gone.insert(gateway);
                 }
             }
-            for gateway in &change.come {
+            for gateway in &change.added {
                 if !gone.remove(gateway) {
                     come.insert(gateway);
                 }
             }
         }
-        Change {
+        MembershipChange {
             version: self.present.version,
-            come: come.into_iter().cloned().collect(),
-            gone: gone.into_iter().cloned().collect(),
+            added: come.into_iter().cloned().collect(),
+            removed: gone.into_iter().cloned().collect(),
         }
     }
 }
--- a/crates/core/src/gateway/answers.rs
+++ b/crates/core/src/gateway/polls.rs
@@ -6,12 +6,12 @@
 use crate::id;
 use crate::state::Publication;
 
-use super::Deputies;
 use super::Hub;
-use super::Listing;
-use super::Question;
+use super::Poll;
 use super::Reply;
-use super::listing;
+use super::ServerList;
+use super::Standbys;
+use super::server_list;
 
 /// How long a question waits for something new, for each gateway that asks.
 ///
@@ -33,64 +33,60 @@
 /// # Answers
 impl Hub {
     /// The answer to a question that was heard; `publication` is the table in force.
-    pub fn answer(
-        &mut self,
-        question: &Question,
-        publication: &Publication,
-        now: Instant,
-    ) -> Reply {
-        self.follow_list(&question.host);
-        let mut reply = self.answer_small(question, publication, now);
+    pub fn reply(&mut self, question: &Poll, publication: &Publication, now: Instant) -> Reply {
+        self.update_subset(&question.host);
+        let mut reply = self.small_reply(question, publication, now);
         let is_small = publication.document.as_packed().len() <= ALONG;
-        let is_along = is_small && publication.number > question.table;
-        reply.newest = publication.number;
+        let is_along = is_small && publication.number > question.known_table;
+        reply.newest_table = publication.number;
         reply.table = is_along.then(|| publication.clone());
-        let is_listed = self.has_other_list(question);
-        reply.listing = is_listed.then(|| self.told(question));
-        reply.roll = self.rolls.news(question.roll);
-        self.pace.told(&question.host);
+        let is_listed = self.has_list_update(question);
+        reply.server_list = is_listed.then(|| self.server_list_update(question));
+        reply.membership = self.rolls.news(question.membership_version);
+        self.pace.finish(&question.host);
         reply
     }
 
     /// When it is the asker's turn to be told what is large; none where nothing of that is new to it.
-    pub fn turn(
+    pub fn bulk_time(
         &mut self,
-        question: &Question,
+        question: &Poll,
         publication: &Publication,
         now: Instant,
     ) -> Option<Instant> {
-        let is_table = publication.number > question.table;
-        let is_large =
-            is_table || self.has_other_list(question) || self.rolls.is_unknown(question.roll);
-        is_large.then(|| self.pace.turn(&question.host, now))
+        let is_table = publication.number > question.known_table;
+        let is_large = is_table
+            || self.has_list_update(question)
+            || self.rolls.is_unknown(question.membership_version);
+        is_large.then(|| self.pace.reserve(&question.host, now))
     }
 
     /// The answer without what is large: lists, rolls, tables.
-    pub fn answer_small(
+    pub fn small_reply(
         &mut self,
-        question: &Question,
+        question: &Poll,
         publication: &Publication,
         now: Instant,
     ) -> Reply {
-        self.look(now);
+        self.scan_gateways(now);
         self.answers = self.answers.wrapping_add(1);
-        let part = self.keeper.tell(&question.host, self.answers, now);
-        let deputy = self.tell_deputy(question, now);
+        let retry_share = self.keeper.on_reply(&question.host, self.answers, now);
+        let admission_share = self.admission_share(question, now);
         let incarnations = self.seen.get(&question.host);
         let incarnations = incarnations.map_or(&[][..], |seen| &seen.subset.incarnations);
         Reply {
             number: self.answers,
-            hub: self.dispatcher.get_hub(),
-            quarantine: self.quarantine.update_since(question.quarantine),
-            limits: self.limits.update_since(question.limits_held),
-            part,
-            deputy,
-            deputies: self.deputies_for(question),
-            newest: publication.number.min(question.table),
-            wait: self.wait(question),
-            held: self.listing.version,
-            policy: self.policy_for(question),
-            loads: self.dispatcher.others(&question.host, incarnations),
+            hub_id: self.dispatcher.get_hub(),
+            quarantine: self.quarantine.update_since(question.quarantine_version),
+            limits: self.limits.update_since(question.limits_version),
+            retry_share,
+            admission_share,
+            standbys: self.standbys_update(question),
+            newest_table: publication.number.min(question.known_table),
+            poll_timeout: self.poll_timeout(question),
+            server_list_version: self.listing.version,
+            policy: self.policy_update(question),
+            other_loads: self.dispatcher.others(&question.host, incarnations),
             ..Reply::default()
         }
     }
@@ -101,59 +97,62 @@
     /// leader's core by itself where each asks four times a second. Those whose parts the hub sets aside when they are
     /// silent, and those beside a replica, ask as often as in a small deployment.
     #[must_use]
-    pub fn wait(&self, question: &Question) -> Duration {
-        let count = self.count();
+    pub fn poll_timeout(&self, question: &Poll) -> Duration {
+        let count = self.gateway_count();
         let wait = (WAIT_EACH * count).clamp(WAIT_LEAST, WAIT_MOST);
-        if question.whole || self.holders.hosts.contains(&question.host) {
+        if question.wants_whole_list || self.holders.hosts.contains(&question.host) {
             return wait;
         }
         wait.max(WAIT_MANY * count)
     }
 
     /// What a gateway is told of the list.
-    fn told(&self, question: &Question) -> listing::News {
-        if question.whole {
-            return listing::News::Whole(Listing::clone(&self.listing));
+    fn server_list_update(&self, question: &Poll) -> server_list::Update {
+        if question.wants_whole_list {
+            return server_list::Update::Whole(ServerList::clone(&self.listing));
         }
         let seen = self.seen.get(&question.host);
-        let change = seen.and_then(|seen| seen.subset.change(&self.listing, question.listing));
+        let change = seen.and_then(|seen| {
+            seen.subset
+                .change(&self.listing, question.server_list_version)
+        });
         change.map_or_else(
-            || listing::News::Whole(self.subsets.cut(&self.listing, &question.host)),
-            listing::News::Change,
+            || server_list::Update::Whole(self.subsets.cut(&self.listing, &question.host)),
+            server_list::Update::Change,
         )
     }
 
     /// Whether there is something that the asker does not hold yet, worth an answer at once.
     #[must_use]
-    pub fn has_news(&mut self, question: &Question) -> bool {
+    pub fn has_update(&mut self, question: &Poll) -> bool {
         if self.listing.version == 0 {
             return false;
         }
-        let has_other_policy = self.has_other_policy(question);
-        let is_other = self.quarantine.get_version() != question.quarantine;
-        let is_limited = self.limits.is_outdated(question.limits_held);
-        has_other_policy || is_other || is_limited || self.has_other_list(question)
+        let has_other_policy = self.has_policy_update(question);
+        let is_other = self.quarantine.get_version() != question.quarantine_version;
+        let is_limited = self.limits.is_outdated(question.limits_version);
+        has_other_policy || is_other || is_limited || self.has_list_update(question)
     }
 
     /// Whether the asker is to be told another list than it holds.
     ///
     /// A list that concerns it is worked out for it when it is told: for all gateways at the same moment that would keep
     /// a leader from its heartbeats.
-    fn has_other_list(&mut self, question: &Question) -> bool {
+    fn has_list_update(&mut self, question: &Poll) -> bool {
         let version = self.listing.version;
         let host = &question.host;
         let Some(seen) = self.seen.get_mut(host).filter(|_| version != 0) else {
             return false;
         };
-        if question.whole {
-            return version != question.listing;
+        if question.wants_whole_list {
+            return version != question.server_list_version;
         }
         let is_current = seen.subset.is_current(&self.listing, &self.delta, host);
-        !is_current || seen.subset.version != question.listing
+        !is_current || seen.subset.version != question.server_list_version
     }
 
     /// Brings what is known of a gateway's subset up to the list.
-    fn follow_list(&mut self, host: &id::Host) {
+    fn update_subset(&mut self, host: &id::Host) {
         if let Some(seen) = self.seen.get_mut(host) {
             let subset = &mut seen.subset;
             subset.follow(&self.listing, &self.subsets, &self.delta, host);
@@ -163,21 +162,21 @@
     /// The part of what is let in without the hub's word that the asker holds.
     ///
     /// Where not all gateways can be deputies, those beside a replica are none: they go with it.
-    fn tell_deputy(&mut self, question: &Question, now: Instant) -> f64 {
-        if question.whole && !self.are_few() {
+    fn admission_share(&mut self, question: &Poll, now: Instant) -> f64 {
+        if question.wants_whole_list && !self.all_can_be_standbys() {
             return 0.0;
         }
-        self.deputies.tell(&question.host, self.answers, now)
+        self.deputies.on_reply(&question.host, self.answers, now)
     }
 
     /// The deputies, where the asker knows others.
-    fn deputies_for(&self, question: &Question) -> Option<Deputies> {
-        (self.holders.version != question.deputies).then(|| self.holders.clone())
+    fn standbys_update(&self, question: &Poll) -> Option<Standbys> {
+        (self.holders.version != question.standbys_version).then(|| self.holders.clone())
     }
 
     /// After how long a gateway counts as silent: more than two of the waits between its questions.
-    pub(super) fn silent(&self) -> Duration {
-        let waits = WAIT_MANY * self.count() * 2 + WAIT_LEAST;
-        self.tuning.silent.max(waits)
+    pub(super) fn gateway_timeout(&self) -> Duration {
+        let waits = WAIT_MANY * self.gateway_count() * 2 + WAIT_LEAST;
+        self.tuning.gateway_timeout.max(waits)
     }
 }
--- a/crates/core/src/gateway/listing.rs
+++ b/crates/core/src/gateway/server_list.rs
@@ -23,7 +23,7 @@
     /// What the server calls itself; another start may keep it.
     pub name: Arc<str>,
     /// When the incarnation began, in milliseconds by the server's own clock; 0 where it does not tell.
-    pub born: u64,
+    pub started_ms: u64,
     /// The version of its software.
     pub version: Version,
     /// The service that it serves.
@@ -42,9 +42,9 @@
 
 /// What a gateway is told of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum Update {
     /// All that it is to hold.
-    Whole(Listing),
+    Whole(ServerList),
     /// What has changed in what it holds: 140 servers to each of 1,000 gateways are 14 MB for one that leaves.
     Change(Change),
 }
@@ -55,21 +55,21 @@
     /// The version of the list that comes of it.
     pub version: u64,
     /// Servers that have come, or are other than they were.
-    pub come: Vec<Server>,
+    pub added: Vec<Server>,
     /// The incarnations of servers that have gone.
-    pub gone: Vec<Arc<str>>,
+    pub removed: Vec<Arc<str>>,
 }
 
 /// A list of backend servers: all of them, or a gateway's subset.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listing {
+pub struct ServerList {
     /// Tells one content from another; not an order.
     pub version: u64,
     /// The servers.
     pub servers: Vec<Server>,
 }
 
-impl Listing {
+impl ServerList {
     /// A list of `servers`, in whatever order they come; of two entries of one incarnation the first counts.
     #[must_use]
     pub fn new(mut servers: Vec<Server>) -> Self {
@@ -81,16 +81,16 @@
 
     /// The list after `news`; none where they are not about this one.
     #[must_use]
-    pub fn after(&self, news: News) -> Option<Self> {
+    pub fn apply(&self, news: Update) -> Option<Self> {
         let change = match news {
-            News::Whole(listing) => return Some(listing),
-            News::Change(change) => change,
+            Update::Whole(listing) => return Some(listing),
+            Update::Change(change) => change,
         };
-        let come = change.come.iter().map(|server| &server.incarnation);
-        let replaced: HashSet<_> = come.chain(&change.gone).cloned().collect();
+        let come = change.added.iter().map(|server| &server.incarnation);
+        let replaced: HashSet<_> = come.chain(&change.removed).cloned().collect();
         let stay = self.servers.iter();
         let stay = stay.filter(|server| !replaced.contains(&server.incarnation));
-        let after = Self::new(stay.cloned().chain(change.come).collect());
+        let after = Self::new(stay.cloned().chain(change.added).collect());
         (after.version == change.version).then_some(after)
     }
 
@@ -115,12 +115,12 @@
     /// # Examples
     ///
     /// ```
-    /// use curlewlift_core::gateway::Listing;
+    /// use curlewlift_core::gateway::ServerList;
     /// use curlewlift_core::gateway::Server;
     /// let server = Server {
     ///     incarnation: "i-1".into(),
     ///     name: "i-1".into(),
-    ///     born: 0,
+    ///     started_ms: 0,
     ///     version: "v1".parse()?,
     ///     service: "chat".parse()?,
     ///     address: "127.0.0.1:80".parse()?,
@@ -129,7 +129,7 @@
     ///     leaving: false,
     ///     cold: false,
     /// };
-    /// let listing = Listing::new(vec![server]);
+    /// let listing = ServerList::new(vec![server]);
     /// assert_eq!(listing.subset(&"g1".parse()?), listing);
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
--- a/crates/core/src/limit/report.rs
+++ b/crates/core/src/limit/report.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::gateway::Mark;
+use crate::gateway::GrantId;
 use crate::gateway::Server;
 use crate::id;
 
@@ -46,7 +46,7 @@
     /// The announced rate; `None` if the response announced no limit.
     pub rate: Option<Rate>,
     /// The grant that the request was sent under; the default, which matches no hub, if there was none.
-    pub grant_id: Mark,
+    pub grant_id: GrantId,
 }
 
 /// All reports of a gateway that its hub has not acknowledged yet.
--- a/crates/core/src/rollout/trials.rs
+++ b/crates/core/src/rollout/trials.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use crate::clock::Instant;
-use crate::gateway::Ended;
-use crate::gateway::Listing;
+use crate::gateway::AttemptEnd;
 use crate::gateway::Server;
+use crate::gateway::ServerList;
 use crate::id;
 use crate::pool::TrialVersion;
 
@@ -126,18 +126,18 @@
     }
 
     /// Takes up how a sending ended at a server of `version`; the target has so many `servers`.
-    pub fn record_attempt_end(&mut self, ended: &Ended, version: &Version, servers: usize) {
+    pub fn record_attempt_end(&mut self, ended: &AttemptEnd, version: &Version, servers: usize) {
         let Some(under_way) = self.under_way.get_mut(&ended.service) else {
             return;
         };
-        let watched = ended.watched.as_ref();
+        let watched = ended.rollout.as_ref();
         let Some(watched) = watched.filter(|watched| watched.target == under_way.target) else {
             return;
         };
         let sample = Sample {
             rule: Arc::clone(&watched.rule),
             server: Arc::clone(&ended.incarnation),
-            outcome: ended.end,
+            outcome: ended.outcome,
         };
         if under_way.target == *version {
             under_way.trial.record_target(&sample, servers);
@@ -178,7 +178,7 @@
     ///
     /// Whatever runs when a service is first seen serves it, but for a version that was ordered before: the
     /// platform starts the servers of that one for the order.
-    pub fn propose_established(&mut self, listing: &Listing, now: Instant) -> Vec<Step> {
+    pub fn propose_established(&mut self, listing: &ServerList, now: Instant) -> Vec<Step> {
         if self.bounds.is_none() || self.settled == listing.version {
             return Vec::new();
         }
--- a/crates/core/tests/gateway_hub.rs
+++ b/crates/core/tests/gateway_hub.rs
@@ -8,25 +8,25 @@
 use curlewlift_core::clock::Instant;
 use curlewlift_core::gateway::Gateway;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
-use curlewlift_core::gateway::ListingNews;
 use curlewlift_core::gateway::Load;
-use curlewlift_core::gateway::Question;
-use curlewlift_core::gateway::Roll;
+use curlewlift_core::gateway::Membership;
+use curlewlift_core::gateway::Poll;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::ServerListUpdate;
 use curlewlift_core::gateway::Tuning;
 use curlewlift_core::state::Publication;
 use curlewlift_core::unit::Tokens;
 
 use support::messages;
 
-fn question(host: &str, in_flight: u32) -> Question {
+fn question(host: &str, in_flight: u32) -> Poll {
     let load = Load {
         incarnation: "s1".into(),
         requests: in_flight,
-        reading: Tokens(0),
+        prefill_tokens: Tokens(0),
     };
-    Question {
+    Poll {
         gateway: Gateway {
             hall: "a".into(),
             callers: format!("127.0.0.{}:80", host.len())
@@ -38,11 +38,11 @@
     }
 }
 
-fn listing() -> Arc<Listing> {
+fn listing() -> Arc<ServerList> {
     let server = Server {
         incarnation: "s1".into(),
         name: "s1".into(),
-        born: 0,
+        started_ms: 0,
         version: "v1".parse().expect("a version"),
         service: "chat".parse().expect("a name"),
         address: "127.0.0.1:1".parse().expect("an address"),
@@ -51,7 +51,7 @@
         leaving: false,
         cold: false,
     };
-    Arc::new(Listing::new(vec![server]))
+    Arc::new(ServerList::new(vec![server]))
 }
 
 fn seconds(seconds: u64) -> Instant {
@@ -61,47 +61,54 @@
 #[test]
 fn sums_of_others() {
     let mut hub = Hub::new(Tuning::default(), seconds(0));
-    hub.list(listing());
+    hub.set_server_list(listing());
     for (host, in_flight) in [("g", 3), ("gg", 4), ("gg", 5)] {
-        hub.hear(&question(host, in_flight), seconds(1));
+        hub.on_poll(&question(host, in_flight), seconds(1));
     }
-    let reply = hub.answer(&question("g", 3), &Publication::default(), seconds(1));
-    assert_eq!(reply.loads[0].requests, 5);
-    let reply = hub.answer(&question("gg", 5), &Publication::default(), seconds(1));
-    assert_eq!(reply.loads[0].requests, 3);
+    let reply = hub.reply(&question("g", 3), &Publication::default(), seconds(1));
+    assert_eq!(reply.other_loads[0].requests, 5);
+    let reply = hub.reply(&question("gg", 5), &Publication::default(), seconds(1));
+    assert_eq!(reply.other_loads[0].requests, 3);
 }
 
 #[test]
 fn silent_leave_roll() {
     let mut hub = Hub::new(Tuning::default(), seconds(0));
-    hub.hear(&question("g", 0), seconds(1));
-    hub.hear(&question("gg", 0), seconds(1));
+    hub.on_poll(&question("g", 0), seconds(1));
+    hub.on_poll(&question("gg", 0), seconds(1));
     let mut stopping = question("ggg", 0);
     stopping.ready = false;
-    hub.hear(&stopping, seconds(1));
+    hub.on_poll(&stopping, seconds(1));
     let both = hub
-        .answer(&question("g", 0), &Publication::default(), seconds(1))
-        .roll;
-    let both = Roll::default().after(both.expect("new")).expect("whole");
+        .reply(&question("g", 0), &Publication::default(), seconds(1))
+        .membership;
+    let both = Membership::default()
+        .apply(both.expect("new"))
+        .expect("whole");
     assert_eq!(both.gateways.len(), 2, "a stopping one takes no callers");
-    hub.hear(&question("g", 0), seconds(4));
+    hub.on_poll(&question("g", 0), seconds(4));
     let one = hub
-        .answer(&question("g", 0), &Publication::default(), seconds(4))
-        .roll;
-    let one = Roll::default().after(one.expect("new")).expect("whole");
+        .reply(&question("g", 0), &Publication::default(), seconds(4))
+        .membership;
+    let one = Membership::default()
+        .apply(one.expect("new"))
+        .expect("whole");
     assert_eq!(one.gateways.len(), 1);
 }
 
 #[test]
 fn forgotten_in_time() {
     let mut hub = Hub::new(Tuning::default(), seconds(0));
-    hub.list(listing());
-    hub.hear(&question("g", 0), seconds(1));
-    hub.hear(&question("gg", 2), seconds(1));
-    hub.hear(&question("g", 0), seconds(20));
-    let reply = hub.answer(&question("g", 0), &Publication::default(), seconds(20));
-    assert_eq!(hub.count(), 1);
-    assert!(reply.loads.is_empty(), "what it had in flight is over");
+    hub.set_server_list(listing());
+    hub.on_poll(&question("g", 0), seconds(1));
+    hub.on_poll(&question("gg", 2), seconds(1));
+    hub.on_poll(&question("g", 0), seconds(20));
+    let reply = hub.reply(&question("g", 0), &Publication::default(), seconds(20));
+    assert_eq!(hub.gateway_count(), 1);
+    assert!(
+        reply.other_loads.is_empty(),
+        "what it had in flight is over"
+    );
 }
 
 #[test]
@@ -109,16 +116,19 @@
     let listing = listing();
     let mut hub = Hub::new(Tuning::default(), seconds(0));
     let mut asked = question("g", 0);
-    hub.hear(&asked, seconds(1));
-    assert!(!hub.has_news(&asked), "no list is no news");
-    hub.list(Arc::clone(&listing));
-    assert!(hub.has_news(&asked));
-    let reply = hub.answer(&asked, &Publication::default(), seconds(1));
-    let whole = ListingNews::Whole(Listing::clone(&listing));
-    assert_eq!(reply.listing, Some(whole));
-    asked.listing = listing.version;
-    let reply = hub.answer(&asked, &Publication::default(), seconds(1));
-    assert_eq!((reply.listing, reply.held), (None, listing.version));
+    hub.on_poll(&asked, seconds(1));
+    assert!(!hub.has_update(&asked), "no list is no news");
+    hub.set_server_list(Arc::clone(&listing));
+    assert!(hub.has_update(&asked));
+    let reply = hub.reply(&asked, &Publication::default(), seconds(1));
+    let whole = ServerListUpdate::Whole(ServerList::clone(&listing));
+    assert_eq!(reply.server_list, Some(whole));
+    asked.server_list_version = listing.version;
+    let reply = hub.reply(&asked, &Publication::default(), seconds(1));
+    assert_eq!(
+        (reply.server_list, reply.server_list_version),
+        (None, listing.version)
+    );
 }
 
 #[test]
@@ -126,12 +136,12 @@
     let mut hub = Hub::new(Tuning::default(), seconds(0));
     let beside = "gg".parse().expect("a name");
     assert_eq!(hub.fetcher(&beside, seconds(1)), None);
-    hub.hear(&question("g", 0), seconds(1));
+    hub.on_poll(&question("g", 0), seconds(1));
     let fetcher = |hub: &Hub, now| hub.fetcher(&beside, now).map(|host| host.to_string());
     assert_eq!(fetcher(&hub, seconds(1)).as_deref(), Some("g"));
-    hub.hear(&question("gg", 0), seconds(1));
+    hub.on_poll(&question("gg", 0), seconds(1));
     assert_eq!(fetcher(&hub, seconds(1)).as_deref(), Some("gg"));
-    hub.hear(&question("g", 0), seconds(5));
+    hub.on_poll(&question("g", 0), seconds(5));
     assert_eq!(
         fetcher(&hub, seconds(5)).as_deref(),
         Some("g"),
--- a/crates/core/tests/large_fleets.rs
+++ b/crates/core/tests/large_fleets.rs
@@ -7,15 +7,15 @@
 
 use curlewlift_core::clock::Instant;
 use curlewlift_core::gateway::Gateway;
-use curlewlift_core::gateway::Holding;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
-use curlewlift_core::gateway::ListingNews;
 use curlewlift_core::gateway::Load;
-use curlewlift_core::gateway::Question;
+use curlewlift_core::gateway::Membership;
+use curlewlift_core::gateway::Poll;
 use curlewlift_core::gateway::Reply;
-use curlewlift_core::gateway::Roll;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::ServerListCache;
+use curlewlift_core::gateway::ServerListUpdate;
 use curlewlift_core::gateway::Tuning;
 use curlewlift_core::state::Publication;
 use curlewlift_core::unit::Tokens;
@@ -37,7 +37,7 @@
     Server {
         incarnation: format!("i-{place:010}").into(),
         name: format!("i-{place:010}").into(),
-        born: 0,
+        started_ms: 0,
         version: "v1".parse().expect("a version"),
         service: "chat".parse().expect("a name"),
         address: "127.0.0.1:1".parse().expect("an address"),
@@ -53,13 +53,13 @@
 struct Asker {
     place: usize,
     ready: bool,
-    listing: Listing,
-    roll: Roll,
+    listing: ServerList,
+    roll: Membership,
 }
 
 impl Asker {
-    fn question(&self, loads: Vec<Load>) -> Question {
-        Question {
+    fn question(&self, loads: Vec<Load>) -> Poll {
+        Poll {
             gateway: Gateway {
                 hall: "a".into(),
                 callers: format!("10.0.{}.{}:80", self.place / 200, self.place % 200)
@@ -67,8 +67,8 @@
                     .expect("an address"),
             },
             ready: self.ready,
-            listing: self.listing.version,
-            roll: self.roll.version,
+            server_list_version: self.listing.version,
+            membership_version: self.roll.version,
             loads,
             ..messages::question(&format!("g{}", self.place).parse().expect("a name"))
         }
@@ -77,14 +77,14 @@
     /// Asks, takes the answer up, and tells how many bytes it had.
     fn ask(&mut self, hub: &mut Hub, now: Instant) -> usize {
         let question = self.question(Vec::new());
-        hub.hear(&question, now);
-        let reply = hub.answer(&question, &Publication::default(), now);
+        hub.on_poll(&question, now);
+        let reply = hub.reply(&question, &Publication::default(), now);
         let bytes = bytes(&reply);
-        if let Some(listing) = reply.listing {
-            self.listing = self.listing.after(listing).expect("about the list held");
+        if let Some(listing) = reply.server_list {
+            self.listing = self.listing.apply(listing).expect("about the list held");
         }
-        if let Some(news) = reply.roll {
-            self.roll = self.roll.after(news).expect("about the roll held");
+        if let Some(news) = reply.membership {
+            self.roll = self.roll.apply(news).expect("about the roll held");
         }
         bytes
     }
@@ -97,7 +97,7 @@
 /// Gateways that hold what a hub with so many servers has told them.
 fn fleet(servers: &[Server]) -> (Hub, Vec<Asker>) {
     let mut hub = Hub::new(Tuning::default(), ms(0));
-    hub.list(Arc::new(Listing::new(servers.to_vec())));
+    hub.set_server_list(Arc::new(ServerList::new(servers.to_vec())));
     let mut askers: Vec<_> = (0..GATEWAYS)
         .map(|place| Asker {
             place,
@@ -127,7 +127,7 @@
     let (mut hub, mut askers) = fleet(&servers);
     let quiet = ask_all(&mut hub, &mut askers, ms(300));
     servers[17].leaving = true;
-    hub.list(Arc::new(Listing::new(servers.clone())));
+    hub.set_server_list(Arc::new(ServerList::new(servers.clone())));
     let told = ask_all(&mut hub, &mut askers, ms(400)) - quiet;
     // The whole list to all of them is 25 MB.
     assert!(told < 50_000, "{told} B for one server of {SERVERS}");
@@ -147,9 +147,9 @@
         let loads = loads.map(|server| Load {
             incarnation: Arc::clone(&server.incarnation),
             requests: 5,
-            reading: Tokens(1_000),
+            prefill_tokens: Tokens(1_000),
         });
-        hub.hear(&asker.question(loads.collect()), ms(300));
+        hub.on_poll(&asker.question(loads.collect()), ms(300));
     }
     let answer = askers[0].ask(&mut hub, ms(301));
     assert!(answer < 1_000, "{answer} B, and 48,000 of all servers");
@@ -193,17 +193,17 @@
             let asker = &mut askers[place];
             asker.ready = random.random_range(0..4) > 0;
             let question = asker.question(Vec::new());
-            hub.hear(&question, now);
-            let reply = hub.answer(&question, &Publication::default(), now);
+            hub.on_poll(&question, now);
+            let reply = hub.reply(&question, &Publication::default(), now);
             let is_lost = random.random_range(0..3) == 0;
-            let Some(news) = reply.roll.filter(|_| !is_lost) else {
+            let Some(news) = reply.membership.filter(|_| !is_lost) else {
                 continue;
             };
             // News of a roll that is not held any more are seen as such.
-            let stale = Roll::default().after(news.clone());
-            assert!(stale.is_none_or(|roll| roll == Roll::new(roll.gateways.clone())));
-            let after = asker.roll.after(news).expect("about the roll held");
-            assert_eq!(after, Roll::new(after.gateways.clone()));
+            let stale = Membership::default().apply(news.clone());
+            assert!(stale.is_none_or(|roll| roll == Membership::new(roll.gateways.clone())));
+            let after = asker.roll.apply(news).expect("about the roll held");
+            assert_eq!(after, Membership::new(after.gateways.clone()));
             asker.roll = after;
         }
         let now = ms(600 * 30 + 100);
@@ -220,7 +220,7 @@
 
 #[test]
 fn small_service_whole() {
-    let listing = Listing::new(servers(128));
+    let listing = ServerList::new(servers(128));
     let host = "g".parse().expect("a name");
     assert_eq!(listing.subset(&host), listing);
 }
@@ -245,35 +245,38 @@
 
 #[test]
 fn whole_beside_replicas() {
-    let listing = Listing::new(servers(SERVERS));
+    let listing = ServerList::new(servers(SERVERS));
     let mut hub = Hub::new(Tuning::default(), ms(0));
-    hub.list(Arc::new(listing.clone()));
+    hub.set_server_list(Arc::new(listing.clone()));
     let mut question = Asker::default().question(Vec::new());
-    question.whole = true;
-    hub.hear(&question, ms(1));
-    let told = hub.answer(&question, &Publication::default(), ms(1));
-    assert_eq!(told.listing, Some(ListingNews::Whole(listing.clone())));
-    question.listing = listing.version;
-    hub.hear(&question, ms(2));
-    let told = hub.answer(&question, &Publication::default(), ms(2));
-    assert_eq!(told.listing, None);
+    question.wants_whole_list = true;
+    hub.on_poll(&question, ms(1));
+    let told = hub.reply(&question, &Publication::default(), ms(1));
+    assert_eq!(
+        told.server_list,
+        Some(ServerListUpdate::Whole(listing.clone()))
+    );
+    question.server_list_version = listing.version;
+    hub.on_poll(&question, ms(2));
+    let told = hub.reply(&question, &Publication::default(), ms(2));
+    assert_eq!(told.server_list, None);
 }
 
 #[test]
 fn old_list_kept_back() {
     // The first list that a gateway fetched, before there were servers, was told to a later hub in place
     // of the present one, and nobody got a place for 0.7 s.
-    let present = Listing::new(servers(SERVERS));
+    let present = ServerList::new(servers(SERVERS));
     let host: curlewlift_core::id::Host = "g".parse().expect("a name");
-    let mut holding = Holding::new(host.clone(), false);
-    holding.fetched(Listing::new(Vec::new()));
-    holding.others_fetch();
-    holding.told(ListingNews::Whole(present.subset(&host)));
+    let mut holding = ServerListCache::new(host.clone(), false);
+    holding.set_whole(ServerList::new(Vec::new()));
+    holding.drop_fetched();
+    holding.apply(ServerListUpdate::Whole(present.subset(&host)));
     assert_eq!(holding.for_hub(0), None);
-    let mut beside = Holding::new(host, true);
-    beside.fetched(Listing::new(Vec::new()));
-    beside.others_fetch();
-    beside.told(ListingNews::Whole(present.clone()));
+    let mut beside = ServerListCache::new(host, true);
+    beside.set_whole(ServerList::new(Vec::new()));
+    beside.drop_fetched();
+    beside.apply(ServerListUpdate::Whole(present.clone()));
     assert_eq!(beside.for_hub(0), Some(&present));
     assert_eq!(beside.for_hub(present.version), None);
     assert_eq!(beside.get_subset().servers.len(), 32);
--- a/crates/core/tests/limit_words.rs
+++ b/crates/core/tests/limit_words.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use curlewlift_core::clock::Instant;
-use curlewlift_core::gateway::Mark;
+use curlewlift_core::gateway::GrantId;
 use curlewlift_core::gateway::Server;
 use curlewlift_core::id;
 use curlewlift_core::limit::Announcement;
@@ -34,8 +34,8 @@
     Announcement::Limited(rate(text))
 }
 
-fn mark(number: u64) -> Mark {
-    Mark { hub: HUB, number }
+fn mark(number: u64) -> GrantId {
+    GrantId { hub: HUB, number }
 }
 
 fn host() -> id::Host {
@@ -108,7 +108,7 @@
     let mut hub = Hub::new();
     hub.hear("s", Some("3"), 5, 10);
     let server = life("s", 1);
-    for (number, mark) in [(2, Mark { hub: 1, number: 99 }), (3, Mark::default())] {
+    for (number, mark) in [(2, GrantId { hub: 1, number: 99 }), (3, GrantId::default())] {
         let word = Report {
             number,
             key: Key::from_server(&server),
@@ -140,13 +140,13 @@
 fn kept_until_lifted() {
     let server = life("s", 1);
     let (mut local, mut first) = (LocalReports::new(1), Table::new(1));
-    local.record_response(&server, &named("3"), Mark::default(), at(0), at(1));
+    local.record_response(&server, &named("3"), GrantId::default(), at(0), at(1));
     assert!(local.blocks(&server, mark(1)));
     // Neither its own answers lift it, whatever their order, nor that the hub knows of it.
     local.record_response(
         &server,
         &Announcement::NoLimit,
-        Mark::default(),
+        GrantId::default(),
         at(0),
         at(2),
     );
@@ -155,12 +155,12 @@
     first.record(&host(), &local.pending_reports(), 9, at(3));
     let _ = local.apply_reply(1, upto, None, at(4));
     assert!(local.pending_reports().reports.is_empty());
-    assert!(local.blocks(&server, Mark { hub: 1, number: 9 }));
+    assert!(local.blocks(&server, GrantId { hub: 1, number: 9 }));
     first.publish(at(5));
     let news = first.update_since(local.get_table_version());
     let _ = local.apply_reply(1, upto, news.as_ref(), at(6));
-    assert!(local.blocks(&server, Mark { hub: 1, number: 9 }));
-    let later = Mark { hub: 1, number: 10 };
+    assert!(local.blocks(&server, GrantId { hub: 1, number: 9 }));
+    let later = GrantId { hub: 1, number: 10 };
     assert!(!local.blocks(&server, later), "given once it was known");
     // The next hub is told.
     let news = Table::new(2).update_since(local.get_table_version());
--- a/crates/core/tests/rollout_plans.rs
+++ b/crates/core/tests/rollout_plans.rs
@@ -4,8 +4,8 @@
 
 use curlewlift_core::clock::Instant;
 use curlewlift_core::code::Code;
-use curlewlift_core::gateway::Listing;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
 use curlewlift_core::rollout::Bounds;
 use curlewlift_core::rollout::Order;
 use curlewlift_core::rollout::Phase;
@@ -67,7 +67,7 @@
     Server {
         incarnation: "s1".into(),
         name: "s1".into(),
-        born: 0,
+        started_ms: 0,
         version: version(name),
         service: "chat".parse().expect("a name"),
         address: "127.0.0.1:1".parse().expect("an address"),
@@ -175,7 +175,7 @@
         incarnation: format!("s{number}").into(),
         ..server(name)
     });
-    trials.propose_established(&Listing::new(servers.collect()), now)
+    trials.propose_established(&ServerList::new(servers.collect()), now)
 }
 
 #[test]
--- a/crates/core/tests/server_lives.rs
+++ b/crates/core/tests/server_lives.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use curlewlift_core::clock::Instant;
-use curlewlift_core::gateway::Listing;
-use curlewlift_core::gateway::Lives;
+use curlewlift_core::gateway::Incarnations;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -16,34 +16,38 @@
 
 const SEEDS: u64 = 1_000;
 
-fn births(listing: &Listing) -> Vec<u64> {
-    listing.servers.iter().map(|server| server.born).collect()
+fn births(listing: &ServerList) -> Vec<u64> {
+    listing
+        .servers
+        .iter()
+        .map(|server| server.started_ms)
+        .collect()
 }
 
 #[test]
 fn late_copies() {
-    let mut lives = Lives::default();
-    let copy = |born| Listing::new(vec![life("s1", born)]);
-    assert_eq!(births(&lives.take(copy(10))), [10]);
-    assert_eq!(births(&lives.take(copy(20))), [20]);
-    assert_eq!(births(&lives.take(copy(10))), [20], "a late copy");
-    assert_eq!(births(&lives.take(copy(20))), [20]);
+    let mut lives = Incarnations::default();
+    let copy = |born| ServerList::new(vec![life("s1", born)]);
+    assert_eq!(births(&lives.apply(copy(10))), [10]);
+    assert_eq!(births(&lives.apply(copy(20))), [20]);
+    assert_eq!(births(&lives.apply(copy(10))), [20], "a late copy");
+    assert_eq!(births(&lives.apply(copy(20))), [20]);
     // A server whose clock went back still has begun anew.
-    assert_eq!(births(&lives.take(copy(5))), [5]);
-    assert_eq!(births(&lives.take(copy(20))), [5]);
+    assert_eq!(births(&lives.apply(copy(5))), [5]);
+    assert_eq!(births(&lives.apply(copy(20))), [5]);
 }
 
 /// A late copy from before a server was to leave does not take it back; three in a row do.
 #[test]
 fn late_leaving() {
-    let mut lives = Lives::default();
+    let mut lives = Incarnations::default();
     let copy = |leaving| {
-        Listing::new(vec![Server {
+        ServerList::new(vec![Server {
             leaving,
             ..life("s1", 10)
         }])
     };
-    let mut leaves = |leaving| lives.take(copy(leaving)).servers[0].leaving;
+    let mut leaves = |leaving| lives.apply(copy(leaving)).servers[0].leaving;
     assert!(!leaves(false));
     assert!(leaves(true));
     assert!(leaves(false) && leaves(false), "two late copies");
@@ -54,11 +58,11 @@
 
 #[test]
 fn two_entries() {
-    let mut lives = Lives::default();
-    let both = || Listing::new(vec![life("s1", 10), life("s1", 20)]);
-    assert_eq!(births(&lives.take(both())), [20]);
-    lives.take(Listing::new(vec![life("s1", 5)]));
-    assert_eq!(births(&lives.take(both())), [10], "20 has ended");
+    let mut lives = Incarnations::default();
+    let both = || ServerList::new(vec![life("s1", 10), life("s1", 20)]);
+    assert_eq!(births(&lives.apply(both())), [20]);
+    lives.apply(ServerList::new(vec![life("s1", 5)]));
+    assert_eq!(births(&lives.apply(both())), [10], "20 has ended");
 }
 
 /// Restarts between any two copies, of which two in a row may be late ones: what is given is the life that was
@@ -67,10 +71,10 @@
 fn any_order() {
     for seed in 0..SEEDS {
         let mut random = SmallRng::seed_from_u64(seed);
-        let mut lives = Lives::default();
+        let mut lives = Incarnations::default();
         let mut told = vec![100];
         let mut late = 0;
-        lives.take(Listing::new(vec![life("s1", 100)]));
+        lives.apply(ServerList::new(vec![life("s1", 100)]));
         for _ in 0..60 {
             let newest = *told.last().expect("one");
             let is_late = late < 2 && random.random_ratio(1, 3);
@@ -83,7 +87,7 @@
             } else {
                 newest
             };
-            let given = lives.take(Listing::new(vec![life("s1", born)]));
+            let given = lives.apply(ServerList::new(vec![life("s1", born)]));
             let present = if is_late { newest } else { born };
             assert_eq!(births(&given), [present], "seed {seed}");
             if !is_late && born != newest {
--- a/crates/core/tests/support/ending.rs
+++ b/crates/core/tests/support/ending.rs
@@ -7,13 +7,13 @@
 use curlewlift_core::clock::Instant;
 use curlewlift_core::gateway::Gateway;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
-use curlewlift_core::gateway::Question;
+use curlewlift_core::gateway::Poll;
 use curlewlift_core::gateway::Report;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::SlotDecision;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::gateway::Tuning;
-use curlewlift_core::gateway::Want;
-use curlewlift_core::gateway::Wanted;
 use curlewlift_core::id;
 use curlewlift_core::quarantine::Identity;
 use curlewlift_core::quarantine::List;
@@ -138,12 +138,12 @@
         format!("s{place}-{}", self.servers[place].0).into()
     }
 
-    fn listing(&self) -> Arc<Listing> {
+    fn listing(&self) -> Arc<ServerList> {
         let up = (0..SERVERS).filter(|place| self.servers[*place].1 <= self.now);
         let servers = up.map(|place| Server {
             incarnation: self.name(place),
             name: self.name(place),
-            born: 0,
+            started_ms: 0,
             version: "v1".parse().expect("a version"),
             service: "chat".parse().expect("a name"),
             address: "127.0.0.1:1".parse().expect("an address"),
@@ -152,14 +152,14 @@
             leaving: false,
             cold: false,
         });
-        Arc::new(Listing::new(servers.collect()))
+        Arc::new(ServerList::new(servers.collect()))
     }
 
     fn begin_hub(&mut self) {
         let number = self.random.next_u64();
-        let mut hub = Hub::new(Tuning::default(), self.now).drawn(number);
-        hub.adopt_quarantine(&self.list, self.now);
-        hub.list(self.listing());
+        let mut hub = Hub::new(Tuning::default(), self.now).with_id(number);
+        hub.apply_quarantine(&self.list, self.now);
+        hub.set_server_list(self.listing());
         self.hub = Some(hub);
     }
 
@@ -234,17 +234,17 @@
         let Some(hub) = &mut self.hub else {
             return;
         };
-        if hub.get_listing().version != listing.version {
-            hub.list(listing);
+        if hub.get_server_list().version != listing.version {
+            hub.set_server_list(listing);
         }
         if let Some((_, steps)) = self.commit.take_if(|(due, _)| *due <= now) {
             for step in &steps {
                 self.list.apply(step);
             }
-            hub.adopt_quarantine(&self.list, now);
+            hub.apply_quarantine(&self.list, now);
         }
         hub.tick(now);
-        let steps = hub.tend_quarantine(now);
+        let steps = hub.propose_quarantine_steps(now);
         if !steps.is_empty() {
             self.commit = Some((now + COMMIT, steps));
         }
@@ -311,7 +311,7 @@
         }
         let node = &self.nodes[place];
         let report = Report {
-            observed: node.quarantine.get_evidence().unacknowledged().0,
+            observations: node.quarantine.get_evidence().unacknowledged().0,
             ..messages::report(&node.host)
         };
         if let Some(hub) = &mut self.hub {
@@ -338,14 +338,14 @@
         let Some(hub) = &mut self.hub else {
             return;
         };
-        hub.hear(&question, self.now);
-        let reply = hub.answer(&question, &Publication::default(), self.now);
+        hub.on_poll(&question, self.now);
+        let reply = hub.reply(&question, &Publication::default(), self.now);
         // The answer is lost as often as the question.
         if !self.is_heard(place) {
             return;
         }
         let node = &mut self.nodes[place];
-        node.quarantine.acknowledge(reply.hub, upto);
+        node.quarantine.acknowledge(reply.hub_id, upto);
         if let Some(news) = &reply.quarantine {
             node.quarantine.apply_update(news);
         }
@@ -381,17 +381,17 @@
         let want = want(node, identity);
         let now = self.now;
         let hub = self.hub.as_mut().expect("it is heard");
-        let ticket = match hub.want(want, now) {
-            Wanted::Line(ticket, _) => ticket,
-            Wanted::Withheld(why) => return Err(Came::Withheld(why)),
+        let ticket = match hub.request_slot(want, now) {
+            SlotDecision::Queued(ticket, _) => ticket,
+            SlotDecision::Rejected(why) => return Err(Came::Withheld(why)),
             _ => return Err(Came::NoServer),
         };
-        let served = hub.serve(now).into_iter();
+        let served = hub.grant_slots(now).into_iter();
         let mut grants = served.filter(|(served, _)| *served == ticket);
         if let Some((_, grant)) = grants.next() {
             return Ok((grant.server.incarnation, grant.permit));
         }
-        hub.leave(&ticket, now);
+        hub.cancel(&ticket, now);
         Err(Came::NoServer)
     }
 
@@ -446,22 +446,22 @@
     }
 }
 
-fn question(node: &Node, observed: Vec<Observation>) -> Question {
-    Question {
+fn question(node: &Node, observations: Vec<Observation>) -> Poll {
+    Poll {
         gateway: Gateway {
             hall: "a".into(),
             callers: "127.0.0.1:80".parse().expect("an address"),
         },
-        quarantine: node.quarantine.get_version(),
-        observed,
+        quarantine_version: node.quarantine.get_version(),
+        observations,
         ..messages::question(&node.host)
     }
 }
 
-fn want(node: &Node, identity: &Identity) -> Want {
-    Want {
+fn want(node: &Node, identity: &Identity) -> SlotRequest {
+    SlotRequest {
         identity: identity.clone(),
-        observed: node.quarantine.get_evidence().unacknowledged_for(identity),
+        observations: node.quarantine.get_evidence().unacknowledged_for(identity),
         ..messages::want(&node.host)
     }
 }
--- a/crates/core/tests/support/gateways.rs
+++ b/crates/core/tests/support/gateways.rs
@@ -7,15 +7,15 @@
 use curlewlift_core::clock::Instant;
 use curlewlift_core::gateway::Gateway;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
-use curlewlift_core::gateway::Parts;
-use curlewlift_core::gateway::Question;
+use curlewlift_core::gateway::Poll;
 use curlewlift_core::gateway::Reply;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::Shares;
+use curlewlift_core::gateway::SlotDecision;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::gateway::Ticket;
 use curlewlift_core::gateway::Tuning;
-use curlewlift_core::gateway::Want;
-use curlewlift_core::gateway::Wanted;
 use curlewlift_core::id;
 use curlewlift_core::quota::Charge;
 use curlewlift_core::quota::LocalLimiter;
@@ -95,15 +95,15 @@
         }
     }
 
-    fn question(&self) -> Question {
-        Question {
+    fn question(&self) -> Poll {
+        Poll {
             gateway: Gateway {
                 hall: "a".into(),
                 callers: "127.0.0.1:80".parse().expect("an address"),
             },
-            table: 1,
-            listing: 1,
-            got: self.got,
+            known_table: 1,
+            server_list_version: 1,
+            last_reply: self.got,
             ..messages::question(&self.host)
         }
     }
@@ -115,8 +115,8 @@
     hub: Option<Hub>,
     /// When the next hub begins, where there is none.
     next_hub: Option<Instant>,
-    parts: Parts,
-    commit: Option<(Instant, Parts)>,
+    parts: Shares,
+    commit: Option<(Instant, Shares)>,
     now: Instant,
     random: ChaCha8Rng,
     /// Of a hundred answers so many are lost.
@@ -145,7 +145,7 @@
             nodes: (0..count).map(|place| Node::new(place, now)).collect(),
             hub: None,
             next_hub: None,
-            parts: Parts::default(),
+            parts: Shares::default(),
             commit: None,
             now,
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -161,7 +161,7 @@
         };
         world.begin_hub();
         if let Some(hub) = &mut world.hub {
-            hub.first_table(now);
+            hub.mark_first_table(now);
         }
         world
     }
@@ -186,7 +186,7 @@
             accounts: Some(vec![account]),
         });
         if let Some(hub) = &mut self.hub {
-            hub.adopt(&table.expect("a table"), self.now);
+            hub.apply_table(&table.expect("a table"), self.now);
         }
     }
 
@@ -203,11 +203,11 @@
             ..Tuning::default()
         };
         let number = self.random.next_u64();
-        let mut hub = Hub::new(tuning, self.now).drawn(number);
+        let mut hub = Hub::new(tuning, self.now).with_id(number);
         let server = Server {
             incarnation: "s".into(),
             name: "s".into(),
-            born: 0,
+            started_ms: 0,
             version: "v1".parse().expect("a version"),
             service: "chat".parse().expect("a name"),
             address: "127.0.0.1:1".parse().expect("an address"),
@@ -216,8 +216,8 @@
             leaving: false,
             cold: false,
         };
-        hub.list(Arc::new(Listing::new(vec![server])));
-        hub.adopt_deputies(&self.parts, self.now);
+        hub.set_server_list(Arc::new(ServerList::new(vec![server])));
+        hub.apply_standbys(&self.parts, self.now);
         self.hub = Some(hub);
         self.adopt();
     }
@@ -321,10 +321,10 @@
             && let Some((_, parts)) = self.commit.take()
         {
             self.parts = parts;
-            hub.adopt_deputies(&self.parts, now);
+            hub.apply_standbys(&self.parts, now);
         }
         hub.tick(now);
-        if let Some(parts) = hub.tend_deputies(now) {
+        if let Some(parts) = hub.propose_standbys(now) {
             self.commit = Some((now + COMMIT, parts));
         }
     }
@@ -342,7 +342,8 @@
             if due <= now && !node.cut {
                 node.got = reply.number;
                 node.heard = Some(now);
-                node.reserve.set_share(reply.deputy, node.asked, now);
+                node.reserve
+                    .set_share(reply.admission_share, node.asked, now);
             } else if now.since(node.asked) < CALL {
                 node.answer = Some((due, reply));
             }
@@ -353,8 +354,8 @@
         };
         node.asked = now;
         let question = node.question();
-        hub.hear(&question, now);
-        let reply = hub.answer(&question, &Publication::default(), now);
+        hub.on_poll(&question, now);
+        let reply = hub.reply(&question, &Publication::default(), now);
         let delay = if slow { delay * 8 } else { delay };
         let due = if is_lost {
             now + CALL * 2
@@ -398,7 +399,7 @@
             return;
         };
         let served: Vec<_> = hub
-            .serve(now)
+            .grant_slots(now)
             .into_iter()
             .map(|(ticket, _)| ticket)
             .collect();
@@ -409,7 +410,7 @@
                 return false;
             }
             if *leaves <= now {
-                hub.leave(ticket, now);
+                hub.cancel(ticket, now);
             }
             *leaves > now
         });
@@ -440,14 +441,16 @@
             want.tried = vec!["s".into()];
             want.avoid = vec![("s".into(), Duration::from_secs(10))];
         }
-        let Wanted::Line(ticket, _) = hub.want(want, now) else {
+        let SlotDecision::Queued(ticket, _) = hub.request_slot(want, now) else {
             return false;
         };
         if gets_none {
             self.waiting.push((leaves, ticket, cost));
             return false;
         }
-        hub.serve(now).iter().any(|(served, _)| *served == ticket)
+        hub.grant_slots(now)
+            .iter()
+            .any(|(served, _)| *served == ticket)
     }
 
     /// Whether a request is let in without the hub: by the gateway, or by a deputy that it reaches.
@@ -476,9 +479,9 @@
     }
 }
 
-fn want(host: &id::Host, charge: Charge) -> Want {
-    Want {
-        left: Duration::from_secs(10),
+fn want(host: &id::Host, charge: Charge) -> SlotRequest {
+    SlotRequest {
+        time_left: Duration::from_secs(10),
         charge: Some(charge),
         ..messages::want(host)
     }
--- a/crates/core/tests/support/limited.rs
+++ b/crates/core/tests/support/limited.rs
@@ -6,17 +6,17 @@
 
 use curlewlift_core::clock::Instant;
 use curlewlift_core::gateway::Grant;
+use curlewlift_core::gateway::GrantId;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
-use curlewlift_core::gateway::Mark;
-use curlewlift_core::gateway::Question;
+use curlewlift_core::gateway::Poll;
 use curlewlift_core::gateway::Reply;
 use curlewlift_core::gateway::Report;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::SlotDecision;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::gateway::Ticket;
 use curlewlift_core::gateway::Tuning;
-use curlewlift_core::gateway::Want;
-use curlewlift_core::gateway::Wanted;
 use curlewlift_core::id;
 use curlewlift_core::limit::Announcement;
 use curlewlift_core::limit::Change;
@@ -169,7 +169,7 @@
     Connecting(Arc<Server>, Option<Grant>, Instant),
     Sent(Arc<Server>, Option<Grant>, Instant, Instant),
     /// On its way back, with what the server says.
-    Answered(Arc<Server>, Mark, Instant, Word, AttemptOutcome),
+    Answered(Arc<Server>, GrantId, Instant, Word, AttemptOutcome),
 }
 
 /// What an answer says of its server's limit, and which life of the server said it.
@@ -198,7 +198,7 @@
 }
 
 enum Says {
-    Asks(Box<Question>),
+    Asks(Box<Poll>),
     Answers(Box<Reply>),
 }
 
@@ -283,14 +283,14 @@
 
     fn begin_hub(&mut self) {
         let number = self.random.next_u64();
-        let mut hub = Hub::new(Tuning::default(), self.now).drawn(number);
-        hub.list(self.listing());
+        let mut hub = Hub::new(Tuning::default(), self.now).with_id(number);
+        hub.set_server_list(self.listing());
         self.hub = Some((number, hub));
     }
 
-    fn listing(&self) -> Arc<Listing> {
+    fn listing(&self) -> Arc<ServerList> {
         let servers = self.servers().into_iter();
-        Arc::new(Listing::new(
+        Arc::new(ServerList::new(
             servers.map(|server| Server::clone(&server)).collect(),
         ))
     }
@@ -373,7 +373,7 @@
             self.limit(place, met);
         }
         if let Some((_, hub)) = &mut self.hub {
-            hub.list(listing);
+            hub.set_server_list(listing);
         }
     }
 
@@ -416,9 +416,9 @@
             let due = self.now + self.millis(1, 30);
             let node = &mut self.nodes[place];
             node.asks = self.now + CALL;
-            let question = Question {
-                limits: node.limits.pending_reports(),
-                limits_held: node.limits.get_table_version(),
+            let question = Poll {
+                limit_reports: node.limits.pending_reports(),
+                limits_version: node.limits.get_table_version(),
                 ..messages::question(&node.host)
             };
             self.talks.push(Talk {
@@ -446,8 +446,8 @@
                 let Some((_, hub)) = &mut self.hub else {
                     return;
                 };
-                hub.hear(&question, now);
-                let reply = hub.answer(&question, &Publication::default(), now);
+                hub.on_poll(&question, now);
+                let reply = hub.reply(&question, &Publication::default(), now);
                 let says = Says::Answers(Box::new(reply));
                 self.talks.push(Talk { due, says, ..talk });
             }
@@ -465,9 +465,9 @@
         let pause = self.millis(15, 200);
         let node = &mut self.nodes[place];
         node.asks = now + pause;
-        node.hub = Some((reply.hub, now));
+        node.hub = Some((reply.hub_id, now));
         let news = reply.limits.as_ref();
-        let changes = node.limits.apply_reply(reply.hub, told, news, now);
+        let changes = node.limits.apply_reply(reply.hub_id, told, news, now);
         self.limit(place, changes);
     }
 
@@ -517,8 +517,8 @@
         let now = self.now;
         let (mut grants, mut hopeless) = (Vec::new(), Vec::new());
         if let Some((_, hub)) = &mut self.hub {
-            grants = hub.serve(now);
-            hopeless = hub.give_up(now);
+            grants = hub.grant_slots(now);
+            hopeless = hub.reject_doomed(now);
         }
         let is_hopeless = |request: &Request| matches!(&request.stage, Stage::InLine(own) if hopeless.contains(own));
         let refused = self.requests.extract_if(.., |request| is_hopeless(request));
@@ -572,7 +572,7 @@
             Stage::InLine(ticket) => {
                 self.refused += 1;
                 if let Some((_, hub)) = &mut self.hub {
-                    hub.leave(&ticket, now);
+                    hub.cancel(&ticket, now);
                 }
                 return None;
             }
@@ -591,8 +591,8 @@
                 self.send(place, server, grant, given)?
             }
             Stage::Sent(server, grant, given, sent) => {
-                let is_drawn = grant.as_ref().is_some_and(|grant| grant.drawn);
-                let mark = grant.map_or(Mark::default(), |grant| grant.mark);
+                let is_drawn = grant.as_ref().is_some_and(|grant| grant.rate_charged);
+                let mark = grant.map_or(GrantId::default(), |grant| grant.id);
                 self.undrawn += u32::from(!is_drawn && self.was_told(place, &server, sent));
                 self.arrive(place, server, mark, given)
             }
@@ -620,13 +620,15 @@
     fn line_up(&mut self, place: usize, tried: &[Arc<str>]) -> Option<(Stage, Instant)> {
         let now = self.now;
         let node = &self.nodes[place];
-        let want = Want {
+        let want = SlotRequest {
             tried: tried.to_vec(),
             ..messages::want(&node.host)
         };
         // It is sent to whoever leads at the address that answered last.
         let hub = self.hub.as_mut().filter(|_| !node.cut);
-        if let Some(Wanted::Line(ticket, _)) = hub.map(|(_, hub)| hub.want(want, now)) {
+        if let Some(SlotDecision::Queued(ticket, _)) =
+            hub.map(|(_, hub)| hub.request_slot(want, now))
+        {
             return Some((Stage::InLine(ticket), now + HELD));
         }
         self.refused += 1;
@@ -640,7 +642,7 @@
         let looks = self.flaw != Some(Flaw::NoLookAtPlace);
         let server = Arc::new(grant.server.clone());
         let node = &mut self.nodes[place];
-        let is_beyond = !grant.drawn && node.limits.blocks(&server, grant.mark);
+        let is_beyond = !grant.rate_charged && node.limits.blocks(&server, grant.id);
         let is_beyond = is_beyond && looks;
         if is_late || is_beyond || !node.pool.accept_grant(&server, Tokens(0), now) {
             self.refused += 1;
@@ -658,8 +660,8 @@
         given: Instant,
     ) -> Option<(Stage, Instant)> {
         let due = self.now + self.millis(1, 4);
-        let is_drawn = grant.as_ref().is_some_and(|grant| grant.drawn);
-        let mark = grant.as_ref().map_or(Mark::default(), |grant| grant.mark);
+        let is_drawn = grant.as_ref().is_some_and(|grant| grant.rate_charged);
+        let mark = grant.as_ref().map_or(GrantId::default(), |grant| grant.id);
         let is_beyond = !is_drawn && self.nodes[place].limits.blocks(&server, mark);
         let looks = !matches!(
             self.flaw,
@@ -686,7 +688,7 @@
         &mut self,
         gateway: usize,
         server: Arc<Server>,
-        mark: Mark,
+        mark: GrantId,
         given: Instant,
     ) -> (Stage, Instant) {
         let now = self.now;
@@ -745,7 +747,7 @@
         place: usize,
         server: &Arc<Server>,
         word: &Word,
-        mark: Mark,
+        mark: GrantId,
         given: Instant,
     ) {
         let now = self.now;
@@ -762,7 +764,7 @@
         }
         let any_lifts = self.flaw == Some(Flaw::AnyLifts);
         let mark = match self.nodes[place].hub {
-            Some((hub, _)) if any_lifts => Mark {
+            Some((hub, _)) if any_lifts => GrantId {
                 hub,
                 number: u64::MAX,
             },
@@ -791,7 +793,7 @@
         let node = &self.nodes[place];
         let report = Report {
             loads: node.pool.loads().collect(),
-            limits: node.limits.pending_reports(),
+            limit_reports: node.limits.pending_reports(),
             ..messages::report(&node.host)
         };
         if let Some((_, hub)) = &mut self.hub {
--- a/crates/core/tests/support/resting.rs
+++ b/crates/core/tests/support/resting.rs
@@ -5,17 +5,17 @@
 use std::time::Duration;
 
 use curlewlift_core::clock::Instant;
-use curlewlift_core::gateway::Ended;
+use curlewlift_core::gateway::AttemptEnd;
 use curlewlift_core::gateway::Grant;
+use curlewlift_core::gateway::GrantId;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
-use curlewlift_core::gateway::Mark;
 use curlewlift_core::gateway::Report;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::SlotDecision;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::gateway::Ticket;
 use curlewlift_core::gateway::Tuning;
-use curlewlift_core::gateway::Want;
-use curlewlift_core::gateway::Wanted;
 use curlewlift_core::id;
 use curlewlift_core::pool;
 use curlewlift_core::pool::AttemptOutcome;
@@ -98,7 +98,7 @@
     host: id::Host,
     pool: Pool,
     /// The last grant that it has got.
-    mark: Mark,
+    mark: GrantId,
     cut: bool,
     /// Until when it is suspended.
     suspended: Instant,
@@ -138,7 +138,7 @@
     next_hub: Option<Instant>,
     engines: Vec<Engine>,
     /// Past lists, newest last.
-    lists: Vec<(Instant, Arc<Listing>)>,
+    lists: Vec<(Instant, Arc<ServerList>)>,
     /// When the list next changes, where a server has begun to leave.
     listed_at: Option<Instant>,
     requests: Vec<Request>,
@@ -200,7 +200,7 @@
         Node {
             host: format!("g{place}").parse().expect("a name"),
             pool: Pool::new(pool::Tuning::default(), place as u64),
-            mark: Mark::default(),
+            mark: GrantId::default(),
             cut: false,
             suspended: self.now,
             next_copy: self.now,
@@ -212,7 +212,7 @@
         Server {
             incarnation: format!("s{place}/{}", engine.life).into(),
             name: format!("s{place}").into(),
-            born: engine.life,
+            started_ms: engine.life,
             version: "v1".parse().expect("a version"),
             service: "chat".parse().expect("a name"),
             address: "127.0.0.1:1".parse().expect("an address"),
@@ -223,13 +223,13 @@
         }
     }
 
-    fn listing(&self) -> Arc<Listing> {
+    fn listing(&self) -> Arc<ServerList> {
         let servers = (0..SERVERS).map(|place| self.server(place));
-        Arc::new(Listing::new(servers.collect()))
+        Arc::new(ServerList::new(servers.collect()))
     }
 
     /// A copy of the list as it was some time ago.
-    fn copy(&mut self) -> Arc<Listing> {
+    fn copy(&mut self) -> Arc<ServerList> {
         let lag = self.millis(0, LAG);
         let at = self.now - lag;
         let mut copies = self.lists.iter().rev();
@@ -242,8 +242,8 @@
 
     fn begin_hub(&mut self) {
         let number = self.random.next_u64();
-        let mut hub = Hub::new(Tuning::default(), self.now).drawn(number);
-        hub.list(self.copy());
+        let mut hub = Hub::new(Tuning::default(), self.now).with_id(number);
+        hub.set_server_list(self.copy());
         self.hub = Some(hub);
     }
 
@@ -381,7 +381,7 @@
         if self.draw(50) == 0 {
             let copy = self.copy();
             if let Some(hub) = &mut self.hub {
-                hub.list(copy);
+                hub.set_server_list(copy);
             }
         }
     }
@@ -399,8 +399,8 @@
         let hears = self.hears(place);
         let node = &mut self.nodes[place];
         let stage = match &mut self.hub {
-            Some(hub) if hears => match hub.want(want(node, now), now) {
-                Wanted::Line(ticket, _) => Stage::InLine(ticket),
+            Some(hub) if hears => match hub.request_slot(want(node, now), now) {
+                SlotDecision::Queued(ticket, _) => Stage::InLine(ticket),
                 _ => return,
             },
             _ => {
@@ -424,7 +424,7 @@
     /// Hub and gateways give places.
     fn serve(&mut self) {
         let now = self.now;
-        let grants = self.hub.as_mut().map(|hub| hub.serve(now));
+        let grants = self.hub.as_mut().map(|hub| hub.grant_slots(now));
         for (ticket, grant) in grants.into_iter().flatten() {
             let due = now + self.millis(2, 60);
             let is_its = |request: &&mut Request| matches!(&request.stage, Stage::InLine(own) if *own == ticket);
@@ -473,7 +473,7 @@
             Stage::InLine(ticket) => {
                 self.refused += 1;
                 if let Some(hub) = &mut self.hub {
-                    hub.leave(&ticket, now);
+                    hub.cancel(&ticket, now);
                 }
                 return None;
             }
@@ -502,8 +502,8 @@
         let server = Arc::new(grant.server);
         let looks = self.flaw != Some(Flaw::NoLookAtPlace);
         let node = &mut self.nodes[place];
-        if grant.mark.follows(node.mark) {
-            node.mark = grant.mark;
+        if grant.id.follows(node.mark) {
+            node.mark = grant.id;
         }
         if !node.pool.accept_grant(&server, Tokens(0), now) && looks {
             self.report(place, &server, AttemptOutcome::Unknown);
@@ -609,16 +609,16 @@
             return;
         }
         let node = &self.nodes[place];
-        let ended = Ended {
+        let ended = AttemptEnd {
             service: server.service.clone(),
             incarnation: Arc::clone(&server.incarnation),
-            watched: None,
-            end,
+            rollout: None,
+            outcome: end,
         };
         let report = Report {
-            mark: node.mark,
+            last_grant: node.mark,
             loads: node.pool.loads().collect(),
-            ends: vec![ended],
+            ended: vec![ended],
             ..messages::report(&node.host)
         };
         if let Some(hub) = &mut self.hub {
@@ -627,11 +627,11 @@
     }
 }
 
-fn want(node: &Node, now: Instant) -> Want {
-    Want {
+fn want(node: &Node, now: Instant) -> SlotRequest {
+    SlotRequest {
         avoid: node.pool.avoided(&[], now).collect(),
-        rests: node.pool.get_notices().backing_off(now).collect(),
-        halls: None,
+        backing_off: node.pool.get_notices().backing_off(now).collect(),
+        allowed_halls: None,
         ..messages::want(&node.host)
     }
 }
--- a/crates/curlewlift/src/gateway/node.rs
+++ b/crates/curlewlift/src/gateway/node.rs
@@ -12,11 +12,11 @@
 use curlewlift_core::clock;
 use curlewlift_core::event::Kind;
 use curlewlift_core::gateway;
-use curlewlift_core::gateway::Ended;
-use curlewlift_core::gateway::Holding;
-use curlewlift_core::gateway::Mark;
-use curlewlift_core::gateway::Roll;
+use curlewlift_core::gateway::AttemptEnd;
+use curlewlift_core::gateway::GrantId;
+use curlewlift_core::gateway::Membership;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerListCache;
 use curlewlift_core::id;
 use curlewlift_core::limit;
 use curlewlift_core::pool::FirstByteTime;
@@ -60,7 +60,7 @@
     /// When it last gave no word on a place in time.
     pub(super) doubted: Option<clock::Instant>,
     /// The last grant of a place that has come.
-    pub(super) mark: Mark,
+    pub(super) mark: GrantId,
     /// How long this gateway's next question may wait there.
     pub(super) wait: Duration,
     /// The number of its last answer.
@@ -95,11 +95,11 @@
     /// What the table names as services.
     pub(super) services: RefCell<BTreeMap<id::Service, Service>>,
     /// What it holds of the list of backend servers.
-    pub(super) holding: RefCell<Holding>,
+    pub(super) holding: RefCell<ServerListCache>,
     /// The versions of servers that it may send to by its own choice, by the last word of the hub.
     pub(super) policy: RefCell<Policy>,
     /// The gateways that live, by the last word of the hub.
-    pub(super) roll: RefCell<Roll>,
+    pub(super) roll: RefCell<Membership>,
     /// How long answers take to begin, by rule.
     pub(super) leads: RefCell<BTreeMap<Arc<str>, FirstByteTime>>,
     /// What customers may still ask for where the hub gives no word.
@@ -121,7 +121,7 @@
     /// Whether callers that still come are turned away.
     pub(super) closed: Cell<bool>,
     /// Sendings that have ended and that the hub was not told of.
-    pub(super) ends: RefCell<Vec<Ended>>,
+    pub(super) ends: RefCell<Vec<AttemptEnd>>,
     /// Wakes the report to the hub where an answer begins or a sending has ended.
     pub(super) reports: Notify,
     /// Requests that are open.
@@ -136,7 +136,7 @@
 
 impl Node {
     pub(super) fn new(
-        holding: Holding,
+        holding: ServerListCache,
         gateway: gateway::Gateway,
         dialect: Dialect,
         allowed: RetryAllowance,
@@ -319,9 +319,9 @@
     }
 
     /// Takes up what is new of the gateways that live.
-    pub(super) fn adopt_roll(&self, news: gateway::News) {
+    pub(super) fn adopt_roll(&self, news: gateway::MembershipUpdate) {
         let mut roll = self.roll.borrow_mut();
-        match roll.after(news) {
+        match roll.apply(news) {
             Some(after) => *roll = after,
             // The news are about another roll: the whole one comes with the next answer.
             None => roll.version = 0,
@@ -335,7 +335,7 @@
     }
 
     /// Takes up a list of backend servers, as `take` does it.
-    pub(super) fn adopt_list(&self, take: impl FnOnce(&mut Holding)) {
+    pub(super) fn adopt_list(&self, take: impl FnOnce(&mut ServerListCache)) {
         let mut holding = self.holding.borrow_mut();
         let former = holding.get_subset().version;
         take(&mut holding);
--- a/crates/curlewlift/src/gateway/places.rs
+++ b/crates/curlewlift/src/gateway/places.rs
@@ -7,12 +7,12 @@
 
 use curlewlift_core::code::Refusal;
 use curlewlift_core::event::Kind;
-use curlewlift_core::gateway::Ended;
+use curlewlift_core::gateway::AttemptEnd;
 use curlewlift_core::gateway::Grant;
 use curlewlift_core::gateway::Report;
+use curlewlift_core::gateway::RolloutTag;
 use curlewlift_core::gateway::Server;
-use curlewlift_core::gateway::Want;
-use curlewlift_core::gateway::Watched;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::id;
 use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::pool::Notice;
@@ -146,7 +146,7 @@
         ask: &Request,
         charge: Option<&Charge>,
         patience: Duration,
-    ) -> Want {
+    ) -> SlotRequest {
         let now = self.now();
         let service = wanted.service;
         let watched = self.policy.borrow().rollout_target(service).is_some();
@@ -157,29 +157,29 @@
         let rests = self.with_service(service, |service| {
             service.pool.get_notices().backing_off(now).collect()
         });
-        Want {
+        SlotRequest {
             host: self.host.clone(),
             hall: Arc::clone(&self.gateway.hall),
             service: service.clone(),
             rule: watched.then(|| Arc::clone(wanted.rule)),
             rank: ask.rank,
             waited: now.since(ask.arrived),
-            wanted: ask.send_by.since(now),
-            patience,
-            left: wanted.left,
+            useful_for: ask.send_by.since(now),
+            wait_limit: patience,
+            time_left: wanted.left,
             identity: wanted.identity.clone(),
-            observed: self
+            observations: self
                 .quarantine
                 .borrow()
                 .get_evidence()
                 .unacknowledged_for(wanted.identity),
             prompt: ask.prompt,
             charge: charge.cloned(),
-            retry: wanted.retry,
+            needs_retry: wanted.retry,
             tried: ask.tried.clone(),
             avoid: avoid.unwrap_or_default(),
-            rests: rests.unwrap_or_default(),
-            halls: ask.allowed_halls.clone(),
+            backing_off: rests.unwrap_or_default(),
+            allowed_halls: ask.allowed_halls.clone(),
         }
     }
 
@@ -187,8 +187,8 @@
     fn take(&self, wanted: Wanted<'_>, grant: Grant, prompt: Tokens, is_late: bool) -> Word {
         let service = wanted.service;
         let mut hub = self.hub.borrow_mut();
-        if grant.mark.follows(hub.mark) {
-            hub.mark = grant.mark;
+        if grant.id.follows(hub.mark) {
+            hub.mark = grant.id;
         }
         drop(hub);
         let server = Arc::new(grant.server.clone());
@@ -198,7 +198,7 @@
             .borrow_mut()
             .observe_servers(std::iter::once(&*server), now);
         self.limit(met.into_iter());
-        let is_beyond = !grant.drawn && self.limits.borrow().blocks(&server, grant.mark);
+        let is_beyond = !grant.rate_charged && self.limits.borrow().blocks(&server, grant.id);
         let is_evacuated = self.policy.borrow().is_evacuated(&server.hall);
         let is_closed = is_beyond || is_evacuated;
         let take = |service: &mut Service| {
@@ -245,10 +245,10 @@
     }
 
     /// What is to be told of a sending that begins now, for a roll-out under way.
-    pub(super) fn watched(&self, wanted: Wanted<'_>) -> Option<Watched> {
+    pub(super) fn watched(&self, wanted: Wanted<'_>) -> Option<RolloutTag> {
         let policy = self.policy.borrow();
         let target = policy.rollout_target(wanted.service)?;
-        Some(Watched {
+        Some(RolloutTag {
             rule: Arc::clone(wanted.rule),
             target: target.clone(),
         })
@@ -260,13 +260,13 @@
         service: &id::Service,
         incarnation: &str,
         end: AttemptOutcome,
-        watched: Option<Watched>,
+        watched: Option<RolloutTag>,
     ) {
-        self.ends.borrow_mut().push(Ended {
+        self.ends.borrow_mut().push(AttemptEnd {
             service: service.clone(),
             incarnation: incarnation.into(),
-            watched,
-            end,
+            rollout: watched,
+            outcome: end,
         });
         self.reports.notify_one();
     }
@@ -283,11 +283,11 @@
         };
         let report = Report {
             host: node.host.clone(),
-            mark: node.hub.borrow().mark,
+            last_grant: node.hub.borrow().mark,
             loads: node.loads(),
-            ends,
-            observed: node.quarantine.borrow().get_evidence().unacknowledged().0,
-            limits: node.limits.borrow().pending_reports(),
+            ended: ends,
+            observations: node.quarantine.borrow().get_evidence().unacknowledged().0,
+            limit_reports: node.limits.borrow().pending_reports(),
         };
         let call = RenewCall::Hub(HubCall::Tell(report));
         let told: Result<HubReply, Refusal> =
