--- a/crates/core/src/gateway/bulk_schedule.rs
+++ b/crates/core/src/gateway/bulk_schedule.rs
@@ -1,4 +1,4 @@
-//! When gateways are told what is large.
+//! When gateways receive large updates.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,38 +6,43 @@
 use crate::clock::Instant;
 use crate::id::Host;
 
-/// Between two gateways that are told what is large: a small leader has time for heartbeats and places in between.
-const EACH: Duration = Duration::from_millis(1);
+/// Time between two gateways that receive a large update. It leaves a small leader time for
+/// heartbeats and slot grants.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(1);
 
-/// After how long a turn that was not used is given up: the gateway has gone.
-const UNUSED: Duration = Duration::from_secs(5);
+/// Time after which an unused time slot is dropped, as its gateway has gone.
+const UNUSED_SLOT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// When gateways are told what is large: a list, a roll or a table that they do not hold.
+/// Schedules large updates to gateways: a server list, a membership or a table that they do not
+/// have yet.
 ///
-/// Load pattern: all gateways want it at the same moment, after a change of the leader or of a table. A thousand answers
-/// at once keep a leader from its heartbeats for longer than an election takes, and the next leader meets the same crowd.
-/// So gateways take turns in the order in which they asked; what is small is never held up.
+/// Load pattern: after a change of the leader or of a table, all gateways want the update at the
+/// same moment. A thousand replies at once keep a leader from its heartbeats for longer than an
+/// election takes, and the next leader meets the same burst. Gateways therefore receive the update
+/// one by one in the order in which they asked. Small updates are never delayed.
 #[derive(Clone, Debug, Default)]
 pub struct BulkSchedule {
     next: Instant,
-    turns: HashMap<Host, Instant>,
+    time_slots: HashMap<Host, Instant>,
 }
 
 impl BulkSchedule {
-    /// When it is the turn of `host`, which wants to be told at `now`.
+    /// Returns the time slot of `host`, which asks for a large update at `now`.
     pub fn reserve(&mut self, host: &Host, now: Instant) -> Instant {
-        let turn = self.turns.get(host).copied();
-        if let Some(turn) = turn.filter(|turn| now.since(*turn) < UNUSED) {
-            return turn;
+        let time_slot = self.time_slots.get(host).copied();
+        if let Some(time_slot) =
+            time_slot.filter(|time_slot| now.since(*time_slot) < UNUSED_SLOT_TIMEOUT)
+        {
+            return time_slot;
         }
-        let turn = self.next.max(now);
-        self.next = turn + EACH;
-        self.turns.insert(host.clone(), turn);
-        turn
+        let time_slot = self.next.max(now);
+        self.next = time_slot + UPDATE_INTERVAL;
+        self.time_slots.insert(host.clone(), time_slot);
+        time_slot
     }
 
-    /// `host` is told.
+    /// Removes the time slot of `host`, which has received its update.
     pub fn finish(&mut self, host: &Host) {
-        self.turns.remove(host);
+        self.time_slots.remove(host);
     }
 }
--- a/crates/core/src/gateway/limits.rs
+++ b/crates/core/src/gateway/limits.rs
@@ -1,4 +1,4 @@
-//! What the hub does about limits that servers name.
+//! How the hub handles the limits that servers report.
 
 use std::time::Duration;
 
@@ -10,20 +10,20 @@
 
 /// # Limits
 impl Hub {
-    /// Takes note of what a gateway tells of limits.
-    pub(super) fn apply_limit_reports(&mut self, host: &id::Host, words: &Words, now: Instant) {
-        let last = self.dispatcher.last_grant();
-        let changes = self.limits.hear(host, words, last, now);
+    /// Applies the limit reports of a gateway.
+    pub(super) fn apply_limit_reports(&mut self, host: &id::Host, reports: &Words, now: Instant) {
+        let last_grant = self.dispatcher.last_grant();
+        let changes = self.limits.hear(host, reports, last_grant, now);
         self.dispatcher.limit(changes.into_iter(), now);
     }
 
-    /// For how long requests waited only because servers had named limits, since this was last asked for, over all
-    /// services.
+    /// Returns for how long requests of all services have waited only because of limits that
+    /// servers reported, since the last call.
     pub fn take_limit_wait(&mut self) -> Duration {
         self.dispatcher.take_held()
     }
 
-    /// Makes what has changed of the limits ready for all gateways; whether there is anything.
+    /// Makes changed limits available to all gateways. Returns whether any have changed.
     pub fn publish_limits(&mut self, now: Instant) -> bool {
         self.limits.publish(now)
     }
--- a/crates/core/src/gateway/mod.rs
+++ b/crates/core/src/gateway/mod.rs
@@ -1,9 +1,9 @@
-//! Gateways: entries that pass requests on by a routing table, and the hub that keeps them together.
+//! Gateways, which forward requests by a routing table, and the hub that coordinates them.
 //!
-//! The hub lives beside the leading control replica, and gives the gateways' requests places at
-//! backend servers. Each gateway asks it several times a second and tells what it has in flight; the answer
-//! has what is new: the routing table, the gateway's subset of the backend servers, the
-//! gateways that live, the sums over all of them.
+//! The hub runs beside the leading control replica and grants the gateways' requests slots at
+//! backend servers. Each gateway polls it several times a second and reports what it has in flight.
+//! The reply carries what has changed: the routing table, the gateway's subset of the backend
+//! servers, the gateway membership, and the load over all gateways.
 
 mod bulk_schedule;
 mod dispatch;
--- a/crates/core/src/gateway/quarantine.rs
+++ b/crates/core/src/gateway/quarantine.rs
@@ -1,4 +1,4 @@
-//! What the hub does about requests under which servers end.
+//! How the hub handles requests under which servers crashed.
 
 use crate::clock::Instant;
 use crate::quarantine::Identity;
@@ -9,34 +9,34 @@
 
 use super::Hub;
 
-/// # Requests in quarantine
+/// # Quarantined requests
 impl Hub {
-    /// Takes up the requests in quarantine as they are agreed.
+    /// Applies the committed list of requests in quarantine.
     pub fn apply_quarantine(&mut self, list: &List, now: Instant) {
         self.cases.adopt(list, now);
         self.quarantine = list.clone();
     }
 
-    /// What of them is to be agreed now.
+    /// Returns the quarantine steps that are to be committed now.
     pub fn propose_quarantine_steps(&mut self, now: Instant) -> Vec<Step> {
         self.cases.tend(now)
     }
 
-    /// Takes note of what gateways tell of requests under which servers ended.
-    pub(super) fn observe(&mut self, observed: &[Observation], now: Instant) {
-        for observation in observed {
+    /// Applies what gateways report of requests under which servers crashed.
+    pub(super) fn observe(&mut self, observations: &[Observation], now: Instant) {
+        for observation in observations {
             if self.cases.hear(observation, now) {
                 self.reject_unpermitted(&observation.identity, now);
             }
         }
     }
 
-    /// Takes those out of line that are a request under which one more server has ended, but for as many as
-    /// may still go.
+    /// Rejects queued requests with an identity under which another server has crashed, except
+    /// those that still get a permit.
     fn reject_unpermitted(&mut self, identity: &Identity, now: Instant) {
         for ticket in self.dispatcher.unpermitted(identity) {
-            let left = self.dispatcher.left(&ticket, now);
-            match self.cases.ask(identity, left, now) {
+            let time_left = self.dispatcher.left(&ticket, now);
+            match self.cases.ask(identity, time_left, now) {
                 Verdict::Permitted(permit) => self.dispatcher.permit(&ticket, permit),
                 Verdict::Withheld(_) => {
                     self.cancel(&ticket, now);
--- a/crates/core/src/gateway/retries.rs
+++ b/crates/core/src/gateway/retries.rs
@@ -1,4 +1,4 @@
-//! The further sendings that the hub grants.
+//! The retries that the hub grants.
 
 use std::collections::BTreeMap;
 
@@ -7,52 +7,53 @@
 use crate::pool::Allowed;
 use crate::quota::Bucket;
 
-/// The part of the floor that the hub grants in a window; half of it may go out at once.
-const GRANTED: f64 = 0.2;
+/// Fraction of the retry floor that the hub grants in a window. Half of it may be used at once.
+const HUB_FLOOR_FRACTION: f64 = 0.2;
 
-/// The further sendings that the hub grants, by service.
+/// The retries that the hub grants, by service.
 ///
-/// Load pattern: a thousand gateways, and a service whose answers often fail. A thousandth of the floor is less than one
-/// sending, and what a gateway's own requests earn is not enough for the next one that fails. What a gateway lacks it
-/// draws here with the place. An account fills evenly and begins empty, so that all hubs one after the other grant no
-/// more than one would.
+/// Load pattern: a thousand gateways, and a service whose attempts often fail. A thousandth of the
+/// floor is less than one retry, and what a gateway's own requests earn does not cover the next
+/// failure. A gateway acquires the missing retry here together with the slot. Each bucket starts
+/// empty and fills evenly, so that successive hubs grant no more than a single one would.
 #[derive(Clone, Debug)]
 pub(super) struct Retries {
-    allowed: Option<Allowed>,
-    began: Instant,
-    accounts: BTreeMap<id::Service, Bucket>,
+    allowance: Option<Allowed>,
+    started: Instant,
+    buckets: BTreeMap<id::Service, Bucket>,
 }
 
 impl Retries {
-    /// Those of a hub that begins at `began`; none at all where nothing says what is `allowed`.
-    pub(super) fn new(allowed: Option<Allowed>, began: Instant) -> Self {
+    /// Creates the budget of a hub that starts at `started`. It grants nothing if `allowance` is
+    /// not set.
+    pub(super) fn new(allowance: Option<Allowed>, started: Instant) -> Self {
         Self {
-            allowed,
-            began,
-            accounts: BTreeMap::new(),
+            allowance,
+            started,
+            buckets: BTreeMap::new(),
         }
     }
 
-    /// Draws a further sending to a service, where there is one left.
+    /// Acquires a retry to a service if one is left.
     pub(super) fn draw(&mut self, service: &id::Service, now: Instant) -> bool {
-        let Some(allowed) = self.allowed else {
+        let Some(allowance) = self.allowance else {
             return false;
         };
-        let depth = allowed.floor * GRANTED / 2.0;
-        let rate = depth / allowed.window.as_secs_f64();
-        let account = self.accounts.entry(service.clone());
-        let account = account.or_insert_with(|| Bucket::new(0.0, self.began));
-        if account.fill(rate, depth, now) < 1.0 {
+        let depth = allowance.floor * HUB_FLOOR_FRACTION / 2.0;
+        let rate = depth / allowance.window.as_secs_f64();
+        let bucket = self.buckets.entry(service.clone());
+        let bucket = bucket.or_insert_with(|| Bucket::new(0.0, self.started));
+        if bucket.fill(rate, depth, now) < 1.0 {
             return false;
         }
-        account.draw(1.0);
+        bucket.draw(1.0);
         true
     }
 
-    /// One that was drawn was not sent.
+    /// Releases a retry that was acquired and not used.
     pub(super) fn give_back(&mut self, service: &id::Service) {
-        if let Some(account) = self.accounts.get_mut(service) {
-            account.draw(-1.0);
+        if let Some(bucket) = self.buckets.get_mut(service) {
+            bucket.draw(-1.0);
         }
     }
 }
--- a/crates/core/src/gateway/sync.rs
+++ b/crates/core/src/gateway/sync.rs
@@ -1,4 +1,4 @@
-//! What gateways and hub say to each other.
+//! The messages by which gateways synchronize with the hub.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,37 +20,37 @@
 use super::ServerListUpdate;
 use super::version::version;
 
-/// A gateway that callers can be sent to.
+/// A gateway to which callers can be directed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Gateway {
-    /// Its data hall.
+    /// The data hall.
     pub hall: Arc<str>,
-    /// Where callers reach it.
+    /// The address for callers.
     pub callers: SocketAddr,
 }
 
-/// What is in flight at one incarnation of a backend server.
+/// The requests in flight at one incarnation of a backend server.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// The incarnation.
     pub incarnation: Arc<str>,
-    /// Requests sent there and not ended.
+    /// The number of requests that were sent there and have not ended.
     pub requests: u32,
-    /// Tokens of the prompts among them whose answer has not begun.
+    /// The prompt tokens of those requests whose response has not begun.
     pub prefill_tokens: Tokens,
 }
 
-/// The gateways that let requests of all in while the hub gives no word.
+/// The gateways that admit requests, also those of other gateways, while the hub is unreachable.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Standbys {
-    /// Tells one content from another; not an order.
+    /// A hash of the content; versions have no order.
     pub version: u64,
-    /// Their hosts.
+    /// The hosts of the standbys.
     pub hosts: Vec<id::Host>,
 }
 
 impl Standbys {
-    /// These deputies.
+    /// Creates the set of standbys on `hosts`.
     #[must_use]
     pub fn new(hosts: Vec<id::Host>) -> Self {
         let version = version(&hosts);
@@ -58,83 +58,85 @@
     }
 }
 
-/// What a gateway asks and tells.
+/// A gateway's poll of the hub, with its state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Poll {
-    /// Its host.
+    /// The gateway's host.
     pub host: id::Host,
-    /// Where callers reach it, and its data hall.
+    /// The gateway's address for callers and its data hall.
     pub gateway: Gateway,
-    /// Whether it takes callers: it has a table and a list, and is not stopping.
+    /// Whether it accepts callers: it has a table and a server list, and is not stopping.
     pub ready: bool,
-    /// The number of the newest table that it knows of: it holds it, or is fetching it.
+    /// The number of the newest table that it has or is fetching.
     pub known_table: u64,
-    /// Whether it is told the whole list of backend servers, not its subset only.
+    /// Whether it receives the whole server list rather than its subset.
     pub wants_whole_list: bool,
-    /// The version of that, as it holds it.
+    /// The version of the server list or subset that it has.
     pub server_list_version: u64,
-    /// The version of the roll that it holds.
+    /// The version of the membership that it has.
     pub membership_version: u64,
-    /// The version of the deputies that it knows.
+    /// The version of the standbys that it knows.
     pub standbys_version: u64,
-    /// The version of the policy on versions that it goes by; 0 before it has one.
+    /// The version of the policy that it applies to server versions and data halls, or 0 before it
+    /// has one.
     pub policy_version: u64,
-    /// The last grant that it has got.
+    /// The last grant that it received.
     pub last_grant: GrantId,
-    /// What it has in flight.
+    /// The requests that it has in flight.
     pub loads: Vec<Load>,
-    /// The number of the hub's answer that it has got last.
+    /// The number of the last reply that it received from the hub.
     pub last_reply: u64,
-    /// The version of the list of requests in quarantine that it holds.
+    /// The version of the quarantine list that it has.
     pub quarantine_version: u64,
-    /// What it has to tell of requests under which servers ended.
+    /// Its observations of requests under which servers crashed.
     pub observations: Vec<quarantine::Observation>,
-    /// What it has to tell of limits that servers name.
+    /// Its reports of limits that servers named.
     pub limit_reports: limit::Words,
-    /// The hub by whose table of limits it goes, and the version of that.
+    /// The hub whose limits it applies, and their version.
     pub limits_version: (u64, u64),
-    /// The whole list, where this gateway is the one that fetches it and the hub held another.
+    /// The whole server list, if this gateway fetches it for all and the hub had another one.
     pub fetched_list: Option<ServerList>,
 }
 
-/// What the hub answers.
+/// The hub's reply to a poll.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Reply {
-    /// Its number; rises with each answer of a hub, and differs from those of other hubs.
+    /// The number of this reply. It rises with each reply of a hub and differs from those of other
+    /// hubs.
     pub number: u64,
-    /// The number that the hub drew when it began.
+    /// The random number by which the hub is known.
     pub hub_id: u64,
-    /// What is new of the requests in quarantine.
+    /// The update of the quarantine list.
     pub quarantine: Option<quarantine::News>,
-    /// What is new of the limits that servers name.
+    /// The update of the limits that servers named.
     pub limits: Option<limit::News>,
-    /// The number of the table in force.
+    /// The number of the active table.
     pub newest_table: u64,
-    /// That table, where the asker does not know of it and it is small.
+    /// The active table, if the gateway does not know it and it is small.
     pub table: Option<Publication>,
-    /// What is new of the asker's subset of the list of backend servers, or all of the list, where it holds another.
+    /// The update of the gateway's server list or subset, if it has another one than the hub.
     pub server_list: Option<ServerListUpdate>,
-    /// The version of the whole list that the hub holds.
+    /// The version of the hub's whole server list.
     pub server_list_version: u64,
-    /// What is new of the gateways that live.
+    /// The update of the gateway membership.
     pub membership: Option<MembershipUpdate>,
-    /// How long the asker's next question may wait for something new.
+    /// How long the hub may hold the gateway's next poll until there is an update.
     pub poll_timeout: Duration,
-    /// The part (0 to 1) that the asker holds of the sendings past the first that gateways may do by
-    /// themselves.
+    /// The gateway's share, 0 to 1, of the retries that gateways may send without the hub.
     pub retry_share: f64,
-    /// The part (0 to 1) that it holds of what gateways may let in without the hub's word.
+    /// The gateway's share, 0 to 1, of the requests that gateways may admit without the hub.
     pub admission_share: f64,
-    /// The hosts that hold such a part, where the asker knows others.
+    /// The standbys, if the gateway knows others.
     pub standbys: Option<Standbys>,
-    /// Which versions gateways may send to by their own choice, where the asker goes by another policy.
+    /// Which server versions and data halls gateways may send to by local decision, if the gateway
+    /// applies another policy.
     pub policy: Option<Policy>,
-    /// What the other gateways have in flight at the servers of the asker's subset.
+    /// The requests that other gateways have in flight at the servers of this gateway's subset.
     pub other_loads: Vec<Load>,
     /// The hosts of the control replicas.
     pub control_hosts: Vec<id::Host>,
-    /// The host that leads them.
+    /// The host of the leading control replica.
     pub leader: Option<id::Host>,
-    /// Whether the asker is the one that fetches the list for all.
+    /// Whether this gateway fetches the server list for all.
     pub fetches_list: bool,
 }
