--- a/crates/core/src/evacuation/halls.rs
+++ b/crates/core/src/evacuation/halls.rs
@@ -23,8 +23,8 @@
 ///     action: Action::Start,
 ///     given_ms: 0,
 /// });
-/// assert!(halls.has("a"));
-/// assert!(!halls.has("b"));
+/// assert!(halls.is_evacuated("a"));
+/// assert!(!halls.is_evacuated("b"));
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuatedHalls {
@@ -48,13 +48,13 @@
 
     /// Whether an order would change nothing.
     #[must_use]
-    pub fn reflects(&self, order: &Order) -> bool {
-        self.has(&order.hall) == (order.action == Action::Start)
+    pub fn is_applied(&self, order: &Order) -> bool {
+        self.is_evacuated(&order.hall) == (order.action == Action::Start)
     }
 
     /// Whether a hall is evacuated.
     #[must_use]
-    pub fn has(&self, hall: &str) -> bool {
+    pub fn is_evacuated(&self, hall: &str) -> bool {
         self.since.contains_key(hall)
     }
 
--- a/crates/core/src/gateway/hub.rs
+++ b/crates/core/src/gateway/hub.rs
@@ -197,8 +197,8 @@
     pub fn adopt(&mut self, table: &Table, now: Instant) {
         if table.get_number() > self.table {
             self.table = table.get_number();
-            let accounts = table.accounts();
-            let accounts = accounts.map(|account| (&account.name, account.allowance));
+            let accounts = table.customers();
+            let accounts = accounts.map(|account| (&account.name, account.quota));
             self.desk.adopt(accounts, now);
             let services = table.get_services().iter();
             let warmups = services.filter_map(|(service, provider)| {
--- a/crates/core/src/gateway/retries.rs
+++ b/crates/core/src/gateway/retries.rs
@@ -38,7 +38,7 @@
         let Some(allowed) = self.allowed else {
             return false;
         };
-        let depth = allowed.floor * GRANTED / 2.0;
+        let depth = allowed.min_retries * GRANTED / 2.0;
         let rate = depth / allowed.window.as_secs_f64();
         let account = self.accounts.entry(service.clone());
         let account = account.or_insert_with(|| Bucket::new(0.0, self.began));
--- a/crates/core/src/gateway/rollouts.rs
+++ b/crates/core/src/gateway/rollouts.rs
@@ -57,8 +57,9 @@
     /// What of a list the hub gives places at.
     pub(super) fn admitted(&self, listing: &Listing) -> Listing {
         let servers = listing.servers.iter();
-        let admitted = servers
-            .filter(|server| self.trials.admits(server) && !self.evacuated.has(&server.hall));
+        let admitted = servers.filter(|server| {
+            self.trials.admits(server) && !self.evacuated.is_evacuated(&server.hall)
+        });
         Listing::new(admitted.cloned().collect())
     }
 
--- a/crates/core/src/pool/choose.rs
+++ b/crates/core/src/pool/choose.rs
@@ -39,18 +39,18 @@
 
     /// The place of the best server with room; where all are left alone, of those that have
     /// hardly broken. Of many some are looked at, and all where none of those will do.
-    pub(super) fn choose(&mut self, ask: &Request, now: Instant) -> Option<usize> {
-        let place = self.choose_on_trial(ask, now);
+    pub(super) fn choose_server(&mut self, ask: &Request, now: Instant) -> Option<usize> {
+        let place = self.choose_trial_server(ask, now);
         if place.is_some() {
             return place;
         }
-        let on_trial = self.on_trial.clone();
+        let on_trial = self.trial.clone();
         let may = |server: &Server| {
-            Self::is_open(on_trial.as_ref(), server) && ask.may_go_to(server, now)
+            Self::is_unrestricted(on_trial.as_ref(), server) && ask.may_go_to(server, now)
         };
-        let all_suspect = self.is_suspect(may, now);
+        let all_suspect = self.all_suspect(may, now);
         let trusted =
-            |known: &ServerState| may(&known.server) && known.trust.is_trusted(all_suspect, now);
+            |known: &ServerState| may(&known.server) && known.trust.is_usable(all_suspect, now);
         let free = self.servers.free();
         if free.len() > ALL {
             let last = free.last().copied().unwrap_or_default();
@@ -70,7 +70,7 @@
     }
 
     /// Whether every server that a request `may` go to is suspect.
-    pub(super) fn is_suspect(&self, may: impl Fn(&Server) -> bool, now: Instant) -> bool {
+    pub(super) fn all_suspect(&self, may: impl Fn(&Server) -> bool, now: Instant) -> bool {
         let mut taking = self
             .servers
             .all()
@@ -114,11 +114,11 @@
         let far = if known.server.hall == ask.hall {
             0.0
         } else {
-            self.tuning.distance
+            self.tuning.remote_hall_cost
         };
-        let distrust = 1.0 + self.tuning.distrust * known.trust.failures();
+        let distrust = 1.0 + self.tuning.failure_penalty * known.trust.failure_rate();
         let reading = ask.prompt.as_f64() + known.reading().as_f64();
-        let itself = self.tuning.own + self.tuning.prompt * reading / 1_000.0;
+        let itself = self.tuning.request_cost + self.tuning.prompt_cost * reading / 1_000.0;
         (f64::from(known.in_flight()) + itself + far) * pace.clamp(FASTEST, SLOWEST) * distrust
     }
 }
--- a/crates/core/src/pool/first_byte_time.rs
+++ b/crates/core/src/pool/first_byte_time.rs
@@ -18,12 +18,12 @@
 /// ```
 /// use std::time::Duration;
 /// use curlewlift_core::pool::FirstByteTime;
-/// let mut lead = FirstByteTime::default();
-/// assert_eq!(lead.get(), Duration::ZERO);
+/// let mut first_byte = FirstByteTime::default();
+/// assert_eq!(first_byte.estimate(), Duration::ZERO);
 /// for _ in 0..50 {
-///     lead.add(Duration::from_millis(80));
+///     first_byte.add(Duration::from_millis(80));
 /// }
-/// assert!(lead.get() < Duration::from_millis(90));
+/// assert!(first_byte.estimate() < Duration::from_millis(90));
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FirstByteTime {
@@ -47,7 +47,7 @@
 
     /// Within what time most answers begin; nothing before the first measurement.
     #[must_use]
-    pub fn get(&self) -> Duration {
+    pub fn estimate(&self) -> Duration {
         let known = self
             .known
             .map(|(mean, deviation)| mean + deviation * DEVIATIONS);
--- a/crates/core/src/pool/retry_budget.rs
+++ b/crates/core/src/pool/retry_budget.rs
@@ -18,7 +18,7 @@
     /// Further sendings for each first one.
     pub ratio: f64,
     /// Further sendings in a window at all times, over all gateways.
-    pub floor: f64,
+    pub min_retries: f64,
     /// The window's length.
     pub window: Duration,
 }
@@ -52,13 +52,13 @@
     }
 
     /// Counts a request's first sending.
-    pub fn first(&mut self, now: Instant) {
+    pub fn count_request(&mut self, now: Instant) {
         self.step(now).firsts += 1;
     }
 
     /// Whether a further sending is allowed now to a gateway that holds `part` (0 to 1) of the floor; if
     /// so it is counted.
-    pub fn take(&mut self, part: f64, now: Instant) -> bool {
+    pub fn try_acquire(&mut self, part: f64, now: Instant) -> bool {
         if !self.allows(part, now) {
             return false;
         }
@@ -76,7 +76,7 @@
         let firsts = steps.filter(|step| now.since(step.began) < window);
         let firsts: u32 = firsts.map(|step| step.firsts).sum();
         let further: u32 = self.steps.iter().map(|step| step.further).sum();
-        let floor = self.allowed.floor * SHARED_OUT * part;
+        let floor = self.allowed.min_retries * SHARED_OUT * part;
         let most = floor + self.allowed.ratio * f64::from(firsts);
         f64::from(further) + 1.0 <= most
     }
--- a/crates/core/src/pool/server_health.rs
+++ b/crates/core/src/pool/server_health.rs
@@ -31,7 +31,7 @@
 
 impl ServerHealth {
     /// An answer came.
-    pub fn good(&mut self) {
+    pub fn record_answer(&mut self) {
         self.breaks = 0;
         self.wary = false;
         self.until = None;
@@ -39,33 +39,33 @@
     }
 
     /// It answered that it failed.
-    pub fn failed(&mut self) {
+    pub fn record_failure(&mut self) {
         self.failures += (1.0 - self.failures) * WEIGHT;
     }
 
     /// It broke off, was silent or could not be reached.
-    pub fn broke(&mut self, now: Instant) {
-        self.failed();
+    pub fn record_break(&mut self, now: Instant) {
+        self.record_failure();
         self.breaks = self.breaks.saturating_add(1);
         let doubled = FIRST * 2_u32.saturating_pow(self.breaks.min(8) - 1);
         self.until = Some(now + doubled.min(LONGEST));
     }
 
     /// It has no room.
-    pub fn full(&mut self, now: Instant) {
+    pub fn record_full(&mut self, now: Instant) {
         self.until = Some(now + FULL);
     }
 
     /// It asked a host for rest.
-    pub fn rests(&mut self, now: Instant) {
-        self.full(now);
+    pub fn record_backoff(&mut self, now: Instant) {
+        self.record_full(now);
         self.wary = true;
     }
 
     /// It is given a request. One that asked for rest gets them one by one until it has answered one: given places as
     /// room was, five to eight of those that waited met it within 0.1 s of the end of its rest and were turned away
     /// once more; two or three do now (model of 12 gateways and nine servers, medians and most of 20 seeds).
-    pub fn given(&mut self, now: Instant) {
+    pub fn record_assignment(&mut self, now: Instant) {
         if self.wary {
             let next = now + FULL;
             self.until = Some(self.until.map_or(next, |until| until.max(next)));
@@ -80,19 +80,19 @@
 
     /// For how much longer it is to be left alone.
     #[must_use]
-    pub fn left_alone(&self, now: Instant) -> Duration {
+    pub fn avoid_for(&self, now: Instant) -> Duration {
         self.until.map_or(Duration::ZERO, |until| until.since(now))
     }
 
     /// Whether it may be sent something at `now`. Where all servers are suspect, a break or two
     /// tell none from another, and trying is better than refusing.
     #[must_use]
-    pub fn is_trusted(&self, all_suspect: bool, now: Instant) -> bool {
+    pub fn is_usable(&self, all_suspect: bool, now: Instant) -> bool {
         !self.is_suspect(now) || (all_suspect && (1..=LAST_RESORT).contains(&self.breaks))
     }
 
     /// How little it is to be preferred among servers that are otherwise alike, 0 to 4.
-    pub(super) fn grade(&self) -> u8 {
+    pub(super) fn failure_grade(&self) -> u8 {
         match self.failures {
             failures if failures < 0.05 => 0,
             failures if failures < 0.15 => 1,
@@ -104,7 +104,7 @@
 
     /// The part of its last answers that failed, 0 to 1.
     #[must_use]
-    pub fn failures(&self) -> f64 {
+    pub fn failure_rate(&self) -> f64 {
         self.failures
     }
 }
--- a/crates/core/src/pool/server_state.rs
+++ b/crates/core/src/pool/server_state.rs
@@ -123,16 +123,16 @@
     pub(super) fn judge(&mut self, end: AttemptOutcome, now: Instant) {
         match end {
             AttemptOutcome::Answered { first_byte, gap } => {
-                self.trust.good();
+                self.trust.record_answer();
                 self.first.add(first_byte);
                 if let Some(gap) = gap {
                     self.gap.add(gap);
                 }
             }
-            AttemptOutcome::Full => self.trust.full(now),
-            AttemptOutcome::Backoff(_) => self.trust.rests(now),
-            AttemptOutcome::Failed => self.trust.failed(),
-            AttemptOutcome::Broken | AttemptOutcome::TimedOut => self.trust.broke(now),
+            AttemptOutcome::Full => self.trust.record_full(now),
+            AttemptOutcome::Backoff(_) => self.trust.record_backoff(now),
+            AttemptOutcome::Failed => self.trust.record_failure(),
+            AttemptOutcome::Broken | AttemptOutcome::TimedOut => self.trust.record_break(now),
             AttemptOutcome::Gone => self.leave(),
             AttemptOutcome::Unknown => {}
         }
--- a/crates/core/src/pool/servers.rs
+++ b/crates/core/src/pool/servers.rs
@@ -43,7 +43,7 @@
     pub(super) waiting: Queue,
     pub(super) forecast: Forecast,
     /// The version that gets no more than so many requests.
-    pub(super) on_trial: Option<TrialVersion>,
+    pub(super) trial: Option<TrialVersion>,
     next: u64,
     pub(super) random: SmallRng,
 }
@@ -54,13 +54,13 @@
     pub fn new(tuning: Tuning, seed: u64) -> Self {
         Self {
             tuning,
-            servers: ServerSet::new(tuning.over),
+            servers: ServerSet::new(tuning.extra_in_flight),
             notices: Notices::default(),
             limits: Ledger::closed(),
             held: LimitWait::default(),
             waiting: Queue::default(),
             forecast: Forecast::default(),
-            on_trial: None,
+            trial: None,
             next: 0,
             random: SmallRng::seed_from_u64(seed),
         }
@@ -122,7 +122,7 @@
 
     /// The version that gets no more than some requests; none where all versions are alike.
     pub fn set_trial(&mut self, on_trial: Option<TrialVersion>) {
-        self.on_trial = on_trial;
+        self.trial = on_trial;
     }
 
     /// A server that it knows.
@@ -168,11 +168,11 @@
             let incarnation = &server.incarnation;
             !tried.contains(incarnation) && !self.notices.excludes(incarnation, now)
         };
-        let all_suspect = self.is_suspect(may, now);
+        let all_suspect = self.all_suspect(may, now);
         let avoided = self.servers.all();
-        let avoided = avoided.filter(move |known| !known.trust.is_trusted(all_suspect, now));
+        let avoided = avoided.filter(move |known| !known.trust.is_usable(all_suspect, now));
         avoided.map(move |known| {
-            let left = known.trust.left_alone(now);
+            let left = known.trust.avoid_for(now);
             (Arc::clone(&known.server.incarnation), left)
         })
     }
@@ -181,7 +181,7 @@
     #[must_use]
     pub fn avoid_for(&self, incarnation: &str, now: Instant) -> Duration {
         let known = self.servers.get(incarnation);
-        let left = known.map_or(Duration::ZERO, |known| known.trust.left_alone(now));
+        let left = known.map_or(Duration::ZERO, |known| known.trust.avoid_for(now));
         left.max(self.notices.backoff(incarnation, now))
     }
 
@@ -333,7 +333,7 @@
         let ticket = Ticket(self.next);
         self.forecast.asked(ask.rank, now);
         self.waiting.add(ticket, ask, now);
-        let crowded = self.waiting.len() > self.tuning.waiting;
+        let crowded = self.waiting.len() > self.tuning.max_queued;
         let last = if crowded { self.waiting.last() } else { None };
         if let Some(last) = last {
             self.waiting.remove(last);
@@ -359,7 +359,7 @@
             let (ticket, is_bound) = (in_line.ticket, ask.is_bound());
             let ask = ask.with_rests(&resting).into_owned();
             last = Some(in_line);
-            let Some(place) = self.choose(&ask, now) else {
+            let Some(place) = self.choose_server(&ask, now) else {
                 // Only some servers are closed to it: the next in line may go to one of those.
                 if !is_bound {
                     break;
@@ -368,12 +368,12 @@
             };
             self.waiting.remove(ticket);
             self.forecast.turn(now);
-            self.spend_at(place);
+            self.spend_trial_request(place);
             // A server's limit is over all hosts, of which each sees its own part only: it is kept where all places
             // are given.
             let charged_to_limit = self.limits.draw(&self.servers.at(place).server, now);
             self.servers.update_at(place, |known| {
-                known.trust.given(now);
+                known.trust.record_assignment(now);
                 known.begin(ask.prompt);
             });
             turns.push(Assignment {
--- a/crates/core/src/pool/trial_version.rs
+++ b/crates/core/src/pool/trial_version.rs
@@ -29,34 +29,34 @@
     /// The version.
     pub version: Version,
     /// How many requests it may get now.
-    pub credit: u32,
+    pub remaining_requests: u32,
     /// The rules under which too little is known of it: where there are any, it gets few requests of others.
-    pub lacking: Vec<Arc<str>>,
+    pub under_sampled_rules: Vec<Arc<str>>,
 }
 
 impl TrialVersion {
     /// Whether a request is of those that are to be tried first.
-    fn lacks(&self, ask: &Request) -> bool {
-        let is_lacking = |rule: &Arc<str>| self.lacking.contains(rule);
-        self.lacking.is_empty() || ask.rule.as_ref().is_some_and(is_lacking)
+    fn prefers(&self, ask: &Request) -> bool {
+        let is_lacking = |rule: &Arc<str>| self.under_sampled_rules.contains(rule);
+        self.under_sampled_rules.is_empty() || ask.rule.as_ref().is_some_and(is_lacking)
     }
 }
 
 impl Pool {
     /// Whether requests go to `server` without a bound.
-    pub(super) fn is_open(on_trial: Option<&TrialVersion>, server: &Server) -> bool {
+    pub(super) fn is_unrestricted(on_trial: Option<&TrialVersion>, server: &Server) -> bool {
         on_trial.is_none_or(|on_trial| on_trial.version != server.version)
     }
 
     /// The place of the server that a request is tried at, where it is.
-    pub(super) fn choose_on_trial(&mut self, ask: &Request, now: Instant) -> Option<usize> {
-        let on_trial = self.on_trial.as_ref();
+    pub(super) fn choose_trial_server(&mut self, ask: &Request, now: Instant) -> Option<usize> {
+        let on_trial = self.trial.as_ref();
         let on_trial = on_trial.filter(|on_trial| {
-            let is_first = on_trial.lacks(ask) || self.random.random_ratio(1, OTHERS);
-            is_first && on_trial.credit > 0
+            let is_first = on_trial.prefers(ask) || self.random.random_ratio(1, OTHERS);
+            is_first && on_trial.remaining_requests > 0
         });
         let on_trial = on_trial.cloned()?;
-        let usual = self.usual_load(&on_trial);
+        let usual = self.mean_load(&on_trial);
         let free = self
             .servers
             .free()
@@ -65,7 +65,7 @@
         let may = free.filter(|(_, known)| {
             known.server.version == on_trial.version
                 && ask.may_go_to(&known.server, now)
-                && known.trust.is_trusted(false, now)
+                && known.trust.is_usable(false, now)
                 && self.limits.admits(&known.server, now)
         });
         // Those that run less than others do come first, in an order that is another one each second: so
@@ -78,18 +78,17 @@
             let is_idle = f64::from(load) < usual;
             let lot = version(&(second, &known.server.incarnation));
             let busy = if is_idle { 0 } else { load };
-            (Reverse(is_idle), busy, known.trust.grade(), lot)
+            (Reverse(is_idle), busy, known.trust.failure_grade(), lot)
         };
         let best = may.min_by_key(|(_, known)| order(known));
         best.map(|(place, _)| place)
     }
 
     /// How many requests a server of another version runs in the mean.
-    fn usual_load(&self, on_trial: &TrialVersion) -> f64 {
-        let open = self
-            .servers
-            .all()
-            .filter(|known| known.takes_work() && Self::is_open(Some(on_trial), &known.server));
+    fn mean_load(&self, on_trial: &TrialVersion) -> f64 {
+        let open = self.servers.all().filter(|known| {
+            known.takes_work() && Self::is_unrestricted(Some(on_trial), &known.server)
+        });
         let (servers, load) = open.fold((0_u32, 0_u32), |(servers, load), known| {
             (servers + 1, load.saturating_add(known.in_flight()))
         });
@@ -97,12 +96,12 @@
     }
 
     /// Counts a turn at the server at `place`.
-    pub(super) fn spend_at(&mut self, place: usize) {
+    pub(super) fn spend_trial_request(&mut self, place: usize) {
         let version = &self.servers.at(place).server.version;
-        if let Some(on_trial) = &mut self.on_trial
+        if let Some(on_trial) = &mut self.trial
             && on_trial.version == *version
         {
-            on_trial.credit = on_trial.credit.saturating_sub(1);
+            on_trial.remaining_requests = on_trial.remaining_requests.saturating_sub(1);
         }
     }
 }
--- a/crates/core/src/pool/wait_limit.rs
+++ b/crates/core/src/pool/wait_limit.rs
@@ -26,14 +26,14 @@
 /// ```
 /// use std::time::Duration;
 /// use curlewlift_core::pool::WaitLimit;
-/// let patience = WaitLimit {
+/// let wait_limit = WaitLimit {
 ///     objective: Duration::from_millis(1_000),
 ///     waited: Duration::from_millis(150),
-///     left: Duration::from_millis(7_850),
-///     lead: Duration::from_millis(250),
+///     remaining: Duration::from_millis(7_850),
+///     first_byte: Duration::from_millis(250),
 /// };
-/// assert_eq!(patience.in_time(), Duration::from_millis(600));
-/// assert_eq!(patience.come_back(), Duration::from_secs(2));
+/// assert_eq!(wait_limit.send_within(), Duration::from_millis(600));
+/// assert_eq!(wait_limit.retry_after(), Duration::from_secs(2));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaitLimit {
@@ -42,31 +42,31 @@
     /// The time since it arrived.
     pub waited: Duration,
     /// The time until its deadline.
-    pub left: Duration,
+    pub remaining: Duration,
     /// How long an answer takes to begin once it is sent.
-    pub lead: Duration,
+    pub first_byte: Duration,
 }
 
 impl WaitLimit {
     /// For how much longer an answer can still begin in time.
     #[must_use]
-    pub fn in_time(&self) -> Duration {
-        self.objective.saturating_sub(self.waited + self.lead)
+    pub fn send_within(&self) -> Duration {
+        self.objective.saturating_sub(self.waited + self.first_byte)
     }
 
     /// How much longer a request is held.
     #[must_use]
-    pub fn held(&self) -> Duration {
-        HELD.min(self.left.mul_f64(LEFT))
+    pub fn max_wait(&self) -> Duration {
+        HELD.min(self.remaining.mul_f64(LEFT))
     }
 
     /// After how long a caller that is turned away is to come back.
     #[must_use]
-    pub fn come_back(&self) -> Duration {
-        let whole = self.waited + self.left;
+    pub fn retry_after(&self) -> Duration {
+        let whole = self.waited + self.remaining;
         whole
             .mul_f64(COME_BACK)
-            .min(self.left / HEEDED)
+            .min(self.remaining / HEEDED)
             .max(SOONEST)
     }
 }
--- a/crates/core/src/rollout/judge.rs
+++ b/crates/core/src/rollout/judge.rs
@@ -100,7 +100,7 @@
 /// let mut judge = Judge::default();
 /// let usual = Yardstick::default();
 /// for server in ["s1", "s2", "s1", "s2"] {
-///     let end = End::Failed;
+///     let end = AttemptOutcome::Failed;
 ///     let sample = Sample { rule: "chat".into(), server: server.into(), end };
 ///     judge.take(&sample, &usual, 2, true);
 /// }
--- a/crates/core/src/rollout/trials.rs
+++ b/crates/core/src/rollout/trials.rs
@@ -103,8 +103,8 @@
         self.under_way.iter().filter_map(|(service, under_way)| {
             let on_trial = TrialVersion {
                 version: under_way.target.clone(),
-                credit: under_way.trial.credit()?,
-                lacking: under_way.trial.lacking(),
+                remaining_requests: under_way.trial.credit()?,
+                under_sampled_rules: under_way.trial.lacking(),
             };
             Some((service, on_trial))
         })
--- a/crates/core/src/route/customer.rs
+++ b/crates/core/src/route/customer.rs
@@ -51,7 +51,7 @@
     /// The rank of its requests, which is compared before their rules'.
     pub rank: Option<u8>,
     /// How much it may ask for.
-    pub allowance: Quota,
+    pub quota: Quota,
     /// The regions that its requests must stay in.
     pub homes: Homes,
 }
--- a/crates/core/src/route/homes.rs
+++ b/crates/core/src/route/homes.rs
@@ -10,10 +10,10 @@
 ///
 /// ```
 /// use curlewlift_core::route::Homes;
-/// let rule = Homes::of(["north".into(), "south".into()]);
-/// let customer = Homes::of(["south".into(), "west".into()]);
-/// assert_eq!(rule.and(&customer), Homes::of(["south".into()]));
-/// assert_eq!(rule.and(&Homes::default()), rule);
+/// let rule = Homes::new(["north".into(), "south".into()]);
+/// let customer = Homes::new(["south".into(), "west".into()]);
+/// assert_eq!(rule.intersection(&customer), Homes::new(["south".into()]));
+/// assert_eq!(rule.intersection(&Homes::default()), rule);
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Homes(Option<BTreeSet<Arc<str>>>);
@@ -21,14 +21,14 @@
 impl Homes {
     /// These regions; of none, anywhere.
     #[must_use]
-    pub fn of(regions: impl IntoIterator<Item = Arc<str>>) -> Self {
+    pub fn new(regions: impl IntoIterator<Item = Arc<str>>) -> Self {
         let regions: BTreeSet<_> = regions.into_iter().collect();
         Self((!regions.is_empty()).then_some(regions))
     }
 
     /// The regions that both allow; both bind, so there may be none.
     #[must_use]
-    pub fn and(&self, other: &Self) -> Self {
+    pub fn intersection(&self, other: &Self) -> Self {
         match (&self.0, &other.0) {
             (Some(a), Some(b)) => Self(Some(a & b)),
             (a, b) => Self(a.clone().or_else(|| b.clone())),
@@ -44,7 +44,7 @@
 /// use curlewlift_core::route::Homes;
 /// use curlewlift_core::route::Regions;
 /// let regions = Regions::new([("a".into(), "north".into()), ("b".into(), "south".into())]);
-/// let halls = regions.halls(&Homes::of(["south".into()]));
+/// let halls = regions.halls(&Homes::new(["south".into()]));
 /// assert_eq!(halls.as_deref(), Some(&["b".into()][..]));
 /// assert_eq!(regions.halls(&Homes::default()), None, "anywhere");
 /// ```
--- a/crates/core/src/route/rule.rs
+++ b/crates/core/src/route/rule.rs
@@ -34,7 +34,7 @@
     pub objective: Duration,
     /// The longest pause between the pieces of a stream that is still in time; none where nothing is
     /// said of it.
-    pub pause: Option<Duration>,
+    pub max_gap: Option<Duration>,
     /// The rank of its requests, 0 first.
     pub rank: u8,
     /// Where they go; the weights add up to more than 0.
@@ -54,7 +54,7 @@
     ///
     /// Two targets with weights 90 and 10: a lot of 0.95 falls to the second.
     #[must_use]
-    pub fn target(&self, lot: f64) -> Option<&id::Service> {
+    pub fn pick_target(&self, lot: f64) -> Option<&id::Service> {
         let total: f64 = self.targets.iter().map(|target| target.weight).sum();
         let mut left = lot * total;
         let weighed = self.targets.iter().filter(|target| target.weight > 0.0);
@@ -71,7 +71,7 @@
 
     /// Whether it takes a request to `path`.
     #[must_use]
-    pub fn takes(&self, path: &str) -> bool {
+    pub fn matches(&self, path: &str) -> bool {
         path.starts_with(&*self.prefix)
     }
 }
--- a/crates/core/src/route/table.rs
+++ b/crates/core/src/route/table.rs
@@ -41,9 +41,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServicePolicy {
     /// How many connections one of its backend servers takes from all entries together.
-    pub connections: u32,
+    pub max_connections: u32,
     /// The path of its health check.
-    pub health: Arc<str>,
+    pub health_path: Arc<str>,
     /// How many requests a second one of its backend servers takes while it is cold; none where that is as many as
     /// later.
     pub cold_rate: Option<Rate>,
@@ -61,7 +61,7 @@
     /// What callers may send.
     pub limits: Limits,
     /// The customers; none where requests need no key.
-    pub accounts: Option<Vec<CustomerPolicy>>,
+    pub customers: Option<Vec<CustomerPolicy>>,
 }
 
 /// A routing table whose parts fit together.
@@ -71,7 +71,7 @@
     hosts: HashMap<Arc<str>, Vec<Arc<Rule>>>,
     services: BTreeMap<id::Service, ServicePolicy>,
     limits: Limits,
-    accounts: Option<Vec<Arc<CustomerPolicy>>>,
+    customers: Option<Vec<Arc<CustomerPolicy>>>,
     keys: HashMap<String, usize>,
 }
 
@@ -96,16 +96,16 @@
         for rules in hosts.values_mut() {
             rules.sort_by_key(|rule| std::cmp::Reverse(rule.prefix.len()));
         }
-        let keys = keys(parts.accounts.as_deref().unwrap_or_default())?;
-        let accounts = parts
-            .accounts
+        let keys = keys(parts.customers.as_deref().unwrap_or_default())?;
+        let customers = parts
+            .customers
             .map(|accounts| accounts.into_iter().map(Arc::new).collect());
         Ok(Self {
             number: parts.number,
             hosts,
             services: parts.services,
             limits: parts.limits,
-            accounts,
+            customers,
             keys,
         })
     }
@@ -134,8 +134,8 @@
     }
 
     /// The customers.
-    pub fn accounts(&self) -> impl Iterator<Item = &Arc<CustomerPolicy>> {
-        self.accounts.iter().flatten()
+    pub fn customers(&self) -> impl Iterator<Item = &Arc<CustomerPolicy>> {
+        self.customers.iter().flatten()
     }
 
     /// The rule with the longest prefix that takes a request to `path` at `host`.
@@ -150,20 +150,20 @@
             host
         };
         let rules = self.hosts.get(host)?;
-        rules.iter().find(|rule| rule.takes(path))
+        rules.iter().find(|rule| rule.matches(path))
     }
 
     /// Whether requests need a key at all.
     #[must_use]
     pub fn needs_key(&self) -> bool {
-        self.accounts.is_some()
+        self.customers.is_some()
     }
 
     /// The customer with `key`.
     #[must_use]
-    pub fn account(&self, key: &str) -> Option<&Arc<CustomerPolicy>> {
+    pub fn customer(&self, key: &str) -> Option<&Arc<CustomerPolicy>> {
         let place = self.keys.get(key)?;
-        self.accounts.as_ref()?.get(*place)
+        self.customers.as_ref()?.get(*place)
     }
 }
 
--- a/crates/core/tests/cold_servers.rs
+++ b/crates/core/tests/cold_servers.rs
@@ -60,8 +60,8 @@
 
 fn table() -> Table {
     let provider = ServicePolicy {
-        connections: 10,
-        health: "/health".into(),
+        max_connections: 10,
+        health_path: "/health".into(),
         cold_rate: Some(rate()),
     };
     let table = Table::new(Parts {
@@ -69,7 +69,7 @@
         rules: Vec::new(),
         services: [("chat".parse().expect("a name"), provider)].into(),
         limits: Limits::default(),
-        accounts: None,
+        customers: None,
     });
     table.expect("a table")
 }
--- a/crates/core/tests/evacuated_halls.rs
+++ b/crates/core/tests/evacuated_halls.rs
@@ -90,7 +90,7 @@
         let now = ms(1_000 * (step as u64 + 1));
         let mut places: Vec<_> = (0..2).flat_map(|_| given(&mut hub, want(), now)).collect();
         places.sort();
-        let all = if halls.has("a") {
+        let all = if halls.is_evacuated("a") {
             ["s2", "s2"]
         } else {
             ["s1", "s2"]
@@ -117,14 +117,14 @@
         machine
             .apply(&Record::Evacuation(order.clone()))
             .expect("taken");
-        assert!(machine.get_evacuated().reflects(&order));
+        assert!(machine.get_evacuated().is_applied(&order));
     }
     let machine = Machine::decode(&machine.encode()).expect("a machine");
     let since: Vec<_> = machine.get_evacuated().iter().collect();
     assert_eq!(since, [(&"a".into(), 5)], "the first order counts");
     let mut halls = machine.get_evacuated().clone();
     halls.apply(&order("b", Action::End, 10));
-    assert!(halls.has("a"), "another hall's end");
+    assert!(halls.is_evacuated("a"), "another hall's end");
     halls.apply(&order("a", Action::End, 11));
     assert_eq!(halls, EvacuatedHalls::default());
 }
--- a/crates/core/tests/line_forecast.rs
+++ b/crates/core/tests/line_forecast.rs
@@ -24,7 +24,7 @@
 /// A pool with one server of one slot.
 fn pool() -> Pool {
     let tuning = Tuning {
-        over: 0,
+        extra_in_flight: 0,
         ..Tuning::default()
     };
     let mut pool = Pool::new(tuning, 7);
--- a/crates/core/tests/line_patience.rs
+++ b/crates/core/tests/line_patience.rs
@@ -14,8 +14,8 @@
     WaitLimit {
         objective: ms(1_000),
         waited,
-        left: ms(8_000).saturating_sub(waited),
-        lead: ms(300),
+        remaining: ms(8_000).saturating_sub(waited),
+        first_byte: ms(300),
     }
 }
 
@@ -23,42 +23,42 @@
 fn in_time() {
     // Whatever it has waited for before, for its customer's allowance or for a first table.
     for waited in (0..1_000).step_by(10).map(ms) {
-        let sent = waited + patience(waited).in_time();
+        let sent = waited + patience(waited).send_within();
         assert!(
             sent + ms(300) <= ms(1_000).max(waited + ms(300)),
             "{waited:?}"
         );
     }
-    assert_eq!(patience(ms(100)).in_time(), ms(600));
-    assert_eq!(patience(ms(900)).in_time(), ms(0));
+    assert_eq!(patience(ms(100)).send_within(), ms(600));
+    assert_eq!(patience(ms(900)).send_within(), ms(0));
 }
 
 #[test]
 fn little_time_left() {
     let patience = WaitLimit {
-        left: ms(60),
+        remaining: ms(60),
         ..patience(ms(0))
     };
-    assert_eq!(patience.held(), ms(30));
+    assert_eq!(patience.max_wait(), ms(30));
 }
 
 /// Nobody is held for as long as callers wait for a stream's first event.
 #[test]
 fn held_for_less() {
-    assert!(patience(ms(0)).held() <= ms(1_000));
-    assert!(patience(ms(900)).held() > ms(100), "late, but of use");
+    assert!(patience(ms(0)).max_wait() <= ms(1_000));
+    assert!(patience(ms(900)).max_wait() > ms(100), "late, but of use");
 }
 
 #[test]
 fn come_back_later() {
     // A caller keeps to it up to a third of the time that it has left.
-    assert_eq!(patience(ms(0)).come_back(), ms(2_000));
+    assert_eq!(patience(ms(0)).retry_after(), ms(2_000));
     let short = WaitLimit {
-        left: ms(200),
+        remaining: ms(200),
         ..patience(ms(0))
     };
     assert!(
-        short.come_back() >= ms(300),
+        short.retry_after() >= ms(300),
         "not before a place can be free"
     );
 }
@@ -70,12 +70,12 @@
     for _ in 0..40 {
         lead.add(ms(50));
     }
-    let steady = lead.get();
+    let steady = lead.estimate();
     assert!(steady >= ms(50) && steady < ms(60), "{steady:?}");
     for _ in 0..8 {
         lead.add(ms(400));
     }
-    assert!(lead.get() > ms(250), "{:?}", lead.get());
+    assert!(lead.estimate() > ms(250), "{:?}", lead.estimate());
 }
 
 /// Uneven ones count more than their mean.
@@ -85,5 +85,5 @@
     for turn in 0..100 {
         lead.add(ms(if turn % 2 == 0 { 50 } else { 150 }));
     }
-    assert!(lead.get() > ms(130), "{:?}", lead.get());
+    assert!(lead.estimate() > ms(130), "{:?}", lead.estimate());
 }
--- a/crates/core/tests/retry_budget.rs
+++ b/crates/core/tests/retry_budget.rs
@@ -8,7 +8,7 @@
 
 const ALLOWED: RetryAllowance = RetryAllowance {
     ratio: 0.2,
-    floor: 60.0,
+    min_retries: 60.0,
     window: Duration::from_secs(10),
 };
 
@@ -23,9 +23,9 @@
         for step in 0..10_u64 {
             let now = Instant((second * 10 + step) * 100_000);
             for budget in &mut budgets {
-                budget.first(now);
+                budget.count_request(now);
                 for _ in 0..2 {
-                    if budget.take(1.0 / f64::from(GATEWAYS), now) {
+                    if budget.try_acquire(1.0 / f64::from(GATEWAYS), now) {
                         further.push(now.0);
                     }
                 }
@@ -47,15 +47,16 @@
 fn alone_and_unsure() {
     let mut budget = RetryBudget::new(ALLOWED);
     let now = Instant::default();
-    budget.first(now);
-    assert!(!budget.take(0.0, now), "no floor without a part");
-    assert!(budget.take(1.0, now));
+    budget.count_request(now);
+    assert!(!budget.try_acquire(0.0, now), "no floor without a part");
+    assert!(budget.try_acquire(1.0, now));
 }
 
 #[test]
 fn forgets() {
     let mut budget = RetryBudget::new(ALLOWED);
-    let taken = |budget: &mut RetryBudget, now| (0..100).filter(|_| budget.take(1.0, now)).count();
+    let taken =
+        |budget: &mut RetryBudget, now| (0..100).filter(|_| budget.try_acquire(1.0, now)).count();
     assert_eq!(taken(&mut budget, Instant::default()), 30);
     assert_eq!(taken(&mut budget, Instant(5_000_000)), 0);
     assert_eq!(taken(&mut budget, Instant(10_000_001)), 30);
@@ -69,12 +70,16 @@
     let mut budget = RetryBudget::new(ALLOWED);
     let at = |millis| Instant::default() + Duration::from_millis(millis);
     for _ in 0..1_000 {
-        budget.first(at(0));
+        budget.count_request(at(0));
     }
     // Sent at the end of the first step, and as soon as its beginning has left the window.
-    let early = (0..1_000).filter(|_| budget.take(1.0, at(950))).count();
-    let late = (0..1_000).filter(|_| budget.take(1.0, at(10_000))).count();
-    let most = ALLOWED.floor + ALLOWED.ratio * 1_000.0;
+    let early = (0..1_000)
+        .filter(|_| budget.try_acquire(1.0, at(950)))
+        .count();
+    let late = (0..1_000)
+        .filter(|_| budget.try_acquire(1.0, at(10_000)))
+        .count();
+    let most = ALLOWED.min_retries + ALLOWED.ratio * 1_000.0;
     let sent = u32::try_from(early + late).expect("few");
     assert!(f64::from(sent) <= most, "{early} and {late} of {most}");
 }
--- a/crates/core/tests/route_tables.rs
+++ b/crates/core/tests/route_tables.rs
@@ -30,7 +30,7 @@
         kind: Kind::Safe,
         timeout: Duration::from_secs(1),
         objective: Duration::from_millis(150),
-        pause: None,
+        max_gap: None,
         rank: 0,
         targets: vec![target("chat", 1.0)],
         attempts: 1,
@@ -44,7 +44,7 @@
         name: name.parse().expect("a name"),
         keys: keys.iter().map(|key| (*key).to_owned()).collect(),
         rank: None,
-        allowance: Quota {
+        quota: Quota {
             unit: Unit::Tokens(200),
             rate: 1_000.0,
             burst: 1_000.0,
@@ -55,8 +55,8 @@
 
 fn parts(rules: Vec<Rule>) -> Parts {
     let provider = ServicePolicy {
-        connections: 10,
-        health: "/health".into(),
+        max_connections: 10,
+        health_path: "/health".into(),
         cold_rate: None,
     };
     let services = ["chat", "pay"].map(|name| (name.parse().expect("a name"), provider.clone()));
@@ -64,7 +64,7 @@
         number: 3,
         rules,
         services: BTreeMap::from(services),
-        accounts: Some(vec![account("ann", &["k1", "k2"]), account("ben", &["k3"])]),
+        customers: Some(vec![account("ann", &["k1", "k2"]), account("ben", &["k3"])]),
         ..Parts::default()
     }
 }
@@ -113,19 +113,19 @@
 #[test]
 fn shared_key() {
     let mut both = parts(vec![rule("one", "/")]);
-    both.accounts = Some(vec![account("ann", &["k1"]), account("ben", &["k1"])]);
+    both.customers = Some(vec![account("ann", &["k1"]), account("ben", &["k1"])]);
     assert!(refused(both));
 }
 
 #[test]
 fn known_keys() {
     let table = Table::new(parts(vec![rule("one", "/")])).expect("valid");
-    let name = |key| table.account(key).map(|account| account.name.to_string());
+    let name = |key| table.customer(key).map(|account| account.name.to_string());
     assert_eq!(name("k2").as_deref(), Some("ann"));
     assert_eq!(name("k3").as_deref(), Some("ben"));
     assert_eq!(name("k4"), None);
     let open = Parts {
-        accounts: None,
+        customers: None,
         ..parts(vec![rule("one", "/")])
     };
     assert!(!Table::new(open).expect("valid").needs_key());
@@ -139,7 +139,7 @@
         target("pay", 0.0),
         target("pay", 10.0),
     ];
-    let drawn = |lot| split.target(lot).map(ToString::to_string);
+    let drawn = |lot| split.pick_target(lot).map(ToString::to_string);
     assert_eq!(drawn(0.0).as_deref(), Some("chat"));
     assert_eq!(drawn(0.89).as_deref(), Some("chat"));
     assert_eq!(drawn(0.95).as_deref(), Some("pay"));
--- a/crates/core/tests/server_pool.rs
+++ b/crates/core/tests/server_pool.rs
@@ -31,8 +31,8 @@
 
 fn pool(names: &[&str]) -> Pool {
     let tuning = Tuning {
-        over: 0,
-        waiting: 4,
+        extra_in_flight: 0,
+        max_queued: 4,
         ..Tuning::default()
     };
     let mut pool = Pool::new(tuning, 7);
--- a/crates/core/tests/support/gateways.rs
+++ b/crates/core/tests/support/gateways.rs
@@ -175,7 +175,7 @@
             name: ann(),
             keys: Vec::new(),
             rank: None,
-            allowance: self.allowance,
+            quota: self.allowance,
             homes: Homes::default(),
         };
         let table = Table::new(curlewlift_core::route::Parts {
@@ -183,7 +183,7 @@
             rules: Vec::new(),
             services: [].into(),
             limits: Limits::default(),
-            accounts: Some(vec![account]),
+            customers: Some(vec![account]),
         });
         if let Some(hub) = &mut self.hub {
             hub.adopt(&table.expect("a table"), self.now);
--- a/crates/core/tests/thousand_gateways.rs
+++ b/crates/core/tests/thousand_gateways.rs
@@ -375,7 +375,7 @@
 
 const ALLOWED: RetryAllowance = RetryAllowance {
     ratio: 0.2,
-    floor: 1_040.0,
+    min_retries: 1_040.0,
     window: Duration::from_secs(10),
 };
 
@@ -412,13 +412,13 @@
             };
             for _ in 0..5 {
                 let place = random.random_range(0..GATEWAYS);
-                budgets[place].first(now);
+                budgets[place].count_request(now);
                 firsts.push_back(now);
                 if !random.random_bool(fails) {
                     continue;
                 }
                 wanted += 1;
-                let is_sent = budgets[place].take(1.0 / 1_119.0, now) || {
+                let is_sent = budgets[place].try_acquire(1.0 / 1_119.0, now) || {
                     let want = Want {
                         retry: true,
                         ..messages::want(&host(place))
@@ -438,7 +438,7 @@
                 further.pop_front();
             }
             let count = |all: &VecDeque<_>| f64::from(u32::try_from(all.len()).expect("few"));
-            let most = ALLOWED.floor + ALLOWED.ratio * count(&firsts);
+            let most = ALLOWED.min_retries + ALLOWED.ratio * count(&firsts);
             assert!(count(&further) <= most, "seed {seed}");
             if step == 1_999 {
                 assert!(
--- a/crates/curlewlift/src/control/evacuations.rs
+++ b/crates/curlewlift/src/control/evacuations.rs
@@ -36,7 +36,7 @@
     let wait = {
         let mut state = state.borrow_mut();
         // Leading surely and settled, what is applied here is what is committed.
-        if state.machine.get_evacuated().reflects(&order) {
+        if state.machine.get_evacuated().is_applied(&order) {
             return Ok(());
         }
         state.outlives_losses()?;
--- a/crates/curlewlift/src/gateway/admit.rs
+++ b/crates/curlewlift/src/gateway/admit.rs
@@ -103,7 +103,7 @@
             .with("identity", self.identity.to_string())
             .with("prompt", self.prompt().0)
             .with("objective_ms", millis(self.rule.objective))
-            .with("pause_ms", self.rule.pause.map(millis))
+            .with("pause_ms", self.rule.max_gap.map(millis))
             .after(self.deadline.age())
     }
 
@@ -112,14 +112,14 @@
         WaitLimit {
             objective: self.rule.objective,
             waited: self.deadline.age(),
-            left: self.deadline.left(),
-            lead: node.lead(&self.rule.name),
+            remaining: self.deadline.left(),
+            first_byte: node.lead(&self.rule.name),
         }
     }
 
     /// After how long its caller is to come back if it is turned away now.
     pub(super) fn come_back(&self, node: &Node) -> Duration {
-        self.patience(node).come_back()
+        self.patience(node).retry_after()
     }
 }
 
@@ -165,7 +165,7 @@
     rule: &Rule,
     account: Option<&CustomerPolicy>,
 ) -> Result<Option<Arc<[Arc<str>]>>, Refused> {
-    let homes = account.map(|account| rule.homes.and(&account.homes));
+    let homes = account.map(|account| rule.homes.intersection(&account.homes));
     let halls = node.regions.halls(homes.as_ref().unwrap_or(&rule.homes));
     if halls.as_ref().is_some_and(|halls| halls.is_empty()) {
         let why = "the regions that the rule and the customer allow have no data hall in common";
@@ -176,7 +176,7 @@
 
 /// What a request counts towards its customer's allowance; none where that has no limit.
 fn charge(account: &CustomerPolicy, cost: u64) -> Option<Charge> {
-    account.allowance.is_limited().then(|| Charge {
+    account.quota.is_limited().then(|| Charge {
         customer: account.name.clone(),
         cost,
     })
@@ -187,7 +187,7 @@
     let tokens = call
         .tokens
         .map(|(prompt, made)| prompt.saturating_add(made));
-    account.allowance.cost(tokens)
+    account.quota.cost(tokens)
 }
 
 /// The table in force; a gateway that has only begun waits a little for its first one.
@@ -238,7 +238,7 @@
     rule: &Rule,
     call: &Call,
 ) -> Result<Option<Arc<CustomerPolicy>>, Refused> {
-    let known = call.key.as_deref().and_then(|key| table.account(key));
+    let known = call.key.as_deref().and_then(|key| table.customer(key));
     if !table.needs_key() || rule.public {
         return Ok(known.cloned());
     }
--- a/crates/curlewlift/src/gateway/node.rs
+++ b/crates/curlewlift/src/gateway/node.rs
@@ -258,12 +258,12 @@
     /// Whether a request is let in by the word of this gateway alone; if so it is counted.
     pub(super) fn draw(&self, charge: &Charge) -> bool {
         let table = self.table();
-        let mut accounts = table.iter().flat_map(|table| table.accounts());
+        let mut accounts = table.iter().flat_map(|table| table.customers());
         let Some(account) = accounts.find(|account| account.name == charge.customer) else {
             return false;
         };
         let mut reserve = self.reserve.borrow_mut();
-        reserve.draw(charge, &account.allowance, self.now())
+        reserve.draw(charge, &account.quota, self.now())
     }
 
     /// The number of the table in force here; 0 before the first one has come.
@@ -282,7 +282,9 @@
     /// How long answers to requests of a rule take to begin, once they are sent.
     pub(super) fn lead(&self, rule: &str) -> Duration {
         let leads = self.leads.borrow();
-        leads.get(rule).map_or(Duration::ZERO, FirstByteTime::get)
+        leads
+            .get(rule)
+            .map_or(Duration::ZERO, FirstByteTime::estimate)
     }
 
     /// Takes note that an answer to a request of `rule` began `first` after it was sent.
--- a/crates/curlewlift/src/gateway/request.rs
+++ b/crates/curlewlift/src/gateway/request.rs
@@ -36,7 +36,7 @@
         Err(refusal) => return refused(line, &refusal),
     };
     let lot = rand::rng().random();
-    let Some(service) = admitted.rule.target(lot).cloned() else {
+    let Some(service) = admitted.rule.pick_target(lot).cloned() else {
         return refused(
             line,
             &Refused::new(Code::NoServer, "the rule has no service"),
--- a/crates/curlewlift/src/gateway/run.rs
+++ b/crates/curlewlift/src/gateway/run.rs
@@ -96,7 +96,7 @@
     pub(super) async fn drive(mut self) -> Answer {
         let now = self.node.now();
         self.node
-            .with_service(&self.service, |service| service.budget.first(now));
+            .with_service(&self.service, |service| service.budget.count_request(now));
         loop {
             if self.admitted.deadline.is_past() {
                 let refusal = self.past();
@@ -126,9 +126,9 @@
         }
         let now = self.node.now();
         let part = self.node.part.borrow().get(now);
-        let taken = self
-            .node
-            .with_service(&self.service, |service| service.budget.take(part, now));
+        let taken = self.node.with_service(&self.service, |service| {
+            service.budget.try_acquire(part, now)
+        });
         taken.unwrap_or(false)
     }
 
@@ -152,12 +152,12 @@
         let admitted = &self.admitted;
         let now = self.node.now();
         let patience = admitted.patience(&self.node);
-        let held = patience.held();
+        let held = patience.max_wait();
         // Who has lost its server goes before all others of its rank: it has cost something already.
         let in_time = if self.sendings() > 0 {
             held
         } else {
-            patience.in_time()
+            patience.send_within()
         };
         let ask = pool::Request {
             rule: None,
--- a/crates/curlewlift/src/platform/document.rs
+++ b/crates/curlewlift/src/platform/document.rs
@@ -124,7 +124,7 @@
         limits: document
             .limits
             .map_or_else(|| Ok(Limits::default()), limits)?,
-        accounts: accounts.transpose()?,
+        customers: accounts.transpose()?,
     })
 }
 
@@ -133,12 +133,12 @@
     let backends = backends(&route.name, route.backends, route.service)?;
     let timeout = millis(route.timeout_ms)?;
     let objective = route.target_latency_ms.map_or(Ok(timeout), millis)?;
-    let pause = route.gap_target_ms.map(millis).transpose()?;
+    let max_gap = route.gap_target_ms.map(millis).transpose()?;
     Ok(Rule {
         kind,
         timeout,
         objective,
-        pause,
+        max_gap,
         targets: backends.iter().map(target).collect::<Result<_, _>>()?,
         name: route.name.into(),
         host: route.host.to_ascii_lowercase().into(),
@@ -146,7 +146,7 @@
         rank: route.priority,
         attempts: route.max_attempts.unwrap_or(1),
         public: route.public,
-        homes: Homes::of(route.allowed_regions.unwrap_or_default()),
+        homes: Homes::new(route.allowed_regions.unwrap_or_default()),
     })
 }
 
@@ -194,8 +194,8 @@
     let cold_rate = cold_rate.map(|rate| name(&rate.to_string())).transpose()?;
     let provider = ServicePolicy {
         cold_rate,
-        connections: service.max_conns.unwrap_or(u32::MAX),
-        health: service.health_path.unwrap_or_default().into(),
+        max_connections: service.max_conns.unwrap_or(u32::MAX),
+        health_path: service.health_path.unwrap_or_default().into(),
     };
     Ok((name(&service.name)?, provider))
 }
@@ -229,12 +229,12 @@
         name: name(&tenant.name)?,
         keys: tenant.api_keys,
         rank: tenant.priority,
-        allowance: Quota {
+        quota: Quota {
             unit,
             rate: tenant.rate_per_s,
             burst: tenant.burst,
         },
-        homes: Homes::of(tenant.allowed_regions.unwrap_or_default()),
+        homes: Homes::new(tenant.allowed_regions.unwrap_or_default()),
     })
 }
 
--- a/crates/curlewlift/src/platform/settings.rs
+++ b/crates/curlewlift/src/platform/settings.rs
@@ -259,7 +259,7 @@
     pub(super) fn retries(&self) -> RetryAllowance {
         RetryAllowance {
             ratio: self.bounds.retry_ratio,
-            floor: self.bounds.retry_floor,
+            min_retries: self.bounds.retry_floor,
             window: Duration::from_secs_f64(self.bounds.retry_seconds),
         }
     }
