--- a/crates/core/src/pool/first_byte_time.rs
+++ b/crates/core/src/pool/first_byte_time.rs
@@ -1,17 +1,17 @@
-//! How long answers lately took to begin.
+//! Estimates the time to the first byte of an answer.
 
 use std::time::Duration;
 
-/// The weight of a new measurement in the mean (RFC 6298): it follows a change within some eight answers.
-const MEAN: f64 = 0.125;
+/// The weight of a new measurement in the mean (RFC 6298). The mean follows a change within some eight answers.
+const MEAN_WEIGHT: f64 = 0.125;
 
 /// The weight of a new measurement in the deviation (RFC 6298).
-const DEVIATION: f64 = 0.25;
+const DEVIATION_WEIGHT: f64 = 0.25;
 
-/// How many deviations are added to the mean: most answers have begun by then.
-const DEVIATIONS: f64 = 1.0;
+/// How many deviations the estimate adds to the mean; most answers have begun by then.
+const ADDED_DEVIATIONS: f64 = 1.0;
 
-/// The time from the sending of a request to the beginning of its answer, as it lately was.
+/// A moving estimate of the time from sending a request to the first byte of its answer.
 ///
 /// # Examples
 ///
@@ -27,30 +27,30 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FirstByteTime {
-    /// The mean in seconds, and how far measurements lie from it.
-    known: Option<(f64, f64)>,
+    /// The mean and the mean deviation, in seconds.
+    estimate: Option<(f64, f64)>,
 }
 
 impl FirstByteTime {
-    /// Takes in a measurement.
+    /// Adds a measurement.
     pub fn add(&mut self, time: Duration) {
         let time = time.as_secs_f64();
-        self.known = Some(match self.known {
+        self.estimate = Some(match self.estimate {
             Some((mean, deviation)) => {
-                let off = time - mean;
-                let deviation = deviation + (off.abs() - deviation) * DEVIATION;
-                (mean + off * MEAN, deviation)
+                let difference = time - mean;
+                let deviation = deviation + (difference.abs() - deviation) * DEVIATION_WEIGHT;
+                (mean + difference * MEAN_WEIGHT, deviation)
             }
             None => (time, time / 2.0),
         });
     }
 
-    /// Within what time most answers begin; nothing before the first measurement.
+    /// The time within which most answers begin; zero before the first measurement.
     #[must_use]
     pub fn estimate(&self) -> Duration {
-        let known = self
-            .known
-            .map(|(mean, deviation)| mean + deviation * DEVIATIONS);
-        known.map_or(Duration::ZERO, Duration::from_secs_f64)
+        let estimate = self
+            .estimate
+            .map(|(mean, deviation)| mean + deviation * ADDED_DEVIATIONS);
+        estimate.map_or(Duration::ZERO, Duration::from_secs_f64)
     }
 }
--- a/crates/core/src/pool/retry_budget.rs
+++ b/crates/core/src/pool/retry_budget.rs
@@ -1,107 +1,107 @@
-//! How many sendings past the first a service may get, over all gateways together.
+//! Limits how many retries a service may get from all gateways together.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::clock::Instant;
 
-/// The part of the floor that is shared out: the hub grants some, and a gateway that starts anew has forgotten what it
-/// spent before.
-const SHARED_OUT: f64 = 0.5;
+/// The share of the minimum number of retries that gateways divide among themselves. The hub grants some of the rest,
+/// and a gateway that restarts no longer knows what it used before.
+const GATEWAY_SHARE: f64 = 0.5;
 
-/// How many steps a window is counted in.
-const STEPS: u32 = 10;
+/// How many steps the window is divided into for counting.
+const STEPS_PER_WINDOW: u32 = 10;
 
-/// What a deployment allows.
+/// How many retries a deployment allows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryAllowance {
-    /// Further sendings for each first one.
+    /// Retries allowed for each first attempt.
     pub ratio: f64,
-    /// Further sendings in a window at all times, over all gateways.
+    /// Retries that are always allowed in a window, over all gateways.
     pub min_retries: f64,
-    /// The window's length.
+    /// The length of the window.
     pub window: Duration,
 }
 
-/// One step of the window.
+/// Counts of one step of the window.
 #[derive(Clone, Copy, Debug)]
 struct Step {
     began: Instant,
-    firsts: u32,
-    further: u32,
-    /// When the last further sending was counted, else when it began.
-    spent: Instant,
+    first_attempts: u32,
+    retries: u32,
+    /// When the last retry was counted, or when the step began if there was none.
+    last_retry: Instant,
 }
 
-/// A gateway's part of a service's budget: so much for each request that it took itself, and its
-/// part of the floor. No word with others is needed.
+/// A gateway's part of a service's retry budget: a ratio of the requests that it took itself, and its share of the
+/// minimum number of retries. It needs no messages between gateways.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    allowed: RetryAllowance,
+    allowance: RetryAllowance,
     steps: VecDeque<Step>,
 }
 
 impl RetryBudget {
-    /// A budget of which nothing is spent.
+    /// An unused budget.
     #[must_use]
-    pub fn new(allowed: RetryAllowance) -> Self {
+    pub fn new(allowance: RetryAllowance) -> Self {
         Self {
-            allowed,
+            allowance,
             steps: VecDeque::new(),
         }
     }
 
-    /// Counts a request's first sending.
+    /// Counts the first attempt of a request.
     pub fn count_request(&mut self, now: Instant) {
-        self.step(now).firsts += 1;
+        self.step(now).first_attempts += 1;
     }
 
-    /// Whether a further sending is allowed now to a gateway that holds `part` (0 to 1) of the floor; if
-    /// so it is counted.
-    pub fn try_acquire(&mut self, part: f64, now: Instant) -> bool {
-        if !self.allows(part, now) {
+    /// Whether a gateway that holds `share` (0 to 1) of the minimum number of retries may retry now; if so, the retry
+    /// is counted.
+    pub fn try_acquire(&mut self, share: f64, now: Instant) -> bool {
+        if !self.allows(share, now) {
             return false;
         }
         let step = self.step(now);
-        step.further += 1;
-        step.spent = now;
+        step.retries += 1;
+        step.last_retry = now;
         true
     }
 
-    /// Whether a further sending is allowed now to a gateway that holds `part` (0 to 1) of the floor.
-    pub fn allows(&mut self, part: f64, now: Instant) -> bool {
+    /// Whether a gateway that holds `share` (0 to 1) of the minimum number of retries may retry now.
+    pub fn allows(&mut self, share: f64, now: Instant) -> bool {
         self.step(now);
-        let window = self.allowed.window;
+        let window = self.allowance.window;
         let steps = self.steps.iter();
-        let firsts = steps.filter(|step| now.since(step.began) < window);
-        let firsts: u32 = firsts.map(|step| step.firsts).sum();
-        let further: u32 = self.steps.iter().map(|step| step.further).sum();
-        let floor = self.allowed.min_retries * SHARED_OUT * part;
-        let most = floor + self.allowed.ratio * f64::from(firsts);
-        f64::from(further) + 1.0 <= most
+        let recent = steps.filter(|step| now.since(step.began) < window);
+        let first_attempts: u32 = recent.map(|step| step.first_attempts).sum();
+        let retries: u32 = self.steps.iter().map(|step| step.retries).sum();
+        let min_retries = self.allowance.min_retries * GATEWAY_SHARE * share;
+        let max_retries = min_retries + self.allowance.ratio * f64::from(first_attempts);
+        f64::from(retries) + 1.0 <= max_retries
     }
 
-    /// The step that `now` falls in; steps that left the window are dropped.
+    /// The step that `now` falls in. Steps that left the window are dropped.
     ///
-    /// One leaves with its last further sending, not with its beginning: what was sent at its end would be given out
-    /// once more within the window.
+    /// A step leaves the window with its last retry, not with its beginning. Otherwise retries made at its end would
+    /// be granted a second time within the same window.
     fn step(&mut self, now: Instant) -> &mut Step {
-        let length = self.allowed.window / STEPS;
+        let length = self.allowance.window / STEPS_PER_WINDOW;
         while let Some(oldest) = self.steps.front()
-            && now.since(oldest.spent) >= self.allowed.window
+            && now.since(oldest.last_retry) >= self.allowance.window
         {
             self.steps.pop_front();
         }
-        let stale = self
+        let needs_new_step = self
             .steps
             .back()
             .is_none_or(|newest| now.since(newest.began) >= length);
-        if stale {
+        if needs_new_step {
             self.steps.push_back(Step {
                 began: now,
-                firsts: 0,
-                further: 0,
-                spent: now,
+                first_attempts: 0,
+                retries: 0,
+                last_retry: now,
             });
         }
         let last = self.steps.len() - 1;
--- a/crates/core/src/pool/server_latency.rs
+++ b/crates/core/src/pool/server_latency.rs
@@ -1,21 +1,21 @@
-//! How fast a backend server has lately been.
+//! Measures the recent latency of a backend server.
 
 use std::time::Duration;
 
-/// The weight of a new measurement against what was known.
+/// The weight of a new measurement in the moving mean.
 ///
-/// About eight answers make up most of the mean: an engine that slows five times shows within
-/// seconds, one odd answer does not.
+/// About eight answers make up most of the mean: an engine that becomes five times slower shows
+/// within seconds, a single outlier does not.
 const WEIGHT: f64 = 0.2;
 
-/// A mean that forgets.
+/// An exponentially weighted moving mean of a server's latency.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerLatency {
     mean: Option<f64>,
 }
 
 impl ServerLatency {
-    /// Takes in a measurement.
+    /// Adds a measurement.
     pub fn add(&mut self, time: Duration) {
         let time = time.as_secs_f64();
         self.mean = Some(match self.mean {
@@ -24,7 +24,7 @@
         });
     }
 
-    /// The mean in seconds; none before the first measurement.
+    /// The mean in seconds; `None` before the first measurement.
     #[must_use]
     pub fn mean(self) -> Option<f64> {
         self.mean
--- a/crates/core/src/pool/wait_limit.rs
+++ b/crates/core/src/pool/wait_limit.rs
@@ -1,25 +1,24 @@
-//! How long a request is held, and when its caller is to come back.
+//! Limits how long a request is queued, and computes when a rejected caller should retry.
 
 use std::time::Duration;
 
-/// How long a request is held at the most: callers leave a stream after two seconds without an event,
-/// and what is sent by the half of them is answered before.
-const HELD: Duration = Duration::from_secs(1);
+/// The longest time that a request is queued. Callers abandon a stream after two seconds without an event, and what
+/// is sent by half of that time is answered before.
+const MAX_WAIT: Duration = Duration::from_secs(1);
 
-/// The part of what is left of its time that a request is held at the most.
-const LEFT: f64 = 0.5;
+/// The largest share of its remaining time that a request is queued.
+const MAX_WAIT_SHARE: f64 = 0.5;
 
-/// The part of a request's whole time after which its caller is to come back: a crowd has thinned
-/// out by then.
-const COME_BACK: f64 = 0.25;
+/// The share of a request's whole time after which a rejected caller should retry; a load spike has eased by then.
+const RETRY_AFTER_SHARE: f64 = 0.25;
 
-/// A caller waits for no more than what is left of its time divided by this, whatever it is told.
-const HEEDED: u32 = 3;
+/// Callers wait for no longer than their remaining time divided by this, whatever retry time they are given.
+const MAX_RETRY_AFTER_DIVISOR: u32 = 3;
 
-/// The time after which a caller is to come back at the earliest: some requests' time at an engine.
-const SOONEST: Duration = Duration::from_millis(300);
+/// The shortest time after which a caller should retry: some requests' time at an engine.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// What is known of a request's time.
+/// What limits a request's time in the queue.
 ///
 /// # Examples
 ///
@@ -37,36 +36,36 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaitLimit {
-    /// The time within which an answer is wanted.
+    /// The latency objective: the time within which its answer should begin.
     pub objective: Duration,
     /// The time since it arrived.
     pub waited: Duration,
     /// The time until its deadline.
     pub remaining: Duration,
-    /// How long an answer takes to begin once it is sent.
+    /// The expected time from sending it to the first byte of its answer.
     pub first_byte: Duration,
 }
 
 impl WaitLimit {
-    /// For how much longer an answer can still begin in time.
+    /// The time within which it must be sent for its answer to begin within the objective.
     #[must_use]
     pub fn send_within(&self) -> Duration {
         self.objective.saturating_sub(self.waited + self.first_byte)
     }
 
-    /// How much longer a request is held.
+    /// How much longer it is queued at most.
     #[must_use]
     pub fn max_wait(&self) -> Duration {
-        HELD.min(self.remaining.mul_f64(LEFT))
+        MAX_WAIT.min(self.remaining.mul_f64(MAX_WAIT_SHARE))
     }
 
-    /// After how long a caller that is turned away is to come back.
+    /// After how long the caller should retry if it is rejected.
     #[must_use]
     pub fn retry_after(&self) -> Duration {
         let whole = self.waited + self.remaining;
         whole
-            .mul_f64(COME_BACK)
-            .min(self.remaining / HEEDED)
-            .max(SOONEST)
+            .mul_f64(RETRY_AFTER_SHARE)
+            .min(self.remaining / MAX_RETRY_AFTER_DIVISOR)
+            .max(MIN_RETRY_AFTER)
     }
 }
