--- a/crates/core/src/pool/notices.rs
+++ b/crates/core/src/pool/notices.rs
@@ -1,9 +1,10 @@
-//! What backend servers say of themselves in their answers to this host: that they want rest, or leave.
+//! What backend servers announce about themselves in their answers to this host: that they want no requests for a
+//! time, or that they are draining.
 //!
-//! Load pattern: servers at their limit turn requests away with a time for which they want none, several at once
-//! and each host anew, while lists are taken up, hubs change and servers drop out of a pool between two requests.
-//! So it stands by incarnation and apart from the list's entries: what was kept in those was gone with the next
-//! copy, and a server that had said it leaves got requests again 3 s later.
+//! Load pattern: servers at their limit reject requests and ask for a backoff, several at once and each host
+//! separately, while server lists are replaced, hubs change, and servers drop out of a pool between two requests.
+//! Notices are therefore stored by incarnation, apart from the entries of the server list. Stored in those entries,
+//! they were lost with the next list, and a server that had announced that it drains got requests again 3 s later.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,56 +13,57 @@
 use crate::clock::Instant;
 use crate::gateway::Server;
 
-/// The longest time that a server is left alone at one word of its own: by then an operator has seen to one that
-/// means it, and one that does not is missed for no longer.
-const LONGEST: Duration = Duration::from_mins(10);
+/// The longest backoff that a single notice may cause. By then an operator has attended to a server that is really
+/// unavailable, and a server that asked for too long by mistake is missing for no longer.
+const MAX_BACKOFF: Duration = Duration::from_mins(10);
 
-/// How late a list may name another life of a server: what came meanwhile under the name of the former one may
-/// have come from it. The lag of the platform's list, and four fetches of a host that hears no hub.
-const NAMED_LATE: Duration = Duration::from_secs(5);
+/// How long the server list may take to name a new incarnation of a server: a notice that arrived in this time under
+/// the name of the previous incarnation may have come from the new one. It covers the lag of the platform's list and
+/// four fetches of a host that cannot reach the hub.
+const MAX_LIST_LAG: Duration = Duration::from_secs(5);
 
-/// The most servers that are remembered, some 100 bytes each: half as many again as leave in a day of the largest
-/// deployment.
-const MOST: usize = 1_024;
+/// How many servers are remembered at most, some 100 bytes each: one and a half times as many as drain in a day of
+/// the largest deployment.
+const MAX_SERVERS: usize = 1_024;
 
-/// What a server says of itself.
+/// What a server announces about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// It wants no requests from this host for so long.
+    /// It wants no requests from this host for the given time.
     Backoff(Duration),
-    /// It is to end.
+    /// It is going to stop.
     Draining,
-    /// It wants rest, for a time that cannot be read: nothing is made of it.
+    /// It asked for a backoff whose time cannot be parsed; it has no effect.
     Unreadable(String),
 }
 
-/// What one incarnation has said.
+/// What one incarnation has announced.
 #[derive(Clone, Debug)]
-struct Said {
-    /// What the server calls itself in any of its lives.
+struct Announced {
+    /// The server's name, which all its incarnations share.
     name: Arc<str>,
     /// Until when it wants no requests.
-    until: Instant,
-    leaves: bool,
-    /// Whether it gave a time that cannot be read.
-    unreadable: bool,
-    /// When it last said something.
-    at: Instant,
+    backoff_until: Instant,
+    is_draining: bool,
+    /// Whether it gave a time that cannot be parsed.
+    is_unreadable: bool,
+    /// When its last notice arrived.
+    updated: Instant,
 }
 
-impl Said {
-    fn new(name: &Arc<str>, at: Instant) -> Self {
+impl Announced {
+    fn new(name: &Arc<str>, updated: Instant) -> Self {
         Self {
             name: Arc::clone(name),
-            until: at,
-            leaves: false,
-            unreadable: false,
-            at,
+            backoff_until: updated,
+            is_draining: false,
+            is_unreadable: false,
+            updated,
         }
     }
 }
 
-/// What backend servers have said of themselves to this host.
+/// What backend servers have announced about themselves to this host.
 ///
 /// # Examples
 ///
@@ -72,19 +74,19 @@
 /// use curlewlift_core::pool::Notices;
 /// let now = Instant::default();
 /// let mut notices = Notices::default();
-/// let rest = Notice::Backoff(Duration::from_secs(3));
-/// notices.record(&"i-1".into(), &"i-1".into(), rest, now);
+/// let backoff = Notice::Backoff(Duration::from_secs(3));
+/// notices.record(&"i-1".into(), &"i-1".into(), backoff, now);
 /// assert!(notices.excludes("i-1", now));
 /// assert!(!notices.excludes("i-1", now + Duration::from_secs(3)));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Notices {
-    said: HashMap<Arc<str>, Said>,
+    by_incarnation: HashMap<Arc<str>, Announced>,
 }
 
 impl Notices {
-    /// Takes note of what an incarnation of the server `name` says; gives what of it is new: of a rest, by how much
-    /// longer than before the server is left alone.
+    /// Records a notice of an incarnation of the server `name`. Returns what is new about it: of a backoff, by how
+    /// much it is extended.
     pub fn record(
         &mut self,
         incarnation: &Arc<str>,
@@ -92,100 +94,118 @@
         notice: Notice,
         now: Instant,
     ) -> Option<Notice> {
-        if self.said.len() >= MOST && !self.said.contains_key(incarnation) {
+        if self.by_incarnation.len() >= MAX_SERVERS
+            && !self.by_incarnation.contains_key(incarnation)
+        {
             self.make_room(now);
         }
-        let said = self.said.entry(Arc::clone(incarnation));
-        let said = said.or_insert_with(|| Said::new(name, now));
-        said.at = now;
+        let announced = self.by_incarnation.entry(Arc::clone(incarnation));
+        let announced = announced.or_insert_with(|| Announced::new(name, now));
+        announced.updated = now;
         match notice {
             Notice::Backoff(length) => {
                 // A shorter time that is asked for later does not end the longer one.
-                let former = said.until.max(now);
-                said.until = former.max(now + length.min(LONGEST));
-                let longer = said.until.since(former);
-                (!longer.is_zero()).then_some(Notice::Backoff(longer))
+                let previous = announced.backoff_until.max(now);
+                announced.backoff_until = previous.max(now + length.min(MAX_BACKOFF));
+                let extension = announced.backoff_until.since(previous);
+                (!extension.is_zero()).then_some(Notice::Backoff(extension))
             }
             Notice::Draining => {
-                let was_known = std::mem::replace(&mut said.leaves, true);
+                let was_known = std::mem::replace(&mut announced.is_draining, true);
                 (!was_known).then_some(Notice::Draining)
             }
             Notice::Unreadable(text) => {
-                let was_known = std::mem::replace(&mut said.unreadable, true);
+                let was_known = std::mem::replace(&mut announced.is_unreadable, true);
                 (!was_known).then_some(Notice::Unreadable(text))
             }
         }
     }
 
-    /// Meets a server on a list: what was said lately under the name of another life of it may be its own word, and
-    /// holds for it.
+    /// Applies recent notices of other incarnations of a listed server to it, as they may have come from this one.
     ///
-    /// Whether it leaves its next answer tells: another life's word must not take it away for good.
+    /// A notice that an incarnation drains only causes a short backoff: the next answer shows whether it was this
+    /// one, and another incarnation's notice must not exclude it for good.
     pub fn inherit(&mut self, server: &Server, now: Instant) {
-        let others = self.said.iter();
-        let others = others.filter(|(incarnation, said)| {
-            let is_other = **incarnation != server.incarnation && said.name == server.name;
-            is_other && now.since(said.at) < NAMED_LATE
+        let others = self.by_incarnation.iter();
+        let others = others.filter(|(incarnation, announced)| {
+            let is_other = **incarnation != server.incarnation && announced.name == server.name;
+            is_other && now.since(announced.updated) < MAX_LIST_LAG
         });
-        let until = others.map(|(_, said)| {
-            if said.leaves {
-                said.until.max(said.at + NAMED_LATE)
+        let until = others.map(|(_, announced)| {
+            if announced.is_draining {
+                announced
+                    .backoff_until
+                    .max(announced.updated + MAX_LIST_LAG)
             } else {
-                said.until
+                announced.backoff_until
             }
         });
         let Some(until) = until.max().filter(|until| now < *until) else {
             return;
         };
-        let said = self.said.entry(Arc::clone(&server.incarnation));
-        // Not a word of its own, which would hold for other lives in turn.
-        let said = said.or_insert_with(|| Said::new(&server.name, Instant::default()));
-        said.until = said.until.max(until);
+        let announced = self.by_incarnation.entry(Arc::clone(&server.incarnation));
+        // The time of the last notice stays in the past, so that other incarnations do not inherit it in turn.
+        let announced =
+            announced.or_insert_with(|| Announced::new(&server.name, Instant::default()));
+        announced.backoff_until = announced.backoff_until.max(until);
     }
 
-    /// Whether an incarnation is to get no request at `now`, whoever chose it.
+    /// Whether an incarnation must get no request at `now`, whoever chose it.
     #[must_use]
     pub fn excludes(&self, incarnation: &str, now: Instant) -> bool {
         self.active(incarnation, now).is_some()
     }
 
-    /// Whether an incarnation has said that it leaves.
+    /// Whether an incarnation has announced that it drains.
     #[must_use]
     pub fn is_draining(&self, incarnation: &str) -> bool {
-        self.said.get(incarnation).is_some_and(|said| said.leaves)
+        self.by_incarnation
+            .get(incarnation)
+            .is_some_and(|announced| announced.is_draining)
     }
 
     /// For how much longer an incarnation wants no requests.
     #[must_use]
     pub fn backoff(&self, incarnation: &str, now: Instant) -> Duration {
-        let said = self.said.get(incarnation);
-        said.map_or(Duration::ZERO, |said| said.until.since(now))
+        let announced = self.by_incarnation.get(incarnation);
+        announced.map_or(Duration::ZERO, |announced| {
+            announced.backoff_until.since(now)
+        })
     }
 
-    /// What an incarnation has said that holds at `now`.
+    /// The notice of an incarnation that is in effect at `now`.
     #[must_use]
     pub fn active(&self, incarnation: &str, now: Instant) -> Option<Notice> {
         if self.is_draining(incarnation) {
             return Some(Notice::Draining);
         }
-        let rest = self.backoff(incarnation, now);
-        (!rest.is_zero()).then_some(Notice::Backoff(rest))
+        let backoff = self.backoff(incarnation, now);
+        (!backoff.is_zero()).then_some(Notice::Backoff(backoff))
     }
 
-    /// Those that want no requests at `now`, and for how much longer.
+    /// The incarnations that back off at `now`, and for how much longer.
     pub fn backing_off(&self, now: Instant) -> impl Iterator<Item = (Arc<str>, Duration)> {
-        let resting = self.said.iter().filter(move |(_, said)| now < said.until);
-        resting.map(move |(incarnation, said)| (Arc::clone(incarnation), said.until.since(now)))
+        let backing_off = self
+            .by_incarnation
+            .iter()
+            .filter(move |(_, announced)| now < announced.backoff_until);
+        backing_off.map(move |(incarnation, announced)| {
+            (Arc::clone(incarnation), announced.backoff_until.since(now))
+        })
     }
 
-    /// Forgets all that holds no more, else what is oldest.
+    /// Removes everything that is no longer in effect, or the oldest entry if that makes no room.
     fn make_room(&mut self, now: Instant) {
-        self.said.retain(|_, said| said.leaves || now < said.until);
-        let oldest = self.said.iter().min_by_key(|(_, said)| said.at);
-        if self.said.len() >= MOST
+        self.by_incarnation
+            .retain(|_, announced| announced.is_draining || now < announced.backoff_until);
+        let oldest = self
+            .by_incarnation
+            .iter()
+            .min_by_key(|(_, announced)| announced.updated);
+        if self.by_incarnation.len() >= MAX_SERVERS
             && let Some(oldest) = oldest.map(|(incarnation, _)| Arc::clone(incarnation))
         {
-            self.said.remove(&oldest);
+            self.by_incarnation.remove(&oldest);
         }
     }
 }
