--- a/crates/core/src/pool/server_health.rs
+++ b/crates/core/src/pool/server_health.rs
@@ -1,110 +1,113 @@
-//! Whether a backend server is worth a request now, by what came of the last ones.
+//! Decides from recent outcomes whether a backend server may be sent a request.
 
 use std::time::Duration;
 
 use crate::clock::Instant;
 
-/// The first time that a server is left alone after it broke off or was silent.
-const FIRST: Duration = Duration::from_millis(400);
+/// How long a server is avoided after its first break or timeout; the time doubles with each further one in a row.
+const MIN_BREAK_AVOIDANCE: Duration = Duration::from_millis(400);
 
-/// The longest time that it is left alone: then one request tries it again.
-const LONGEST: Duration = Duration::from_secs(5);
+/// The longest time that a broken server is avoided. Afterwards one request probes it.
+const MAX_BREAK_AVOIDANCE: Duration = Duration::from_secs(5);
 
-/// How long a server that has no room is left alone: some requests' time at a fast engine.
-const FULL: Duration = Duration::from_millis(120);
+/// How long a server without room is avoided: some requests' time at a fast engine.
+const FULL_AVOIDANCE: Duration = Duration::from_millis(120);
 
-/// How often in a row a server may have broken for it to be tried where no other is better.
-const LAST_RESORT: u32 = 2;
+/// How many breaks in a row a server may have to be still used if all servers are suspect.
+const MAX_BREAKS_AS_LAST_RESORT: u32 = 2;
 
-/// The weight of one answer in the part of failures.
-const WEIGHT: f64 = 0.15;
+/// The weight of one answer in the failure rate.
+const FAILURE_WEIGHT: f64 = 0.15;
 
-/// What is known of a server's failures.
+/// The failures of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerHealth {
-    breaks: u32,
-    until: Option<Instant>,
-    failures: f64,
-    /// Whether it asked some host for rest and has answered nobody since.
-    wary: bool,
+    breaks_in_a_row: u32,
+    avoid_until: Option<Instant>,
+    failure_rate: f64,
+    /// Whether it asked any host for a backoff and has not answered a request since.
+    is_recovering: bool,
 }
 
 impl ServerHealth {
-    /// An answer came.
+    /// Records an answer.
     pub fn record_answer(&mut self) {
-        self.breaks = 0;
-        self.wary = false;
-        self.until = None;
-        self.failures *= 1.0 - WEIGHT;
+        self.breaks_in_a_row = 0;
+        self.is_recovering = false;
+        self.avoid_until = None;
+        self.failure_rate *= 1.0 - FAILURE_WEIGHT;
     }
 
-    /// It answered that it failed.
+    /// Records an answer that reports an error.
     pub fn record_failure(&mut self) {
-        self.failures += (1.0 - self.failures) * WEIGHT;
+        self.failure_rate += (1.0 - self.failure_rate) * FAILURE_WEIGHT;
     }
 
-    /// It broke off, was silent or could not be reached.
+    /// Records that it closed the connection early, timed out, or could not be reached.
     pub fn record_break(&mut self, now: Instant) {
         self.record_failure();
-        self.breaks = self.breaks.saturating_add(1);
-        let doubled = FIRST * 2_u32.saturating_pow(self.breaks.min(8) - 1);
-        self.until = Some(now + doubled.min(LONGEST));
+        self.breaks_in_a_row = self.breaks_in_a_row.saturating_add(1);
+        let doubled = MIN_BREAK_AVOIDANCE * 2_u32.saturating_pow(self.breaks_in_a_row.min(8) - 1);
+        self.avoid_until = Some(now + doubled.min(MAX_BREAK_AVOIDANCE));
     }
 
-    /// It has no room.
+    /// Records that it has no room.
     pub fn record_full(&mut self, now: Instant) {
-        self.until = Some(now + FULL);
+        self.avoid_until = Some(now + FULL_AVOIDANCE);
     }
 
-    /// It asked a host for rest.
+    /// Records that it asked a host for a backoff.
     pub fn record_backoff(&mut self, now: Instant) {
         self.record_full(now);
-        self.wary = true;
+        self.is_recovering = true;
     }
 
-    /// It is given a request. One that asked for rest gets them one by one until it has answered one: given places as
-    /// room was, five to eight of those that waited met it within 0.1 s of the end of its rest and were turned away
-    /// once more; two or three do now (model of 12 gateways and nine servers, medians and most of 20 seeds).
+    /// Records that it is assigned a request. After a backoff it gets requests one by one until it has answered one.
+    /// When its room was filled at once, five to eight of the queued requests reached it within 0.1 s of the end of its
+    /// backoff and were rejected again; now it is two or three (model of 12 gateways and nine servers, medians and
+    /// maxima of 20 seeds).
     pub fn record_assignment(&mut self, now: Instant) {
-        if self.wary {
-            let next = now + FULL;
-            self.until = Some(self.until.map_or(next, |until| until.max(next)));
+        if self.is_recovering {
+            let next = now + FULL_AVOIDANCE;
+            self.avoid_until = Some(self.avoid_until.map_or(next, |until| until.max(next)));
         }
     }
 
-    /// Whether it is to be left alone at `now`.
+    /// Whether it should be avoided at `now`.
     #[must_use]
     pub fn is_suspect(&self, now: Instant) -> bool {
-        self.until.is_some_and(|until| now < until)
+        self.avoid_until.is_some_and(|until| now < until)
     }
 
-    /// For how much longer it is to be left alone.
+    /// For how much longer it should be avoided.
     #[must_use]
     pub fn avoid_for(&self, now: Instant) -> Duration {
-        self.until.map_or(Duration::ZERO, |until| until.since(now))
+        self.avoid_until
+            .map_or(Duration::ZERO, |until| until.since(now))
     }
 
-    /// Whether it may be sent something at `now`. Where all servers are suspect, a break or two
-    /// tell none from another, and trying is better than refusing.
+    /// Whether it may be sent a request at `now`. If all servers are suspect, one or two breaks do not distinguish them,
+    /// and trying one is better than rejecting the request.
     #[must_use]
     pub fn is_usable(&self, all_suspect: bool, now: Instant) -> bool {
-        !self.is_suspect(now) || (all_suspect && (1..=LAST_RESORT).contains(&self.breaks))
+        !self.is_suspect(now)
+            || (all_suspect && (1..=MAX_BREAKS_AS_LAST_RESORT).contains(&self.breaks_in_a_row))
     }
 
-    /// How little it is to be preferred among servers that are otherwise alike, 0 to 4.
+    /// A coarse grade of its failure rate, from 0 (best) to 4.
     pub(super) fn failure_grade(&self) -> u8 {
-        match self.failures {
-            failures if failures < 0.05 => 0,
-            failures if failures < 0.15 => 1,
-            failures if failures < 0.35 => 2,
-            failures if failures < 0.6 => 3,
+        match self.failure_rate {
+            rate if rate < 0.05 => 0,
+            rate if rate < 0.15 => 1,
+            rate if rate < 0.35 => 2,
+            rate if rate < 0.6 => 3,
             _ => 4,
         }
     }
 
-    /// The part of its last answers that failed, 0 to 1.
+    /// The decaying share of its answers that failed, 0 to 1.
     #[must_use]
     pub fn failure_rate(&self) -> f64 {
-        self.failures
+        self.failure_rate
     }
 }
