--- a/crates/core/src/pool/choose.rs
+++ b/crates/core/src/pool/choose.rs
@@ -1,4 +1,4 @@
-//! Which backend server of a pool a request is sent to.
+//! The choice of a backend server for a request.
 
 use rand::RngExt;
 
@@ -9,116 +9,119 @@
 use super::Request;
 use super::server_state::ServerState;
 
-/// The weight of the lot that is drawn for each server, in requests: servers that look nearly the
-/// same are told apart by it.
-const LOT: f64 = 0.3;
+/// The weight, in requests, of the random number that is added to each server's score. It spreads requests over
+/// servers with nearly equal scores.
+const TIE_BREAK_WEIGHT: f64 = 0.3;
 
-/// The least that a server's pace counts, against the mean of all: a few odd answers must not draw
-/// every request to it.
-const FASTEST: f64 = 0.2;
+/// The lower bound of a server's latency, relative to the mean: a few unusually fast answers must not draw every
+/// request to one server.
+const MIN_RELATIVE_LATENCY: f64 = 0.2;
 
-/// The most that it counts: a few odd answers must not keep all requests away.
-const SLOWEST: f64 = 5.0;
+/// The upper bound of a server's latency, relative to the mean: a few unusually slow answers must not keep all
+/// requests away from a server.
+const MAX_RELATIVE_LATENCY: f64 = 5.0;
 
-/// How many servers with room are looked at for a request, where there are more: the best of so many is of
-/// the best tenth of all in 998 cases of 1,000.
-const LOOKED_AT: usize = 64;
+/// How many servers with room are sampled for a request in a large pool. The best of 64 is among the best tenth of
+/// all in 998 of 1,000 cases.
+const SAMPLED_SERVERS: usize = 64;
 
-/// How many of the fastest with room are looked at besides: of thousands of servers that are asked a few times a day each,
-/// those that are known to be fast are seldom among some that are drawn.
-const FASTEST_LOOKED_AT: usize = 32;
+/// How many of the fastest servers with room are added to the sample. With thousands of servers that each get a few
+/// requests a day, a random sample seldom contains those that are known to be fast.
+const SAMPLED_FASTEST_SERVERS: usize = 32;
 
-/// Up to how many servers with room all are looked at.
-const ALL: usize = 128;
+/// The largest number of servers with room that are all compared, without sampling.
+const MAX_SERVERS_UNSAMPLED: usize = 128;
 
 impl Pool {
-    /// Whether any server has room at all.
+    /// Whether any server has room.
     pub(super) fn has_room(&self) -> bool {
         !self.servers.free().is_empty()
     }
 
-    /// The place of the best server with room; where all are left alone, of those that have
-    /// hardly broken. Of many some are looked at, and all where none of those will do.
-    pub(super) fn choose_server(&mut self, ask: &Request, now: Instant) -> Option<usize> {
-        let place = self.choose_trial_server(ask, now);
-        if place.is_some() {
-            return place;
+    /// The index of the best server with room. If all servers are suspect, those that broke only once or twice are
+    /// used. In a large pool a sample is compared first, and all servers if none of the sample is usable.
+    pub(super) fn choose_server(&mut self, request: &Request, now: Instant) -> Option<usize> {
+        let index = self.choose_trial_server(request, now);
+        if index.is_some() {
+            return index;
         }
-        let on_trial = self.trial.clone();
+        let trial = self.trial.clone();
         let may = |server: &Server| {
-            Self::is_unrestricted(on_trial.as_ref(), server) && ask.may_go_to(server, now)
+            Self::is_unrestricted(trial.as_ref(), server) && request.may_go_to(server, now)
         };
         let all_suspect = self.all_suspect(may, now);
-        let trusted =
-            |known: &ServerState| may(&known.server) && known.trust.is_usable(all_suspect, now);
+        let usable =
+            |state: &ServerState| may(&state.server) && state.health.is_usable(all_suspect, now);
         let free = self.servers.free();
-        if free.len() > ALL {
+        if free.len() > MAX_SERVERS_UNSAMPLED {
             let last = free.last().copied().unwrap_or_default();
             let from = self.random.random_range(0..=last);
-            let around = free.range(from..).chain(free.range(..from));
-            let some = around.take(LOOKED_AT).copied();
-            let some = some
-                .chain(self.servers.fastest().take(FASTEST_LOOKED_AT))
+            let rotated = free.range(from..).chain(free.range(..from));
+            let sample = rotated.take(SAMPLED_SERVERS).copied();
+            let sample = sample
+                .chain(self.servers.fastest().take(SAMPLED_FASTEST_SERVERS))
                 .collect();
-            let best = self.best(ask, some, trusted, now);
+            let best = self.best_server(request, sample, usable, now);
             if best.is_some() {
                 return best;
             }
         }
         let all = self.servers.free().iter().copied().collect();
-        self.best(ask, all, trusted, now)
+        self.best_server(request, all, usable, now)
     }
 
     /// Whether every server that a request `may` go to is suspect.
     pub(super) fn all_suspect(&self, may: impl Fn(&Server) -> bool, now: Instant) -> bool {
-        let mut taking = self
+        let mut accepting = self
             .servers
             .all()
-            .filter(|known| known.takes_work() && may(&known.server));
-        taking.all(|known| known.trust.is_suspect(now))
+            .filter(|state| state.accepts_work() && may(&state.server));
+        accepting.all(|state| state.health.is_suspect(now))
     }
 
-    /// The place of the best server among `places` that is `trusted`, and may still get a request of its limit.
+    /// The index of the server with the lowest score among the `candidates` that are `usable` and within their rate
+    /// limits.
     ///
-    /// Two that look the same are told apart by lot, so that gateways with the same word do not
-    /// all send to the same one.
-    fn best(
+    /// A random number decides between servers with equal scores, so that gateways with the same information do not
+    /// all send to the same server.
+    fn best_server(
         &mut self,
-        ask: &Request,
-        places: Vec<usize>,
-        trusted: impl Fn(&ServerState) -> bool,
+        request: &Request,
+        candidates: Vec<usize>,
+        usable: impl Fn(&ServerState) -> bool,
         now: Instant,
     ) -> Option<usize> {
-        let mean = self.servers.mean_pace();
+        let mean = self.servers.mean_latency();
         let mut best: Option<(f64, usize)> = None;
-        for place in places {
-            let lot: f64 = self.random.random();
-            let known = self.servers.at(place);
-            if !trusted(known) || !self.limits.admits(&known.server, now) {
+        for index in candidates {
+            let tie_break: f64 = self.random.random();
+            let state = self.servers.at(index);
+            if !usable(state) || !self.limits.admits(&state.server, now) {
                 continue;
             }
-            let score = self.score(known, ask, mean) + lot * LOT;
-            if best.is_none_or(|(least, _)| score < least) {
-                best = Some((score, place));
+            let score = self.score(state, request, mean) + tie_break * TIE_BREAK_WEIGHT;
+            if best.is_none_or(|(lowest, _)| score < lowest) {
+                best = Some((score, index));
             }
         }
-        best.map(|(_, place)| place)
+        best.map(|(_, index)| index)
     }
 
-    /// How long a request is likely to take there, in the time of one request at a
-    /// server of the usual pace.
-    fn score(&self, known: &ServerState, ask: &Request, mean: f64) -> f64 {
-        let pace = known
-            .pace()
-            .map_or(1.0, |pace| pace / mean.max(f64::MIN_POSITIVE));
-        let far = if known.server.hall == ask.hall {
+    /// How long a request is likely to take at a server, in units of one request at a server of mean latency.
+    fn score(&self, state: &ServerState, request: &Request, mean: f64) -> f64 {
+        let latency = state
+            .latency()
+            .map_or(1.0, |latency| latency / mean.max(f64::MIN_POSITIVE));
+        let hall_cost = if state.server.hall == request.hall {
             0.0
         } else {
             self.tuning.remote_hall_cost
         };
-        let distrust = 1.0 + self.tuning.failure_penalty * known.trust.failure_rate();
-        let reading = ask.prompt.as_f64() + known.reading().as_f64();
-        let itself = self.tuning.request_cost + self.tuning.prompt_cost * reading / 1_000.0;
-        (f64::from(known.in_flight()) + itself + far) * pace.clamp(FASTEST, SLOWEST) * distrust
+        let failure_factor = 1.0 + self.tuning.failure_penalty * state.health.failure_rate();
+        let unread = request.prompt.as_f64() + state.unread_prompt().as_f64();
+        let own_cost = self.tuning.request_cost + self.tuning.prompt_cost * unread / 1_000.0;
+        (f64::from(state.in_flight()) + own_cost + hall_cost)
+            * latency.clamp(MIN_RELATIVE_LATENCY, MAX_RELATIVE_LATENCY)
+            * failure_factor
     }
 }
--- a/crates/core/src/pool/doomed.rs
+++ b/crates/core/src/pool/doomed.rs
@@ -1,4 +1,4 @@
-//! Who waits in vain.
+//! Finds queued requests that cannot be served in time.
 
 use crate::clock::Instant;
 use crate::gateway::Server;
@@ -9,52 +9,52 @@
 use super::server_state::ServerState;
 
 impl Pool {
-    /// Takes those out of line whose turn is not likely to come before they stop waiting, and those
-    /// who have tried every server.
+    /// Removes the requests from the queue that are not likely to be assigned before they stop waiting, and those
+    /// that no server is left for. Returns their tickets.
     pub fn remove_doomed(&mut self, now: Instant) -> Vec<Ticket> {
-        let mut hopeless = Vec::new();
+        let mut doomed = Vec::new();
         let mut ahead = 0;
-        let full = self.is_full(|_| true, now);
-        // Where all servers have named limits, turns cannot come faster than these, however few came lately.
-        let rates = self.forecast.rates(now).at_most(self.total_limit_rate());
-        let resting = self.backoffs(now);
-        for (place, ask) in self.waiting.all() {
-            let ask = &*ask.with_rests(&resting);
-            // A server that rests, or is in another hall, is no room for this one, however empty it is.
-            let may_go = |server: &Server| ask.may_go_to(server, now);
-            let full = full || (ask.is_kept_from() && self.is_full(may_go, now));
-            let wait = rates.wait(place, ahead);
-            let too_long = wait.is_some_and(|wait| now + wait > ask.wait_until);
-            if (full && too_long) || self.waits_in_vain(ask) {
-                hopeless.push(place.ticket);
+        let is_full = self.is_full(|_| true, now);
+        // If all servers announced rate limits, assignments cannot be faster than the sum of these, even if too few
+        // were made lately for an estimate.
+        let rates = self.forecast.rates(now).capped(self.total_limit_rate());
+        let backoffs = self.backoffs(now);
+        for (position, request) in self.queue.iter() {
+            let request = &*request.with_backoffs(&backoffs);
+            // A server that backs off, or is outside the request's halls, does not count as room, even when idle.
+            let may_go = |server: &Server| request.may_go_to(server, now);
+            let is_full = is_full || (request.has_backoff_or_halls() && self.is_full(may_go, now));
+            let wait = rates.wait(position, ahead);
+            let too_long = wait.is_some_and(|wait| now + wait > request.wait_until);
+            if (is_full && too_long) || self.has_no_server_left(request) {
+                doomed.push(position.ticket);
             } else {
                 ahead += 1;
             }
         }
-        for ticket in &hopeless {
-            self.waiting.remove(*ticket);
+        for ticket in &doomed {
+            self.queue.remove(*ticket);
         }
-        hopeless
+        doomed
     }
 
-    /// Whether it is for want of room that requests wait for the servers that are `open`, not for servers that are
-    /// left alone.
-    fn is_full(&self, open: impl Fn(&Server) -> bool, now: Instant) -> bool {
-        let is_trusted = |known: &ServerState| open(&known.server) && !known.trust.is_suspect(now);
+    /// Whether the servers that `may` be used have no room, and not all of them are merely avoided after failures.
+    fn is_full(&self, may: impl Fn(&Server) -> bool, now: Instant) -> bool {
+        let is_usable = |state: &ServerState| may(&state.server) && !state.health.is_suspect(now);
         let mut free = self.servers.free().iter();
-        let has_room = free.any(|place| {
-            let known = self.servers.at(*place);
-            is_trusted(known) && self.limits.admits(&known.server, now)
+        let has_room = free.any(|index| {
+            let state = self.servers.at(*index);
+            is_usable(state) && self.limits.admits(&state.server, now)
         });
-        let mut taking = self.servers.all().filter(|known| known.takes_work());
-        !has_room && taking.any(is_trusted)
+        let mut accepting = self.servers.all().filter(|state| state.accepts_work());
+        !has_room && accepting.any(is_usable)
     }
 
-    /// Whether no server is left that a request may be sent to while it waits.
-    fn waits_in_vain(&self, ask: &Request) -> bool {
-        let mut taking = self.servers.all().filter(|known| known.takes_work());
-        let is_tried = !ask.tried.is_empty();
-        let is_bound = is_tried || (ask.is_kept_from() && self.accepts_work());
-        is_bound && taking.all(|known| ask.waits_in_vain(&known.server))
+    /// Whether no server is left that a request may be sent to while it is queued.
+    fn has_no_server_left(&self, request: &Request) -> bool {
+        let mut accepting = self.servers.all().filter(|state| state.accepts_work());
+        let is_tried = !request.tried.is_empty();
+        let is_restricted = is_tried || (request.has_backoff_or_halls() && self.accepts_work());
+        is_restricted && accepting.all(|state| request.never_goes_to(&state.server))
     }
 }
--- a/crates/core/src/pool/forecast.rs
+++ b/crates/core/src/pool/forecast.rs
@@ -1,4 +1,4 @@
-//! How long a request is likely to wait for its turn.
+//! Predicts how long queued requests wait until they are assigned to a server.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,96 +8,100 @@
 
 use super::queue::Position;
 
-/// The time in which what was counted fades to a third, in seconds: long enough for some tens of
-/// turns of a busy service, short enough for the beginning of a crowd to show before callers have
-/// waited for long.
-const FADES: f64 = 0.5;
+/// The time constant, in seconds, of the exponential decay of counts. It is long enough to cover some tens of
+/// assignments of a busy service, and short enough to notice the start of a load spike before callers have waited for
+/// long.
+const DECAY_SECONDS: f64 = 0.5;
 
-/// The least number of turns in that time from which a wait is forecast: fewer tell nothing.
-const LEAST: f64 = 2.0;
+/// The lowest decayed count of assignments from which a wait is predicted; fewer are not significant.
+const MIN_ASSIGNMENTS: f64 = 2.0;
 
-/// How often something lately happened.
+/// An exponentially decaying count of events.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rate {
     count: f64,
-    at: Instant,
+    updated: Instant,
 }
 
 impl Rate {
     fn add(&mut self, now: Instant) {
-        self.count = self.faded(now) + 1.0;
-        self.at = now;
+        self.count = self.decayed(now) + 1.0;
+        self.updated = now;
     }
 
-    /// What is left at `now` of what was counted.
-    fn faded(&self, now: Instant) -> f64 {
-        let time = now.since(self.at).as_secs_f64();
-        self.count * (-time / FADES).exp()
+    /// The count after its decay until `now`.
+    fn decayed(&self, now: Instant) -> f64 {
+        let elapsed = now.since(self.updated).as_secs_f64();
+        self.count * (-elapsed / DECAY_SECONDS).exp()
     }
 
     fn per_second(&self, now: Instant) -> f64 {
-        self.faded(now) / FADES
+        self.decayed(now) / DECAY_SECONDS
     }
 }
 
-/// How fast turns come, and how fast requests of each rank do.
+/// Measures the rate of assignments, and the arrival rate of requests of each rank.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Forecast {
-    turns: Rate,
-    asked: BTreeMap<Rank, Rate>,
+    assignments: Rate,
+    arrivals: BTreeMap<Rank, Rate>,
 }
 
 impl Forecast {
     /// Counts a request that arrives.
-    pub(super) fn asked(&mut self, rank: Rank, now: Instant) {
-        self.asked.entry(rank).or_default().add(now);
+    pub(super) fn record_arrival(&mut self, rank: Rank, now: Instant) {
+        self.arrivals.entry(rank).or_default().add(now);
     }
 
-    /// Counts a turn that is given.
-    pub(super) fn turn(&mut self, now: Instant) {
-        self.turns.add(now);
+    /// Counts a request that is assigned to a server.
+    pub(super) fn record_assignment(&mut self, now: Instant) {
+        self.assignments.add(now);
     }
 
     /// The rates at `now`.
     pub(super) fn rates(&self, now: Instant) -> Rates {
-        let asked = self.asked.iter();
+        let arrivals = self.arrivals.iter();
         Rates {
-            turns: (self.turns.faded(now) >= LEAST).then(|| self.turns.per_second(now)),
-            asked: asked
+            assignments: (self.assignments.decayed(now) >= MIN_ASSIGNMENTS)
+                .then(|| self.assignments.per_second(now)),
+            arrivals: arrivals
                 .map(|(rank, rate)| (*rank, rate.per_second(now)))
                 .collect(),
         }
     }
 }
 
-/// How often turns come and requests of each rank do, by the second.
+/// Assignments and arrivals of each rank, per second.
 #[derive(Clone, Debug)]
 pub(super) struct Rates {
-    /// None where nothing is known.
-    turns: Option<f64>,
-    asked: Vec<(Rank, f64)>,
+    /// `None` if there were too few to tell.
+    assignments: Option<f64>,
+    arrivals: Vec<(Rank, f64)>,
 }
 
 impl Rates {
-    /// The same where no more than `most` turns a second can come.
-    pub(super) fn at_most(self, most: Option<f64>) -> Self {
-        let turns = match (self.turns, most) {
-            (Some(turns), Some(most)) => Some(turns.min(most)),
-            (turns, most) => turns.or(most),
+    /// The same rates with assignments limited to `max` per second.
+    pub(super) fn capped(self, max: Option<f64>) -> Self {
+        let assignments = match (self.assignments, max) {
+            (Some(assignments), Some(max)) => Some(assignments.min(max)),
+            (assignments, max) => assignments.or(max),
         };
-        Self { turns, ..self }
+        Self {
+            assignments,
+            ..self
+        }
     }
 
-    /// How long the request at `place` is likely to wait, with `ahead` others before it: those who
-    /// will come and go before it take their part of the turns. None where nothing is known.
-    pub(super) fn wait(&self, place: &Position, ahead: usize) -> Option<Duration> {
-        let before = self.asked.iter();
-        let before = before.filter(|(rank, _)| place.goes_after(*rank));
-        let taken: f64 = before.map(|(_, rate)| rate).sum();
-        let left = self.turns? - taken;
+    /// How long the request at `position` is likely to wait, with `ahead` others before it. Requests that will arrive
+    /// and be served before it use up part of the assignments. `None` if the rate of assignments is not known.
+    pub(super) fn wait(&self, position: &Position, ahead: usize) -> Option<Duration> {
+        let preferred = self.arrivals.iter();
+        let preferred = preferred.filter(|(rank, _)| position.yields_to(*rank));
+        let used: f64 = preferred.map(|(_, rate)| rate).sum();
+        let available = self.assignments? - used;
         let ahead = f64::from(u32::try_from(ahead).unwrap_or(u32::MAX)) + 1.0;
-        let wait = if left > 0.0 {
-            ahead / left
+        let wait = if available > 0.0 {
+            ahead / available
         } else {
             f64::INFINITY
         };
--- a/crates/core/src/pool/mod.rs
+++ b/crates/core/src/pool/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway's choice among the backend servers of one service, and who waits for it.
+//! A pool: the backend servers of one service as a gateway or the hub sees them, and the queue of requests for them.
 
 mod choose;
 mod doomed;
--- a/crates/core/src/pool/queue.rs
+++ b/crates/core/src/pool/queue.rs
@@ -1,4 +1,5 @@
-//! Who waits, in order: by rank, those who can still be answered in time, then by arrival.
+//! The queue of a pool: ordered by rank, within a rank requests that can still be answered in time first, then by
+//! arrival.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -9,11 +10,11 @@
 use super::Request;
 use super::Ticket;
 
-/// A place in line.
+/// A request's position in the queue; its order is that of the fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Position {
     pub(super) rank: Rank,
-    /// Whether its answer would begin too late by now.
+    /// Whether it is too late for the answer to begin within the latency objective.
     pub(super) late: bool,
     pub(super) arrived: Instant,
     pub(super) ticket: Ticket,
@@ -21,75 +22,80 @@
 
 impl Position {
     /// Whether a request of `rank` that arrives now goes before it.
-    pub(super) fn goes_after(&self, rank: Rank) -> bool {
+    pub(super) fn yields_to(&self, rank: Rank) -> bool {
         rank < self.rank || (self.late && rank == self.rank)
     }
 }
 
-/// Requests that wait.
+/// The queued requests in order.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Queue {
-    order: BTreeMap<Position, Request>,
+    requests: BTreeMap<Position, Request>,
 }
 
 impl Queue {
-    pub(super) fn add(&mut self, ticket: Ticket, ask: Request, now: Instant) {
-        let place = Position {
-            rank: ask.rank,
-            late: ask.send_by <= now,
-            arrived: ask.arrived,
+    pub(super) fn add(&mut self, ticket: Ticket, request: Request, now: Instant) {
+        let position = Position {
+            rank: request.rank,
+            late: request.send_by <= now,
+            arrived: request.arrived,
             ticket,
         };
-        self.order.insert(place, ask);
+        self.requests.insert(position, request);
     }
 
     pub(super) fn remove(&mut self, ticket: Ticket) -> bool {
-        let mut places = self.order.keys();
-        let Some(place) = places.find(|place| place.ticket == ticket).copied() else {
+        let mut positions = self.requests.keys();
+        let Some(position) = positions
+            .find(|position| position.ticket == ticket)
+            .copied()
+        else {
             return false;
         };
-        self.order.remove(&place).is_some()
+        self.requests.remove(&position).is_some()
     }
 
     pub(super) fn get_mut(&mut self, ticket: Ticket) -> Option<&mut Request> {
-        let mut asks = self.order.iter_mut();
-        let ask = asks.find(|(place, _)| place.ticket == ticket);
-        ask.map(|(_, ask)| ask)
+        let mut requests = self.requests.iter_mut();
+        let entry = requests.find(|(position, _)| position.ticket == ticket);
+        entry.map(|(_, request)| request)
     }
 
     pub(super) fn len(&self) -> usize {
-        self.order.len()
+        self.requests.len()
     }
 
-    /// The one that is last: of the lowest rank, and there the newest.
+    /// The last request: the newest of the lowest rank.
     pub(super) fn last(&self) -> Option<Ticket> {
-        self.order.last_key_value().map(|(place, _)| place.ticket)
+        self.requests
+            .last_key_value()
+            .map(|(position, _)| position.ticket)
     }
 
-    /// The first one, or the next after a place in line.
-    pub(super) fn after(&self, place: Option<Position>) -> Option<(Position, &Request)> {
-        let from = place.map_or(Bound::Unbounded, Bound::Excluded);
-        let next = self.order.range((from, Bound::Unbounded)).next();
-        next.map(|(place, ask)| (*place, ask))
+    /// The request after `position`, or the first one.
+    pub(super) fn next_after(&self, position: Option<Position>) -> Option<(Position, &Request)> {
+        let from = position.map_or(Bound::Unbounded, Bound::Excluded);
+        let next = self.requests.range((from, Bound::Unbounded)).next();
+        next.map(|(position, request)| (*position, request))
     }
 
-    /// All of them, in order.
-    pub(super) fn all(&self) -> impl Iterator<Item = (&Position, &Request)> {
-        self.order.iter()
+    /// All requests in order.
+    pub(super) fn iter(&self) -> impl Iterator<Item = (&Position, &Request)> {
+        self.requests.iter()
     }
 
-    /// Puts those whose answers would begin too late by now behind the others of their rank.
-    pub(super) fn age(&mut self, now: Instant) {
-        let late = self.order.iter();
-        let late = late.filter(|(place, ask)| !place.late && ask.send_by <= now);
-        let late: Vec<_> = late.map(|(place, _)| *place).collect();
-        for place in late {
-            if let Some(ask) = self.order.remove(&place) {
-                let place = Position {
+    /// Moves requests that have become late behind the others of their rank.
+    pub(super) fn demote_late(&mut self, now: Instant) {
+        let late = self.requests.iter();
+        let late = late.filter(|(position, request)| !position.late && request.send_by <= now);
+        let late: Vec<_> = late.map(|(position, _)| *position).collect();
+        for position in late {
+            if let Some(request) = self.requests.remove(&position) {
+                let position = Position {
                     late: true,
-                    ..place
+                    ..position
                 };
-                self.order.insert(place, ask);
+                self.requests.insert(position, request);
             }
         }
     }
--- a/crates/core/src/pool/request.rs
+++ b/crates/core/src/pool/request.rs
@@ -1,4 +1,4 @@
-//! What is asked of a pool, and what it answers.
+//! A request that waits for a backend server, its assignment to one, and the outcome of an attempt.
 
 use std::borrow::Cow;
 use std::sync::Arc;
@@ -12,34 +12,34 @@
 use crate::route::Rank;
 use crate::unit::Tokens;
 
-/// The number of a request that waits or runs.
+/// Identifies a request that is queued or runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// A request that wants a backend server.
+/// A request that needs a backend server.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// The rule that it came under, where that is of use.
+    /// The routing rule that it matched, if known.
     pub rule: Option<Arc<str>>,
-    /// How urgent it is.
+    /// Its priority.
     pub rank: Rank,
-    /// When it arrived: one that comes back from a server keeps its place.
+    /// When it first arrived; a retried request keeps this time, and with it its queue position.
     pub arrived: Instant,
-    /// Until when it must be sent for its answer to begin in time.
+    /// The latest time to send it so that its answer begins within the latency objective.
     pub send_by: Instant,
-    /// Until when it waits.
+    /// The latest time until which it stays queued.
     pub wait_until: Instant,
-    /// The length of its prompt; 0 where it has none.
+    /// The length of its prompt; 0 if it has none.
     pub prompt: Tokens,
     /// The data hall that it is sent from.
     pub hall: Arc<str>,
-    /// Incarnations that it was sent to before.
+    /// Incarnations that it was already sent to.
     pub tried: Vec<Arc<str>>,
-    /// Others that it must not be sent to before then.
+    /// Further incarnations that it must not be sent to before the given time.
     pub avoid: Vec<(Arc<str>, Instant)>,
-    /// Those that want no requests from its host before then, by their own word.
+    /// Incarnations that asked its host to send no requests before the given time.
     pub backoffs: Vec<(Arc<str>, Instant)>,
-    /// The data halls that it must stay in; none where it may go anywhere.
+    /// The data halls that it must stay in; `None` if it may go to any.
     pub allowed_halls: Option<Arc<[Arc<str>]>>,
 }
 
@@ -47,81 +47,82 @@
     /// Whether it may be sent to `server` at `now`.
     pub(super) fn may_go_to(&self, server: &Server, now: Instant) -> bool {
         let incarnation = &server.incarnation;
-        let closes = |(other, until): &(Arc<str>, Instant)| other == incarnation && now < *until;
-        let is_closed = self.avoid.iter().any(closes) || self.backoffs.iter().any(closes);
-        !is_closed && self.is_home(server) && !self.tried.contains(incarnation)
+        let excludes = |(other, until): &(Arc<str>, Instant)| other == incarnation && now < *until;
+        let is_excluded = self.avoid.iter().any(excludes) || self.backoffs.iter().any(excludes);
+        !is_excluded && self.allows_hall_of(server) && !self.tried.contains(incarnation)
     }
 
     /// Whether `server` is in a data hall that it may go to.
-    fn is_home(&self, server: &Server) -> bool {
+    fn allows_hall_of(&self, server: &Server) -> bool {
         let halls = self.allowed_halls.as_ref();
         halls.is_none_or(|halls| halls.contains(&server.hall))
     }
 
-    /// The same with what servers have asked its host since.
-    pub(super) fn with_rests(&self, rests: &[(Arc<str>, Instant)]) -> Cow<'_, Self> {
-        let mut ask = Cow::Borrowed(self);
-        if !rests.is_empty() {
-            ask.to_mut().backoffs.extend_from_slice(rests);
+    /// The same request with further backoffs that servers asked its host for.
+    pub(super) fn with_backoffs(&self, backoffs: &[(Arc<str>, Instant)]) -> Cow<'_, Self> {
+        let mut request = Cow::Borrowed(self);
+        if !backoffs.is_empty() {
+            request.to_mut().backoffs.extend_from_slice(backoffs);
         }
-        ask
+        request
     }
 
-    /// Whether some servers are closed to it that are open to others.
-    pub(super) fn is_bound(&self) -> bool {
-        !(self.tried.is_empty() && self.avoid.is_empty()) || self.is_kept_from()
+    /// Whether it may not be sent to some servers that other requests may be sent to.
+    pub(super) fn is_restricted(&self) -> bool {
+        !(self.tried.is_empty() && self.avoid.is_empty()) || self.has_backoff_or_halls()
     }
 
-    /// Whether some servers stay closed to it for as long as it waits, or for a time that they asked for.
-    pub(super) fn is_kept_from(&self) -> bool {
+    /// Whether backoffs or allowed data halls exclude some servers.
+    pub(super) fn has_backoff_or_halls(&self) -> bool {
         !self.backoffs.is_empty() || self.allowed_halls.is_some()
     }
 
-    /// Whether it will not be sent to `server` for as long as it waits: it was already, the server rests, or is not in
-    /// one of its halls.
-    pub(super) fn waits_in_vain(&self, server: &Server) -> bool {
+    /// Whether it cannot be sent to `server` for as long as it stays queued: it was already sent there, the server
+    /// backs off for longer, or is outside its allowed data halls.
+    pub(super) fn never_goes_to(&self, server: &Server) -> bool {
         let incarnation = &server.incarnation;
-        let mut rests = self.backoffs.iter();
-        let rests = rests.any(|(other, until)| other == incarnation && self.wait_until <= *until);
-        rests || !self.is_home(server) || self.tried.contains(incarnation)
+        let mut backoffs = self.backoffs.iter();
+        let is_backing_off =
+            backoffs.any(|(other, until)| other == incarnation && self.wait_until <= *until);
+        is_backing_off || !self.allows_hall_of(server) || self.tried.contains(incarnation)
     }
 }
 
-/// A request's turn.
+/// The assignment of a queued request to a backend server.
 #[derive(Clone, Debug)]
 pub struct Assignment {
-    /// Whose it is.
+    /// The request.
     pub ticket: Ticket,
-    /// Where to send it.
+    /// The server to send it to.
     pub server: Arc<Server>,
     /// The length of its prompt.
     pub prompt: Tokens,
-    /// Whether it was drawn from a limit that the server has named.
+    /// Whether the request was charged to a rate limit that the server announced.
     pub charged_to_limit: bool,
 }
 
-/// How a sending ended, as far as it says something of the backend server.
+/// The outcome of an attempt, as far as it tells something about the backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AttemptOutcome {
-    /// Answered; with the time to the first byte, and between the pieces of a stream.
+    /// The server answered.
     Answered {
-        /// From the sending to the first byte of the answer.
+        /// From sending the request to the first byte of the answer.
         first_byte: Duration,
-        /// The mean time between two pieces, where there were several.
+        /// The mean time between two chunks of a stream, if there were several.
         gap: Option<Duration>,
     },
-    /// It said that it has no room.
+    /// The server answered that it has no room.
     Full,
-    /// It turned a request away, and wants none from that gateway's host for so long.
+    /// The server rejected the request and asked for none from this gateway's host for the given time.
     Backoff(Duration),
-    /// It answered that it failed.
+    /// The server answered with an error.
     Failed,
-    /// It could not be reached, broke off, or answered with bytes that are no answer.
+    /// The server could not be reached, closed the connection early, or answered with an invalid response.
     Broken,
-    /// It has said nothing for longer than could be explained by its load.
+    /// The server sent nothing for longer than its load can explain.
     TimedOut,
-    /// Another incarnation has the address, or it is leaving.
+    /// The address belongs to another incarnation by now, or the server is draining.
     Gone,
-    /// The caller went away; nothing is said of the server.
+    /// The caller disconnected, so that nothing is known about the server.
     Unknown,
 }
--- a/crates/core/src/pool/server_set.rs
+++ b/crates/core/src/pool/server_set.rs
@@ -1,4 +1,4 @@
-//! The backend servers of a pool, with what is asked of all of them kept at hand.
+//! The backend servers of a pool, with indexes by incarnation, free room and latency.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -10,188 +10,192 @@
 
 /// The backend servers of a pool.
 ///
-/// At its worst load all servers are full, and each request that ends makes room at one: what is changed
-/// one server at a time keeps a turn's cost from growing with their number.
+/// Under the heaviest load all servers are full, and each request that ends makes room at one of them. Updating the
+/// indexes for one server at a time keeps the cost of an assignment independent of the number of servers.
 #[derive(Debug)]
 pub(super) struct ServerSet {
     servers: Vec<ServerState>,
-    /// The place of each incarnation among the servers.
-    places: HashMap<Arc<str>, usize>,
-    /// The places of those that have room for new work.
+    /// The index of each incarnation in `servers`.
+    indices: HashMap<Arc<str>, usize>,
+    /// The indices of servers with room for new work.
     free: BTreeSet<usize>,
-    paces: Paces,
-    /// Those with room whose pace is known, the fastest first, by its bits: paces are not below zero.
-    fast: BTreeSet<(u64, usize)>,
+    latencies: LatencySum,
+    /// The servers with room and known latency, the fastest first, keyed by the latency's bits. Those sort like the
+    /// numbers because latencies are not negative.
+    free_by_latency: BTreeSet<(u64, usize)>,
     /// How many requests beyond its slots a server may have in flight.
-    over: u32,
+    extra_in_flight: u32,
 }
 
 impl ServerSet {
-    /// No servers yet; each may have `over` requests in flight beyond its slots.
-    pub(super) fn new(over: u32) -> Self {
+    /// An empty set, whose servers may have `extra_in_flight` requests in flight beyond their slots.
+    pub(super) fn new(extra_in_flight: u32) -> Self {
         Self {
             servers: Vec::new(),
-            places: HashMap::new(),
+            indices: HashMap::new(),
             free: BTreeSet::new(),
-            paces: Paces::default(),
-            fast: BTreeSet::new(),
-            over,
+            latencies: LatencySum::default(),
+            free_by_latency: BTreeSet::new(),
+            extra_in_flight,
         }
     }
 
-    /// All of them.
+    /// All servers.
     pub(super) fn all(&self) -> impl Iterator<Item = &ServerState> {
         self.servers.iter()
     }
 
-    /// The server at a place.
-    pub(super) fn at(&self, place: usize) -> &ServerState {
-        &self.servers[place]
+    /// The server at `index`.
+    pub(super) fn at(&self, index: usize) -> &ServerState {
+        &self.servers[index]
     }
 
-    /// The places of those that have room for new work.
+    /// The indices of servers with room for new work.
     pub(super) fn free(&self) -> &BTreeSet<usize> {
         &self.free
     }
 
-    /// The places of those with room whose pace is known, the fastest first.
+    /// The indices of servers with room and known latency, the fastest first.
     pub(super) fn fastest(&self) -> impl Iterator<Item = usize> {
-        self.fast.iter().map(|(_, place)| *place)
+        self.free_by_latency.iter().map(|(_, index)| *index)
     }
 
-    /// The mean pace of all servers, in seconds.
-    pub(super) fn mean_pace(&self) -> f64 {
-        self.paces.mean()
+    /// The mean latency of all servers, in seconds.
+    pub(super) fn mean_latency(&self) -> f64 {
+        self.latencies.mean()
     }
 
-    /// What is known of an incarnation.
+    /// The state of an incarnation.
     pub(super) fn get(&self, incarnation: &str) -> Option<&ServerState> {
-        let place = self.places.get(incarnation)?;
-        self.servers.get(*place)
+        let index = self.indices.get(incarnation)?;
+        self.servers.get(*index)
     }
 
-    /// Whether it has an incarnation.
-    pub(super) fn has(&self, incarnation: &str) -> bool {
-        self.places.contains_key(incarnation)
+    /// Whether the set contains an incarnation.
+    pub(super) fn contains(&self, incarnation: &str) -> bool {
+        self.indices.contains_key(incarnation)
     }
 
-    /// Changes what is known of an incarnation; none where it is not known.
+    /// Changes the state of an incarnation; `None` if the set does not contain it.
     pub(super) fn update<T>(
         &mut self,
         incarnation: &str,
         change: impl FnOnce(&mut ServerState) -> T,
     ) -> Option<T> {
-        let place = *self.places.get(incarnation)?;
-        self.update_at(place, change)
+        let index = *self.indices.get(incarnation)?;
+        self.update_at(index, change)
     }
 
-    /// Changes what is known of the server at a place.
+    /// Changes the state of the server at `index`.
     pub(super) fn update_at<T>(
         &mut self,
-        place: usize,
+        index: usize,
         change: impl FnOnce(&mut ServerState) -> T,
     ) -> Option<T> {
-        let known = self.servers.get_mut(place)?;
-        let before = known.pace();
-        self.paces.take(before);
-        let result = change(known);
-        let after = known.pace();
-        self.paces.add(after);
-        let has_room = known.has_room(self.over);
+        let state = self.servers.get_mut(index)?;
+        let before = state.latency();
+        self.latencies.subtract(before);
+        let result = change(state);
+        let after = state.latency();
+        self.latencies.add(after);
+        let has_room = state.has_room(self.extra_in_flight);
         if let Some(before) = before {
-            self.fast.remove(&(before.to_bits(), place));
+            self.free_by_latency.remove(&(before.to_bits(), index));
         }
         if let Some(after) = after.filter(|_| has_room) {
-            self.fast.insert((after.to_bits(), place));
+            self.free_by_latency.insert((after.to_bits(), index));
         }
         if has_room {
-            self.free.insert(place);
+            self.free.insert(index);
         } else {
-            self.free.remove(&place);
+            self.free.remove(&index);
         }
         Some(result)
     }
 
-    /// Changes what is known of each of them.
+    /// Changes the state of each server.
     pub(super) fn update_all(&mut self, change: impl Fn(&mut ServerState)) {
-        for known in &mut self.servers {
-            change(known);
+        for state in &mut self.servers {
+            change(state);
         }
-        self.index();
+        self.rebuild_indexes();
     }
 
-    /// Takes up a list; what is known of an incarnation that stays is kept, and what is off the list but
-    /// still runs requests from here stays until they end.
-    pub(super) fn adopt(&mut self, servers: Vec<Arc<Server>>) {
-        let former = std::mem::take(&mut self.servers).into_iter();
-        let mut former: HashMap<_, _> = former
-            .map(|known| (Arc::clone(&known.server.incarnation), known))
+    /// Replaces the servers by those of a list. The state of incarnations that stay is retained, and servers that are
+    /// no longer listed but still run requests from here stay until these end.
+    pub(super) fn replace(&mut self, servers: Vec<Arc<Server>>) {
+        let previous = std::mem::take(&mut self.servers).into_iter();
+        let mut previous: HashMap<_, _> = previous
+            .map(|state| (Arc::clone(&state.server.incarnation), state))
             .collect();
         for server in servers {
-            let mut known = match former.remove(&server.incarnation) {
-                Some(known) => known,
+            let mut state = match previous.remove(&server.incarnation) {
+                Some(state) => state,
                 None => ServerState::new(Arc::clone(&server)),
             };
-            known.server = server;
-            known.listed = true;
-            self.servers.push(known);
+            state.server = server;
+            state.is_listed = true;
+            self.servers.push(state);
         }
-        let stay = former.into_values().filter(|known| known.own > 0);
-        self.servers.extend(stay.map(ServerState::unlisted));
-        self.index();
+        let busy = previous
+            .into_values()
+            .filter(|state| state.own_requests > 0);
+        self.servers.extend(busy.map(ServerState::unlisted));
+        self.rebuild_indexes();
     }
 
-    /// Adds a server that is not on the list, and was named with a place.
-    pub(super) fn add_named(&mut self, server: Arc<Server>) {
+    /// Adds a server that is not on the list but was named in a slot grant.
+    pub(super) fn add_unlisted(&mut self, server: Arc<Server>) {
         self.servers.push(ServerState::new(server).unlisted());
-        self.index();
+        self.rebuild_indexes();
     }
 
-    /// Drops an incarnation.
+    /// Removes an incarnation.
     pub(super) fn remove(&mut self, incarnation: &str) {
         self.servers
-            .retain(|known| &*known.server.incarnation != incarnation);
-        self.index();
+            .retain(|state| &*state.server.incarnation != incarnation);
+        self.rebuild_indexes();
     }
 
-    /// Works out anew what is kept at hand.
-    fn index(&mut self) {
+    /// Recomputes all indexes.
+    fn rebuild_indexes(&mut self) {
         let servers = self.servers.iter().enumerate();
-        let places = servers.map(|(place, known)| (Arc::clone(&known.server.incarnation), place));
-        self.places = places.collect();
+        let indices = servers.map(|(index, state)| (Arc::clone(&state.server.incarnation), index));
+        self.indices = indices.collect();
         let servers = self.servers.iter().enumerate();
-        let free = servers.filter(|(_, known)| known.has_room(self.over));
-        self.free = free.map(|(place, _)| place).collect();
-        let fast = self.free.iter();
-        let fast = fast.filter_map(|place| Some((self.servers[*place].pace()?.to_bits(), *place)));
-        self.fast = fast.collect();
-        self.paces = Paces::default();
-        for known in &self.servers {
-            self.paces.add(known.pace());
+        let free = servers.filter(|(_, state)| state.has_room(self.extra_in_flight));
+        self.free = free.map(|(index, _)| index).collect();
+        let by_latency = self.free.iter();
+        let by_latency = by_latency
+            .filter_map(|index| Some((self.servers[*index].latency()?.to_bits(), *index)));
+        self.free_by_latency = by_latency.collect();
+        self.latencies = LatencySum::default();
+        for state in &self.servers {
+            self.latencies.add(state.latency());
         }
     }
 }
 
-/// The paces of all servers that are known, summed up.
+/// The sum of all known server latencies.
 #[derive(Debug, Default)]
-struct Paces {
+struct LatencySum {
     /// In seconds.
     sum: f64,
     count: f64,
 }
 
-impl Paces {
-    fn add(&mut self, pace: Option<f64>) {
-        self.sum += pace.unwrap_or(0.0);
-        self.count += if pace.is_some() { 1.0 } else { 0.0 };
+impl LatencySum {
+    fn add(&mut self, latency: Option<f64>) {
+        self.sum += latency.unwrap_or(0.0);
+        self.count += if latency.is_some() { 1.0 } else { 0.0 };
     }
 
-    fn take(&mut self, pace: Option<f64>) {
-        self.sum -= pace.unwrap_or(0.0);
-        self.count -= if pace.is_some() { 1.0 } else { 0.0 };
+    fn subtract(&mut self, latency: Option<f64>) {
+        self.sum -= latency.unwrap_or(0.0);
+        self.count -= if latency.is_some() { 1.0 } else { 0.0 };
     }
 
-    /// The usual pace where none is known yet.
+    /// The mean latency; 1 if none is known yet.
     fn mean(&self) -> f64 {
         if self.count > 0.0 {
             self.sum / self.count
--- a/crates/core/src/pool/servers.rs
+++ b/crates/core/src/pool/servers.rs
@@ -1,4 +1,4 @@
-//! The pool: what is known of the backend servers of a service, and who waits for them.
+//! The pool of a service: assigns queued requests to backend servers.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -30,21 +30,21 @@
 use super::server_state::ServerState;
 use super::trial_version::TrialVersion;
 
-/// The backend servers of one service, and the requests that wait for one.
+/// The backend servers of one service, and the queue of requests for them.
 #[derive(Debug)]
 pub struct Pool {
     pub(super) tuning: Tuning,
     pub(super) servers: ServerSet,
-    /// What servers have said of themselves to this host.
+    /// What servers have announced about themselves to this host.
     notices: Notices,
-    /// What those may still get that have named a limit.
+    /// The rate limits that servers have announced, and how much of them is used.
     pub(super) limits: Ledger,
-    held: LimitWait,
-    pub(super) waiting: Queue,
+    limit_wait: LimitWait,
+    pub(super) queue: Queue,
     pub(super) forecast: Forecast,
-    /// The version that gets no more than so many requests.
+    /// The version on trial, which may get only a limited number of requests.
     pub(super) trial: Option<TrialVersion>,
-    next: u64,
+    last_ticket: u64,
     pub(super) random: SmallRng,
 }
 
@@ -57,16 +57,17 @@
             servers: ServerSet::new(tuning.extra_in_flight),
             notices: Notices::default(),
             limits: Ledger::closed(),
-            held: LimitWait::default(),
-            waiting: Queue::default(),
+            limit_wait: LimitWait::default(),
+            queue: Queue::default(),
             forecast: Forecast::default(),
             trial: None,
-            next: 0,
+            last_ticket: 0,
             random: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// The same, of whoever gives out the places of all gateways: servers that have named a limit get it from there.
+    /// The same pool for the hub, which grants slots to all gateways: it hands out the rate limits that servers
+    /// announce.
     #[must_use]
     pub fn for_all_gateways(self) -> Self {
         Self {
@@ -78,87 +79,85 @@
 
 /// # Servers
 impl Pool {
-    /// Takes up a list; what is known of an incarnation that stays is kept.
+    /// Replaces the servers by those of a list. The state of incarnations that stay is retained.
     pub fn update_servers(&mut self, mut servers: Vec<Arc<Server>>) {
         for server in &mut servers {
-            // A list that is older than the server's own word does not undo it.
+            // A list that is older than the server's own notice must not revoke it.
             if self.notices.is_draining(&server.incarnation) {
                 Arc::make_mut(server).leaving = true;
             }
         }
-        self.servers.adopt(servers);
+        self.servers.replace(servers);
         if !self.limits.is_empty() {
-            let names = self.servers.all().map(|known| &*known.server.name);
+            let names = self.servers.all().map(|state| &*state.server.name);
             let names: HashSet<_> = names.collect();
             self.limits.keep(|name| names.contains(name));
         }
     }
 
-    /// Meets the servers of a list that is about to be taken up: another life may have said something under the
-    /// name of the one before.
+    /// Applies notices of previous incarnations to the servers of a list that is about to replace the current one.
     pub fn inherit_notices(&mut self, servers: &[Arc<Server>], now: Instant) {
         for server in servers {
             self.notices.inherit(server, now);
         }
     }
 
-    /// Takes up what other gateways have in flight.
+    /// Sets what other gateways have in flight.
     pub fn update_other_loads(&mut self, loads: &[Load]) {
-        self.servers.update_all(|known| known.hear(None));
+        self.servers.update_all(|state| state.set_other_load(None));
         for load in loads {
-            let hear = |known: &mut ServerState| known.hear(Some(load));
-            self.servers.update(&load.incarnation, hear);
+            let set_load = |state: &mut ServerState| state.set_other_load(Some(load));
+            self.servers.update(&load.incarnation, set_load);
         }
     }
 
-    /// Takes up what all gateways together have in flight at one incarnation; whoever gives it out
-    /// counts what is sent, so nothing is in flight from here.
+    /// Sets what all gateways together have in flight at one incarnation. This includes what was assigned here, so
+    /// nothing is counted as sent from here.
     pub fn set_in_flight(&mut self, incarnation: &str, in_flight: Option<&Load>) {
-        self.servers.update(incarnation, |known| {
-            known.forget_own();
-            known.hear(in_flight);
+        self.servers.update(incarnation, |state| {
+            state.reset_own_load();
+            state.set_other_load(in_flight);
         });
     }
 
-    /// The version that gets no more than some requests; none where all versions are alike.
-    pub fn set_trial(&mut self, on_trial: Option<TrialVersion>) {
-        self.trial = on_trial;
+    /// Sets the version on trial, which may get only a limited number of requests; `None` to treat all versions alike.
+    pub fn set_trial(&mut self, trial: Option<TrialVersion>) {
+        self.trial = trial;
     }
 
-    /// A server that it knows.
+    /// The server of an incarnation.
     #[must_use]
     pub fn get(&self, incarnation: &str) -> Option<&Arc<Server>> {
-        self.servers.get(incarnation).map(|known| &known.server)
+        self.servers.get(incarnation).map(|state| &state.server)
     }
 
-    /// The incarnations that it knows.
+    /// The incarnations in the pool.
     pub fn incarnations(&self) -> impl Iterator<Item = &Arc<str>> {
-        self.servers.all().map(|known| &known.server.incarnation)
+        self.servers.all().map(|state| &state.server.incarnation)
     }
 
-    /// Counts a request that is sent to `server` by the word of another; false where the server is
-    /// to take no new work from here.
+    /// Counts a request that is sent to `server` by a slot grant from outside the pool. Returns false, and counts
+    /// nothing, if the server must get no new work from here.
     pub fn accept_grant(&mut self, server: &Arc<Server>, prompt: Tokens, now: Instant) -> bool {
-        // Whoever gave the place may not have heard what the server told this host, or know another life of it.
+        // Whoever granted the slot may not know what the server announced to this host, or know another incarnation.
         self.notices.inherit(server, now);
         if self.notices.excludes(&server.incarnation, now) {
             return false;
         }
-        if !self.servers.has(&server.incarnation) {
-            self.servers.add_named(Arc::clone(server));
+        if !self.servers.contains(&server.incarnation) {
+            self.servers.add_unlisted(Arc::clone(server));
         }
-        let taken = self.servers.update(&server.incarnation, |known| {
-            let takes = !known.server.leaving;
-            if takes {
-                known.begin(prompt);
+        let accepted = self.servers.update(&server.incarnation, |state| {
+            let accepts = !state.server.leaving;
+            if accepts {
+                state.start_request(prompt);
             }
-            takes
+            accepts
         });
-        taken == Some(true)
+        accepted == Some(true)
     }
 
-    /// The servers that are left alone at `now` by a request that has `tried` some, and for how much
-    /// longer.
+    /// The servers that a request that has `tried` some must avoid at `now`, and for how much longer.
     pub fn avoided(
         &self,
         tried: &[Arc<str>],
@@ -170,28 +169,28 @@
         };
         let all_suspect = self.all_suspect(may, now);
         let avoided = self.servers.all();
-        let avoided = avoided.filter(move |known| !known.trust.is_usable(all_suspect, now));
-        avoided.map(move |known| {
-            let left = known.trust.avoid_for(now);
-            (Arc::clone(&known.server.incarnation), left)
+        let avoided = avoided.filter(move |state| !state.health.is_usable(all_suspect, now));
+        avoided.map(move |state| {
+            let remaining = state.health.avoid_for(now);
+            (Arc::clone(&state.server.incarnation), remaining)
         })
     }
 
-    /// For how much longer a server is left alone at `now`.
+    /// For how much longer a server is avoided at `now`, after failures or because it asked for a backoff.
     #[must_use]
     pub fn avoid_for(&self, incarnation: &str, now: Instant) -> Duration {
-        let known = self.servers.get(incarnation);
-        let left = known.map_or(Duration::ZERO, |known| known.trust.avoid_for(now));
-        left.max(self.notices.backoff(incarnation, now))
+        let state = self.servers.get(incarnation);
+        let remaining = state.map_or(Duration::ZERO, |state| state.health.avoid_for(now));
+        remaining.max(self.notices.backoff(incarnation, now))
     }
 
-    /// What servers have said of themselves to this host.
+    /// What servers have announced about themselves to this host.
     #[must_use]
     pub fn get_notices(&self) -> &Notices {
         &self.notices
     }
 
-    /// Takes note of what a server says of itself; gives what of it is new.
+    /// Records what a server announces about itself. Returns what is new about it.
     pub fn record_notice(
         &mut self,
         server: &Server,
@@ -199,204 +198,208 @@
         now: Instant,
     ) -> Option<Notice> {
         if notice == Notice::Draining {
-            self.servers.update(&server.incarnation, ServerState::leave);
+            self.servers.update(&server.incarnation, ServerState::drain);
         }
         if let Notice::Backoff(_) = notice {
-            // It may come from a life that has begun since the request was sent.
-            let lives = self.servers.all().map(|known| &known.server);
-            let lives = lives
-                .filter(|life| life.name == server.name && life.incarnation != server.incarnation);
-            for life in lives {
+            // The notice may come from an incarnation that started after the request was sent.
+            let others = self.servers.all().map(|state| &state.server);
+            let others = others.filter(|other| {
+                other.name == server.name && other.incarnation != server.incarnation
+            });
+            for other in others {
                 self.notices
-                    .record(&life.incarnation, &life.name, notice.clone(), now);
+                    .record(&other.incarnation, &other.name, notice.clone(), now);
             }
         }
         let (incarnation, name) = (&server.incarnation, &server.name);
         self.notices.record(incarnation, name, notice, now)
     }
 
-    /// A server has named its limit, or names none any more.
+    /// Sets the rate limit that a server has announced; `None` if it announces none any more.
     pub fn set_limit(&mut self, key: &Key, limit: Option<&Limit>, now: Instant) {
         self.limits.set(key, limit, now);
     }
 
-    /// Servers may be cold at times, and get no more than this; none where that makes no difference.
+    /// Sets the rate limit of cold servers; `None` if they take as much as others.
     pub fn set_warmup(&mut self, warmup: Option<Warmup>, now: Instant) {
         self.limits.set_warmup(warmup, now);
     }
 
-    /// How many requests a second the servers that take work take together, where all have named a limit.
+    /// How many requests a second all servers that accept work take together; `None` unless all of them have
+    /// announced a rate limit.
     #[must_use]
     pub fn total_limit_rate(&self) -> Option<f64> {
         if self.limits.is_empty() || !self.accepts_work() {
             return None;
         }
-        let taking = self.servers.all().filter(|known| known.takes_work());
-        let rates = taking.map(|known| self.limits.rate(&known.server));
+        let accepting = self.servers.all().filter(|state| state.accepts_work());
+        let rates = accepting.map(|state| self.limits.rate(&state.server));
         rates.sum()
     }
 
-    /// For how much longer all servers that take work rest, where they do: until the first one is to be had again.
+    /// If all servers that accept work back off, how long it takes until the first of them is available again.
     #[must_use]
     pub fn all_backing_off_for(&self, now: Instant) -> Option<Duration> {
-        let taking = self.servers.all().filter(|known| known.takes_work());
-        let rests = taking.map(|known| self.notices.backoff(&known.server.incarnation, now));
-        rests.min().filter(|least| !least.is_zero())
+        let accepting = self.servers.all().filter(|state| state.accepts_work());
+        let backoffs = accepting.map(|state| self.notices.backoff(&state.server.incarnation, now));
+        backoffs.min().filter(|shortest| !shortest.is_zero())
     }
 
-    /// A host that has a request in line here is asked for rest by a server.
+    /// Adds a backoff to a queued request, because a server asked the request's host for it.
     pub fn add_backoff(&mut self, ticket: Ticket, incarnation: &Arc<str>, until: Instant) {
-        if let Some(ask) = self.waiting.get_mut(ticket) {
-            ask.backoffs.push((Arc::clone(incarnation), until));
+        if let Some(request) = self.queue.get_mut(ticket) {
+            request.backoffs.push((Arc::clone(incarnation), until));
         }
     }
 
-    /// Takes up what an answer of a server told of its load.
+    /// Sets how many requests a server has in flight, as it reported in an answer.
     pub fn update_load(&mut self, incarnation: &str, in_flight: u32) {
-        self.servers.update(incarnation, |known| {
-            known.others = in_flight.saturating_sub(known.own);
+        self.servers.update(incarnation, |state| {
+            state.other_requests = in_flight.saturating_sub(state.own_requests);
         });
     }
 
-    /// Whether it has a server that takes new work.
+    /// Whether any server accepts new work.
     #[must_use]
     pub fn accepts_work(&self) -> bool {
-        self.servers.all().any(ServerState::takes_work)
+        self.servers.all().any(ServerState::accepts_work)
     }
 
     /// What is in flight from here.
     pub fn loads(&self) -> impl Iterator<Item = Load> {
-        let busy = self.servers.all().filter(|known| known.own > 0);
-        busy.map(|known| Load {
-            incarnation: Arc::clone(&known.server.incarnation),
-            requests: known.own,
-            reading: Tokens(known.own_reading),
+        let busy = self.servers.all().filter(|state| state.own_requests > 0);
+        busy.map(|state| Load {
+            incarnation: Arc::clone(&state.server.incarnation),
+            requests: state.own_requests,
+            reading: Tokens(state.own_unread_prompt),
         })
     }
 
-    /// Takes note that a server has read a request's prompt, or will not.
+    /// Records that a server has read a request's prompt, or will not read it.
     pub fn record_first_byte(&mut self, incarnation: &str, prompt: Tokens) {
-        self.servers.update(incarnation, |known| {
-            known.own_reading = known.own_reading.saturating_sub(prompt.0);
+        self.servers.update(incarnation, |state| {
+            state.own_unread_prompt = state.own_unread_prompt.saturating_sub(prompt.0);
         });
     }
 
-    /// Takes note of how a sending ended.
-    pub fn finish_attempt(&mut self, incarnation: &str, end: AttemptOutcome, now: Instant) {
-        self.note_gone(incarnation, end, now);
-        let is_done = self.servers.update(incarnation, |known| {
-            known.end();
-            known.judge(end, now);
-            known.is_done()
+    /// Records the end of an attempt and its outcome.
+    pub fn finish_attempt(&mut self, incarnation: &str, outcome: AttemptOutcome, now: Instant) {
+        self.record_gone(incarnation, outcome, now);
+        let is_unused = self.servers.update(incarnation, |state| {
+            state.end_request();
+            state.record_outcome(outcome, now);
+            state.is_unused()
         });
-        if is_done == Some(true) {
+        if is_unused == Some(true) {
             self.servers.remove(incarnation);
         }
     }
 
-    /// Takes note of something that is seen while a request still runs.
-    pub fn observe(&mut self, incarnation: &str, end: AttemptOutcome, now: Instant) {
-        self.note_gone(incarnation, end, now);
+    /// Records something observed about a server while an attempt still runs.
+    pub fn observe(&mut self, incarnation: &str, outcome: AttemptOutcome, now: Instant) {
+        self.record_gone(incarnation, outcome, now);
         self.servers
-            .update(incarnation, |known| known.judge(end, now));
+            .update(incarnation, |state| state.record_outcome(outcome, now));
     }
 
-    /// Takes note that an incarnation is gone or leaves, where an end says so.
-    fn note_gone(&mut self, incarnation: &str, end: AttemptOutcome, now: Instant) {
-        let known = self.servers.get(incarnation);
-        if let Some(server) = known.map(|known| Arc::clone(&known.server))
-            && end == AttemptOutcome::Gone
+    /// Records an incarnation as draining if the outcome shows that it is gone.
+    fn record_gone(&mut self, incarnation: &str, outcome: AttemptOutcome, now: Instant) {
+        let state = self.servers.get(incarnation);
+        if let Some(server) = state.map(|state| Arc::clone(&state.server))
+            && outcome == AttemptOutcome::Gone
         {
             self.record_notice(&server, Notice::Draining, now);
         }
     }
 }
 
-/// # Turns
+/// # Assignments
 impl Pool {
-    /// Until when servers have asked this host for rest.
+    /// The backoffs that servers have asked this host for, and when they end.
     pub(super) fn backoffs(&self, now: Instant) -> Vec<(Arc<str>, Instant)> {
-        let resting = self.notices.backing_off(now);
-        let resting = resting.map(|(incarnation, left)| (incarnation, now + left));
-        resting.collect()
+        let backoffs = self.notices.backing_off(now);
+        let backoffs = backoffs.map(|(incarnation, remaining)| (incarnation, now + remaining));
+        backoffs.collect()
     }
 
-    /// How many wait.
+    /// How many requests are queued.
     #[must_use]
     pub fn queue_len(&self) -> usize {
-        self.waiting.len()
-    }
-
-    /// Puts a request in line at `now`; tells who is turned away for want of room.
-    pub fn enqueue(&mut self, ask: Request, now: Instant) -> (Ticket, Option<Ticket>) {
-        self.next += 1;
-        let ticket = Ticket(self.next);
-        self.forecast.asked(ask.rank, now);
-        self.waiting.add(ticket, ask, now);
-        let crowded = self.waiting.len() > self.tuning.max_queued;
-        let last = if crowded { self.waiting.last() } else { None };
-        if let Some(last) = last {
-            self.waiting.remove(last);
+        self.queue.len()
+    }
+
+    /// Adds a request to the queue at `now`. Returns its ticket, and the ticket of the request that is rejected if the
+    /// queue is too long.
+    pub fn enqueue(&mut self, request: Request, now: Instant) -> (Ticket, Option<Ticket>) {
+        self.last_ticket += 1;
+        let ticket = Ticket(self.last_ticket);
+        self.forecast.record_arrival(request.rank, now);
+        self.queue.add(ticket, request, now);
+        let is_too_long = self.queue.len() > self.tuning.max_queued;
+        let rejected = if is_too_long { self.queue.last() } else { None };
+        if let Some(rejected) = rejected {
+            self.queue.remove(rejected);
         }
-        (ticket, last)
+        (ticket, rejected)
     }
 
-    /// Takes a request out of line; false where it does not wait any more.
+    /// Removes a request from the queue; false if it is not queued any more.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
-        self.waiting.remove(ticket)
+        self.queue.remove(ticket)
     }
 
-    /// Gives turns to those in line for whom there is room.
+    /// Assigns queued requests to servers with room.
     pub fn assign(&mut self, now: Instant) -> Vec<Assignment> {
-        let mut turns = Vec::new();
+        let mut assignments = Vec::new();
         let mut last = None;
-        let resting = self.backoffs(now);
-        self.waiting.age(now);
-        while let Some((in_line, ask)) = self.waiting.after(last) {
+        let backoffs = self.backoffs(now);
+        self.queue.demote_late(now);
+        while let Some((position, request)) = self.queue.next_after(last) {
             if !self.has_room() {
                 break;
             }
-            let (ticket, is_bound) = (in_line.ticket, ask.is_bound());
-            let ask = ask.with_rests(&resting).into_owned();
-            last = Some(in_line);
-            let Some(place) = self.choose_server(&ask, now) else {
-                // Only some servers are closed to it: the next in line may go to one of those.
-                if !is_bound {
+            let (ticket, is_restricted) = (position.ticket, request.is_restricted());
+            let request = request.with_backoffs(&backoffs).into_owned();
+            last = Some(position);
+            let Some(index) = self.choose_server(&request, now) else {
+                // Only this request is excluded from some servers; the next one may be sent to those.
+                if !is_restricted {
                     break;
                 }
                 continue;
             };
-            self.waiting.remove(ticket);
-            self.forecast.turn(now);
-            self.spend_trial_request(place);
-            // A server's limit is over all hosts, of which each sees its own part only: it is kept where all places
-            // are given.
-            let charged_to_limit = self.limits.draw(&self.servers.at(place).server, now);
-            self.servers.update_at(place, |known| {
-                known.trust.record_assignment(now);
-                known.begin(ask.prompt);
+            self.queue.remove(ticket);
+            self.forecast.record_assignment(now);
+            self.spend_trial_request(index);
+            // A server's rate limit applies to all hosts together, while each host sees its own requests only. It is
+            // therefore enforced where the slots of all hosts are granted.
+            let charged_to_limit = self.limits.draw(&self.servers.at(index).server, now);
+            self.servers.update_at(index, |state| {
+                state.health.record_assignment(now);
+                state.start_request(request.prompt);
             });
-            turns.push(Assignment {
+            assignments.push(Assignment {
                 ticket,
-                server: Arc::clone(&self.servers.at(place).server),
-                prompt: ask.prompt,
+                server: Arc::clone(&self.servers.at(index).server),
+                prompt: request.prompt,
                 charged_to_limit,
             });
         }
-        let is_held = self.waiting.len() > 0 && self.is_limited(now);
-        self.held.set(is_held, now);
-        turns
+        let waits_for_limits = self.queue.len() > 0 && self.has_room_beyond_limits(now);
+        self.limit_wait.set(waits_for_limits, now);
+        assignments
     }
 
-    /// Whether a server has room, and has got what it takes.
-    fn is_limited(&self, now: Instant) -> bool {
+    /// Whether a server has room but has used up its rate limit.
+    fn has_room_beyond_limits(&self, now: Instant) -> bool {
         let mut free = self.servers.free().iter();
-        let is_limited = |place: &usize| !self.limits.admits(&self.servers.at(*place).server, now);
+        let is_limited = |index: &usize| !self.limits.admits(&self.servers.at(*index).server, now);
         !self.limits.is_empty() && free.any(is_limited)
     }
 
-    /// For how long requests waited while a server had room and had got what it takes, since this was last asked for.
+    /// How long requests were queued although a server had room, because its rate limit was used up, since the last
+    /// call.
     pub fn take_limit_wait(&mut self) -> Duration {
-        self.held.take()
+        self.limit_wait.take()
     }
 }
--- a/crates/core/src/pool/trial_version.rs
+++ b/crates/core/src/pool/trial_version.rs
@@ -1,9 +1,9 @@
-//! Which requests a version on trial gets, and at which of its servers.
+//! Which requests are sent to a version on trial, and to which of its servers.
 //!
-//! Load pattern: a version may be bad only under load, and what it gets is a tenth of the requests at most.
-//! Spread over all its servers that leaves them idle. So it is given to few of them, which run as many
-//! requests as other servers do: answers are then compared at equal load. A rule that is asked for rarely would
-//! be tried last, so it goes first where too little is known under it.
+//! Load pattern: a version may be bad only under load, but it gets a tenth of the requests at most. Spread over all
+//! its servers, these would leave them idle. They are therefore sent to few of its servers, which run as many requests
+//! as servers of other versions do, so that answers are compared at equal load. Requests of a rarely used rule would be
+//! sampled last, so rules with too few samples go first.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -19,89 +19,96 @@
 use super::Request;
 use super::server_state::ServerState;
 
-/// One of so many requests of other rules is tried while too little is known under some: with none of them, a
-/// version that turned slow meanwhile got all requests in one trial of ten.
-const OTHERS: u32 = 8;
+/// While some rules lack samples, one in this many requests of the other rules is still sent to the version on trial.
+/// Without them, a version that became slow in the meantime got all requests in one trial of ten.
+const OTHER_RULES_RATIO: u32 = 8;
 
-/// A version that gets no more than some of the requests.
+/// A version on trial, which may get only a limited number of requests.
 #[derive(Clone, Debug)]
 pub struct TrialVersion {
     /// The version.
     pub version: Version,
-    /// How many requests it may get now.
+    /// How many more requests it may get now.
     pub remaining_requests: u32,
-    /// The rules under which too little is known of it: where there are any, it gets few requests of others.
+    /// The rules with too few samples of it. If there are any, it gets few requests of other rules.
     pub under_sampled_rules: Vec<Arc<str>>,
 }
 
 impl TrialVersion {
-    /// Whether a request is of those that are to be tried first.
-    fn prefers(&self, ask: &Request) -> bool {
-        let is_lacking = |rule: &Arc<str>| self.under_sampled_rules.contains(rule);
-        self.under_sampled_rules.is_empty() || ask.rule.as_ref().is_some_and(is_lacking)
+    /// Whether a request should be sent to the version on trial first.
+    fn prefers(&self, request: &Request) -> bool {
+        let is_under_sampled = |rule: &Arc<str>| self.under_sampled_rules.contains(rule);
+        self.under_sampled_rules.is_empty() || request.rule.as_ref().is_some_and(is_under_sampled)
     }
 }
 
 impl Pool {
-    /// Whether requests go to `server` without a bound.
-    pub(super) fn is_unrestricted(on_trial: Option<&TrialVersion>, server: &Server) -> bool {
-        on_trial.is_none_or(|on_trial| on_trial.version != server.version)
+    /// Whether the number of requests to `server` is not limited by a trial.
+    pub(super) fn is_unrestricted(trial: Option<&TrialVersion>, server: &Server) -> bool {
+        trial.is_none_or(|trial| trial.version != server.version)
     }
 
-    /// The place of the server that a request is tried at, where it is.
-    pub(super) fn choose_trial_server(&mut self, ask: &Request, now: Instant) -> Option<usize> {
-        let on_trial = self.trial.as_ref();
-        let on_trial = on_trial.filter(|on_trial| {
-            let is_first = on_trial.prefers(ask) || self.random.random_ratio(1, OTHERS);
-            is_first && on_trial.remaining_requests > 0
+    /// The index of the server of the version on trial that a request is sent to; `None` if it is not sent to that
+    /// version.
+    pub(super) fn choose_trial_server(&mut self, request: &Request, now: Instant) -> Option<usize> {
+        let trial = self.trial.as_ref();
+        let trial = trial.filter(|trial| {
+            let is_chosen =
+                trial.prefers(request) || self.random.random_ratio(1, OTHER_RULES_RATIO);
+            is_chosen && trial.remaining_requests > 0
         });
-        let on_trial = on_trial.cloned()?;
-        let usual = self.mean_load(&on_trial);
+        let trial = trial.cloned()?;
+        let mean_load = self.mean_load(&trial);
         let free = self
             .servers
             .free()
             .iter()
-            .map(|place| (*place, self.servers.at(*place)));
-        let may = free.filter(|(_, known)| {
-            known.server.version == on_trial.version
-                && ask.may_go_to(&known.server, now)
-                && known.trust.is_usable(false, now)
-                && self.limits.admits(&known.server, now)
+            .map(|index| (*index, self.servers.at(*index)));
+        let candidates = free.filter(|(_, state)| {
+            state.server.version == trial.version
+                && request.may_go_to(&state.server, now)
+                && state.health.is_usable(false, now)
+                && self.limits.admits(&state.server, now)
         });
-        // Those that run less than others do come first, in an order that is another one each second: so
-        // servers of all kinds are tried, a few at a time. One that fails by itself is left to the last, as
-        // among others: at half of all servers failing half of their answers, three good versions in ten
-        // looked bad beside others whose failing servers got nothing any more.
+        // Servers below the mean load go first, in an order that changes every second, so that all servers are sampled,
+        // a few at a time. A server that fails by itself goes last, as it does in other versions. Without this, and
+        // with half of all servers failing half of their answers, three of ten good versions looked bad compared with
+        // others whose failing servers no longer got requests.
         let second = now.0 / 1_000_000;
-        let order = |known: &ServerState| {
-            let load = known.in_flight();
-            let is_idle = f64::from(load) < usual;
-            let lot = version(&(second, &known.server.incarnation));
-            let busy = if is_idle { 0 } else { load };
-            (Reverse(is_idle), busy, known.trust.failure_grade(), lot)
+        let order = |state: &ServerState| {
+            let load = state.in_flight();
+            let is_below_mean = f64::from(load) < mean_load;
+            let shuffled = version(&(second, &state.server.incarnation));
+            let excess_load = if is_below_mean { 0 } else { load };
+            (
+                Reverse(is_below_mean),
+                excess_load,
+                state.health.failure_grade(),
+                shuffled,
+            )
         };
-        let best = may.min_by_key(|(_, known)| order(known));
-        best.map(|(place, _)| place)
+        let best = candidates.min_by_key(|(_, state)| order(state));
+        best.map(|(index, _)| index)
     }
 
-    /// How many requests a server of another version runs in the mean.
-    fn mean_load(&self, on_trial: &TrialVersion) -> f64 {
-        let open = self.servers.all().filter(|known| {
-            known.takes_work() && Self::is_unrestricted(Some(on_trial), &known.server)
+    /// The mean number of requests in flight at servers of other versions.
+    fn mean_load(&self, trial: &TrialVersion) -> f64 {
+        let others = self.servers.all().filter(|state| {
+            state.accepts_work() && Self::is_unrestricted(Some(trial), &state.server)
         });
-        let (servers, load) = open.fold((0_u32, 0_u32), |(servers, load), known| {
-            (servers + 1, load.saturating_add(known.in_flight()))
+        let (servers, load) = others.fold((0_u32, 0_u32), |(servers, load), state| {
+            (servers + 1, load.saturating_add(state.in_flight()))
         });
         f64::from(load) / f64::from(servers.max(1))
     }
 
-    /// Counts a turn at the server at `place`.
-    pub(super) fn spend_trial_request(&mut self, place: usize) {
-        let version = &self.servers.at(place).server.version;
-        if let Some(on_trial) = &mut self.trial
-            && on_trial.version == *version
+    /// Counts a request that is sent to the server at `index`, if that runs the version on trial.
+    pub(super) fn spend_trial_request(&mut self, index: usize) {
+        let version = &self.servers.at(index).server.version;
+        if let Some(trial) = &mut self.trial
+            && trial.version == *version
         {
-            on_trial.remaining_requests = on_trial.remaining_requests.saturating_sub(1);
+            trial.remaining_requests = trial.remaining_requests.saturating_sub(1);
         }
     }
 }
--- a/crates/core/src/pool/tuning.rs
+++ b/crates/core/src/pool/tuning.rs
@@ -1,23 +1,22 @@
-//! What weighs how much in the choice.
+//! The weights and limits of a pool.
 
-/// How a pool chooses.
+/// How a pool chooses servers and limits its queue.
 #[derive(Clone, Copy, Debug)]
 pub struct Tuning {
-    /// Requests beyond a server's slots that may be in flight there: what has ended is heard late, by
-    /// a round trip at the hub and by more at other gateways, and an engine that finds nothing
-    /// waiting rests meanwhile.
+    /// How many requests beyond a server's slots may be in flight there. The hub learns a round trip late that a
+    /// request has ended, other gateways later still, and an engine without a waiting request idles meanwhile.
     pub extra_in_flight: u32,
-    /// What a request itself counts, in requests beside it: tokens of one are hardly slowed by
-    /// others beside it, so a fast server is better than an empty slow one until it is full.
+    /// The cost of the request itself, in units of one request in flight. Other requests hardly slow the tokens of one
+    /// request, so a fast server is better than an empty slow one until it is full.
     pub request_cost: f64,
-    /// What a thousand tokens of its prompt count, and of those that the server still reads, in
-    /// requests beside it: reading a long prompt takes longest, and holds up all beside it.
+    /// The cost of a thousand prompt tokens, of this request or still to be read by the server, in units of one request
+    /// in flight. Reading a long prompt takes longest and delays all other requests there.
     pub prompt_cost: f64,
-    /// By how much more a server in another data hall must be free to be taken, in requests.
+    /// The cost of a server in another data hall, in units of one request in flight.
     pub remote_hall_cost: f64,
-    /// By how much the failed part of a server's answers makes it less wanted.
+    /// How strongly a server's failure rate raises its cost.
     pub failure_penalty: f64,
-    /// How many may wait; beyond it the last one in order is turned away.
+    /// How many requests may be queued; beyond this the last one in order is rejected.
     pub max_queued: usize,
 }
 
