--- a/crates/core/src/route/homes.rs
+++ b/crates/core/src/route/homes.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The regions that a rule or a customer keeps its requests in; by default they may go anywhere.
+/// The regions that requests of a rule or a customer must stay in; by default they may go anywhere.
 ///
 /// # Examples
 ///
@@ -19,14 +19,14 @@
 pub struct Homes(Option<BTreeSet<Arc<str>>>);
 
 impl Homes {
-    /// These regions; of none, anywhere.
+    /// Restricts requests to `regions`; without any regions they may go anywhere.
     #[must_use]
     pub fn new(regions: impl IntoIterator<Item = Arc<str>>) -> Self {
         let regions: BTreeSet<_> = regions.into_iter().collect();
         Self((!regions.is_empty()).then_some(regions))
     }
 
-    /// The regions that both allow; both bind, so there may be none.
+    /// The regions that both allow. If they have none in common, no region is allowed.
     #[must_use]
     pub fn intersection(&self, other: &Self) -> Self {
         match (&self.0, &other.0) {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Which region each data hall is in.
+/// The region of each data hall.
 ///
 /// # Examples
 ///
@@ -52,20 +52,20 @@
 pub struct Regions(BTreeMap<Arc<str>, Arc<str>>);
 
 impl Regions {
-    /// The region of each of these data halls.
+    /// Creates the map from pairs of a data hall and its region.
     #[must_use]
     pub fn new(halls: impl IntoIterator<Item = (Arc<str>, Arc<str>)>) -> Self {
         Self(halls.into_iter().collect())
     }
 
-    /// The region that a data hall is in; none where the hall is not known.
+    /// The region of a data hall; `None` if the hall is not known.
     #[must_use]
     pub fn get(&self, hall: &str) -> Option<&Arc<str>> {
         self.0.get(hall)
     }
 
-    /// The data halls that requests with these homes may go to; none where they may go anywhere. A hall that is not
-    /// known is in no region.
+    /// The data halls that requests with these homes may go to; `None` if they may go anywhere. A hall that is not
+    /// known belongs to no region.
     #[must_use]
     pub fn halls(&self, homes: &Homes) -> Option<Arc<[Arc<str>]>> {
         let homes = homes.0.as_ref()?;
--- a/crates/core/src/route/kind.rs
+++ b/crates/core/src/route/kind.rs
@@ -1,22 +1,22 @@
-//! What may be repeated.
+//! Whether requests may run more than once, and how they are answered.
 
 use std::fmt;
 
-/// What kind of requests a rule takes.
+/// The kind of requests that a rule matches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// May run more than once.
     Safe,
-    /// May run once.
+    /// May run only once.
     Unsafe,
-    /// Runs once and is answered by a stream of events.
+    /// May run only once, and is answered by a stream of events.
     Streaming,
-    /// Answered by a stream that another backend server may take up where it broke.
+    /// Answered by a stream that another backend server can resume if it is interrupted.
     Resumable,
 }
 
 impl Kind {
-    /// Whether a request of this kind may be sent again although it may have run.
+    /// Whether a request of this kind may be retried although it may already have run.
     #[must_use]
     pub const fn is_repeatable(self) -> bool {
         matches!(self, Self::Safe | Self::Resumable)
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -1,4 +1,4 @@
-//! Routing tables: which requests go to which services, given whole under a rising number.
+//! Routing tables: which requests go to which services. A table is replaced as a whole, under a rising version number.
 
 mod customer;
 mod homes;
--- a/crates/core/src/route/rank.rs
+++ b/crates/core/src/route/rank.rs
@@ -1,4 +1,4 @@
-//! How urgent a request is.
+//! The priority of a request.
 
 use std::fmt;
 
@@ -8,45 +8,44 @@
 use super::CustomerPolicy;
 use super::Rule;
 
-/// How urgent a request is: its customer's rank first, and among customers of the same rank its
-/// rule's; 0 is the highest.
+/// The priority of a request: its customer's rank, and among customers of the same rank its rule's
+/// rank. 0 is the highest.
 ///
-/// With the customer's rank alone, customers of one rank would have no order among their kinds of
-/// requests: whoever waits the least time would be turned away first, however urgent.
+/// With the customer's rank alone, requests of customers of one rank would have no order: those
+/// that have waited for the shortest time would be rejected first, however urgent they are.
 ///
 /// # Examples
 ///
 /// ```
 /// use curlewlift_core::route::Rank;
-/// let letter = Rank { customer: 1, rule: 0 };
-/// let summary = Rank { customer: 1, rule: 2 };
-/// assert!(letter < summary);
-/// assert!(summary < Rank { customer: 2, rule: 0 });
+/// let chat = Rank { customer: 1, rule: 0 };
+/// let batch = Rank { customer: 1, rule: 2 };
+/// assert!(chat < batch);
+/// assert!(batch < Rank { customer: 2, rule: 0 });
 /// ```
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Rank {
-    /// The customer's.
+    /// The customer's rank.
     pub customer: u8,
-    /// The rule's.
+    /// The rule's rank.
     pub rule: u8,
 }
 
 impl Rank {
-    /// The rank of a request that `rule` takes; a customer that has none of its own counts by the
-    /// rule's.
+    /// The rank of a request that matches `rule`. A customer without a rank of its own gets the rule's.
     #[must_use]
-    pub fn new(rule: &Rule, account: Option<&CustomerPolicy>) -> Self {
-        let customer = account.and_then(|account| account.rank);
+    pub fn new(rule: &Rule, customer: Option<&CustomerPolicy>) -> Self {
+        let customer_rank = customer.and_then(|customer| customer.rank);
         Self {
-            customer: customer.unwrap_or(rule.rank),
+            customer: customer_rank.unwrap_or(rule.rank),
             rule: rule.rank,
         }
     }
 }
 
-/// The rank of requests whose customers have none.
+/// The rank of requests whose customers have no rank of their own.
 impl From<u8> for Rank {
     fn from(rank: u8) -> Self {
         Self {
--- a/crates/core/src/route/rule.rs
+++ b/crates/core/src/route/rule.rs
@@ -1,4 +1,4 @@
-//! One rule of a routing table.
+//! A rule of a routing table.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,68 +8,67 @@
 use super::Homes;
 use super::Kind;
 
-/// A service that a rule sends to, and its share.
+/// A service that a rule sends requests to, and its weight.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
     /// The service.
     pub service: id::Service,
-    /// Its share, against the other targets' shares.
+    /// Its share of the requests, relative to the weights of the other targets.
     pub weight: f64,
 }
 
-/// Which requests it takes, and how they are treated.
+/// Which requests a rule matches, and how they are handled.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
     /// Its name.
     pub name: Arc<str>,
-    /// The host that the request names, in lower case and without a port.
+    /// The host name of the requests, in lower case and without a port.
     pub host: Arc<str>,
-    /// What the path begins with; begins and ends with a slash.
+    /// The prefix of the path, which begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// Whether its requests may run more than once, and how they are answered.
     pub kind: Kind,
-    /// How long a request may be held in all.
+    /// The longest time that a request may take in total.
     pub timeout: Duration,
-    /// Within what time an answer (of a stream, its first event) is wanted.
+    /// The latency objective: the time within which an answer, or the first event of a stream, should arrive.
     pub objective: Duration,
-    /// The longest pause between the pieces of a stream that is still in time; none where nothing is
-    /// said of it.
+    /// The longest time between two chunks of a stream that still meets the objective; `None` for no such objective.
     pub max_gap: Option<Duration>,
-    /// The rank of its requests, 0 first.
+    /// The rank of its requests; 0 is the highest.
     pub rank: u8,
-    /// Where they go; the weights add up to more than 0.
+    /// The services that its requests go to; the weights add up to more than 0.
     pub targets: Vec<Target>,
-    /// How many backend servers one request may be sent to, at the most.
+    /// The maximum number of backend servers that one request may be sent to.
     pub attempts: u8,
-    /// Whether no key is needed.
+    /// Whether requests need no key.
     pub public: bool,
     /// The regions that its requests must stay in.
     pub homes: Homes,
 }
 
 impl Rule {
-    /// The service for a request that drew `lot`, 0 to below 1.
+    /// The service for a request, chosen by weight with the random number `random`, from 0 to below 1.
     ///
     /// # Examples
     ///
-    /// Two targets with weights 90 and 10: a lot of 0.95 falls to the second.
+    /// With two targets of weights 90 and 10, 0.95 selects the second.
     #[must_use]
-    pub fn pick_target(&self, lot: f64) -> Option<&id::Service> {
+    pub fn pick_target(&self, random: f64) -> Option<&id::Service> {
         let total: f64 = self.targets.iter().map(|target| target.weight).sum();
-        let mut left = lot * total;
-        let weighed = self.targets.iter().filter(|target| target.weight > 0.0);
+        let mut remaining = random * total;
+        let weighted = self.targets.iter().filter(|target| target.weight > 0.0);
         let mut last = None;
-        for target in weighed {
+        for target in weighted {
             last = Some(&target.service);
-            if left < target.weight {
+            if remaining < target.weight {
                 break;
             }
-            left -= target.weight;
+            remaining -= target.weight;
         }
         last
     }
 
-    /// Whether it takes a request to `path`.
+    /// Whether it matches requests to `path`.
     #[must_use]
     pub fn matches(&self, path: &str) -> bool {
         path.starts_with(&*self.prefix)
--- a/crates/core/src/route/table.rs
+++ b/crates/core/src/route/table.rs
@@ -1,4 +1,4 @@
-//! A routing table: valid as a whole, or refused as a whole.
+//! A routing table, which is accepted or refused as a whole.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -13,16 +13,16 @@
 use super::CustomerPolicy;
 use super::Rule;
 
-/// What a caller may send, and how long it may take.
+/// Limits on the size of requests and on the time that callers take to send them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The largest head of a request, in bytes.
+    /// The maximum size of a request's headers, in bytes.
     pub header_bytes: usize,
-    /// The largest body of a request, in bytes.
+    /// The maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// How long a head may take to arrive.
+    /// The maximum time for the headers to arrive.
     pub header_time: Duration,
-    /// How long a connection may rest.
+    /// The maximum time that a connection may be idle.
     pub idle_time: Duration,
 }
 
@@ -37,34 +37,34 @@
     }
 }
 
-/// A service as a routing table has it.
+/// The settings of a service in a routing table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServicePolicy {
-    /// How many connections one of its backend servers takes from all entries together.
+    /// The maximum number of connections from all entries together to one of its backend servers.
     pub max_connections: u32,
-    /// The path of its health check.
+    /// The path of its servers' health check.
     pub health_path: Arc<str>,
-    /// How many requests a second one of its backend servers takes while it is cold; none where that is as many as
-    /// later.
+    /// How many requests per second one of its backend servers takes while it is cold; `None` if a cold server takes as
+    /// many as a warm one.
     pub cold_rate: Option<Rate>,
 }
 
-/// The parts of a table, before they are checked.
+/// The parts of a table, before they are validated.
 #[derive(Clone, Debug, Default)]
 pub struct Parts {
-    /// Its number.
+    /// The version number of the table.
     pub number: u64,
     /// The rules.
     pub rules: Vec<Rule>,
     /// The services.
     pub services: BTreeMap<id::Service, ServicePolicy>,
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub limits: Limits,
-    /// The customers; none where requests need no key.
+    /// The customers; `None` if requests need no key.
     pub customers: Option<Vec<CustomerPolicy>>,
 }
 
-/// A routing table whose parts fit together.
+/// A validated routing table.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     number: u64,
@@ -72,34 +72,36 @@
     services: BTreeMap<id::Service, ServicePolicy>,
     limits: Limits,
     customers: Option<Vec<Arc<CustomerPolicy>>>,
+    /// The index of the customer that has each key.
     keys: HashMap<String, usize>,
 }
 
 impl Table {
-    /// A table of `parts`.
+    /// Validates `parts` and builds a table of them.
     ///
     /// # Errors
     ///
-    /// [`Code::BadValue`] where a rule names a service that is not there, has no weight or no
-    /// time, where two rules take the same requests, or two customers have the same key.
+    /// [`Code::BadValue`] if a rule names an unknown service, has an invalid prefix, weights that are
+    /// negative or add up to 0, no timeout or no attempts, if two rules match the same requests, or if
+    /// two customers have the same key.
     pub fn new(parts: Parts) -> Result<Self, Refusal> {
         let mut hosts: HashMap<Arc<str>, Vec<Arc<Rule>>> = HashMap::new();
         for rule in parts.rules {
-            check(&rule, &parts.services)?;
+            validate_rule(&rule, &parts.services)?;
             let rules = hosts.entry(Arc::clone(&rule.host)).or_default();
             if rules.iter().any(|other| other.prefix == rule.prefix) {
-                let why = format!("two rules take {}{}", rule.host, rule.prefix);
-                return Err(bad(why));
+                let why = format!("two rules match {}{}", rule.host, rule.prefix);
+                return Err(bad_value(why));
             }
             rules.push(Arc::new(rule));
         }
         for rules in hosts.values_mut() {
             rules.sort_by_key(|rule| std::cmp::Reverse(rule.prefix.len()));
         }
-        let keys = keys(parts.customers.as_deref().unwrap_or_default())?;
+        let keys = index_keys(parts.customers.as_deref().unwrap_or_default())?;
         let customers = parts
             .customers
-            .map(|accounts| accounts.into_iter().map(Arc::new).collect());
+            .map(|customers| customers.into_iter().map(Arc::new).collect());
         Ok(Self {
             number: parts.number,
             hosts,
@@ -110,13 +112,13 @@
         })
     }
 
-    /// Its number.
+    /// Its version number.
     #[must_use]
     pub fn get_number(&self) -> u64 {
         self.number
     }
 
-    /// What callers may send.
+    /// Limits on what callers may send.
     #[must_use]
     pub fn get_limits(&self) -> Limits {
         self.limits
@@ -128,7 +130,7 @@
         &self.services
     }
 
-    /// The rules, in no order.
+    /// The rules, in no particular order.
     pub fn rules(&self) -> impl Iterator<Item = &Arc<Rule>> {
         self.hosts.values().flatten()
     }
@@ -138,14 +140,14 @@
         self.customers.iter().flatten()
     }
 
-    /// The rule with the longest prefix that takes a request to `path` at `host`.
+    /// The rule with the longest prefix that matches a request to `path` at `host`.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Rule>> {
         let host = host.split(':').next().unwrap_or_default();
-        let lower;
+        let lowercase;
         let host = if host.bytes().any(|byte| byte.is_ascii_uppercase()) {
-            lower = host.to_ascii_lowercase();
-            &lower
+            lowercase = host.to_ascii_lowercase();
+            &lowercase
         } else {
             host
         };
@@ -153,63 +155,74 @@
         rules.iter().find(|rule| rule.matches(path))
     }
 
-    /// Whether requests need a key at all.
+    /// Whether requests need a key.
     #[must_use]
     pub fn needs_key(&self) -> bool {
         self.customers.is_some()
     }
 
-    /// The customer with `key`.
+    /// The customer that has `key`.
     #[must_use]
     pub fn customer(&self, key: &str) -> Option<&Arc<CustomerPolicy>> {
-        let place = self.keys.get(key)?;
-        self.customers.as_ref()?.get(*place)
+        let index = self.keys.get(key)?;
+        self.customers.as_ref()?.get(*index)
     }
 }
 
-fn check(rule: &Rule, services: &BTreeMap<id::Service, ServicePolicy>) -> Result<(), Refusal> {
+fn validate_rule(
+    rule: &Rule,
+    services: &BTreeMap<id::Service, ServicePolicy>,
+) -> Result<(), Refusal> {
     let name = &rule.name;
-    let slashes = rule.prefix.starts_with('/') && rule.prefix.ends_with('/');
-    if !slashes {
-        let why = format!("rule {name}: a prefix begins and ends with a slash");
-        return Err(bad(why));
+    let has_slashes = rule.prefix.starts_with('/') && rule.prefix.ends_with('/');
+    if !has_slashes {
+        let why = format!("rule {name}: the path prefix must begin and end with a slash");
+        return Err(bad_value(why));
     }
     if rule.timeout.is_zero() {
-        return Err(bad(format!("rule {name}: the time-out is 0")));
+        return Err(bad_value(format!("rule {name}: the timeout is 0")));
     }
     if rule.attempts == 0 {
-        return Err(bad(format!("rule {name}: no attempt is allowed")));
+        return Err(bad_value(format!(
+            "rule {name}: the number of attempts is 0"
+        )));
     }
     for target in &rule.targets {
         if !services.contains_key(&target.service) {
             let why = format!("rule {name}: there is no service {}", target.service);
-            return Err(bad(why));
+            return Err(bad_value(why));
         }
         if !target.weight.is_finite() || target.weight < 0.0 {
-            return Err(bad(format!("rule {name}: a weight is below 0")));
+            return Err(bad_value(format!(
+                "rule {name}: a weight is negative or not finite"
+            )));
         }
     }
     let total: f64 = rule.targets.iter().map(|target| target.weight).sum();
     if total <= 0.0 {
-        return Err(bad(format!("rule {name}: the weights add up to 0")));
+        return Err(bad_value(format!("rule {name}: the weights add up to 0")));
     }
     Ok(())
 }
 
-fn keys(accounts: &[CustomerPolicy]) -> Result<HashMap<String, usize>, Refusal> {
+/// Maps each key to the index of its customer.
+fn index_keys(customers: &[CustomerPolicy]) -> Result<HashMap<String, usize>, Refusal> {
     let mut keys = HashMap::new();
-    for (place, account) in accounts.iter().enumerate() {
-        for key in &account.keys {
-            let other = keys.insert(key.clone(), place);
-            if other.is_some_and(|other| other != place) {
-                let why = format!("customer {} has a key of another customer", account.name);
-                return Err(bad(why));
+    for (index, customer) in customers.iter().enumerate() {
+        for key in &customer.keys {
+            let other = keys.insert(key.clone(), index);
+            if other.is_some_and(|other| other != index) {
+                let why = format!(
+                    "customer {} has the same key as another customer",
+                    customer.name
+                );
+                return Err(bad_value(why));
             }
         }
     }
     Ok(keys)
 }
 
-fn bad(why: String) -> Refusal {
+fn bad_value(why: String) -> Refusal {
     Refusal::new(Code::BadValue, why)
 }
