--- a/crates/core/src/evacuation/halls.rs
+++ b/crates/core/src/evacuation/halls.rs
@@ -1,4 +1,4 @@
-//! The data halls that are evacuated.
+//! The set of evacuated data halls.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use super::Action;
 use super::Order;
 
-/// The data halls that are evacuated, as one value that every replica computes alike.
+/// The data halls that are evacuated. Every replica computes the same value from the log.
 ///
 /// # Examples
 ///
@@ -28,7 +28,7 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuatedHalls {
-    /// By hall, when its evacuation was ordered, in milliseconds of Unix time.
+    /// When the evacuation of each hall was ordered, in milliseconds of Unix time.
     since: BTreeMap<Arc<str>, u64>,
 }
 
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Whether an order would change nothing.
+    /// Whether an order would change nothing, as its effect is already in place.
     #[must_use]
     pub fn is_applied(&self, order: &Order) -> bool {
         self.is_evacuated(&order.hall) == (order.action == Action::Start)
@@ -58,7 +58,7 @@
         self.since.contains_key(hall)
     }
 
-    /// The halls, and since when each is evacuated, in milliseconds of Unix time.
+    /// The evacuated halls, and since when each is evacuated, in milliseconds of Unix time.
     pub fn iter(&self) -> impl Iterator<Item = (&Arc<str>, u64)> {
         self.since.iter().map(|(hall, since)| (hall, *since))
     }
--- a/crates/core/src/evacuation/mod.rs
+++ b/crates/core/src/evacuation/mod.rs
@@ -1,7 +1,7 @@
 //! Data halls that operators empty before maintenance: their backend servers get no new work until the evacuation ends.
 //!
-//! Which halls those are is agreed in the log, so that it outlives the hosts that took the order. The hub gives no
-//! places there, and gateways learn of it with the policy by which they choose themselves.
+//! The set of evacuated halls is committed in the log, so that it survives the hosts that received the orders. The hub
+//! grants no slots in those halls. Gateways receive the set with the policy that they choose servers by themselves with.
 
 mod halls;
 mod order;
--- a/crates/core/src/evacuation/order.rs
+++ b/crates/core/src/evacuation/order.rs
@@ -1,4 +1,4 @@
-//! What operators order.
+//! Operators' orders to start or end an evacuation.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,12 +6,12 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What is to become of a data hall.
+/// What an order does to a data hall.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Action {
-    /// Its backend servers get no new work.
+    /// Starts the evacuation: the hall's backend servers get no new work.
     Start,
-    /// They get work again.
+    /// Ends the evacuation: they get work again.
     End,
 }
 
@@ -24,13 +24,13 @@
     }
 }
 
-/// An operator's order; given again it changes nothing.
+/// An operator's order. Giving the same order again changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     /// The data hall.
     pub hall: Arc<str>,
-    /// What is to become of it.
+    /// Whether its evacuation starts or ends.
     pub action: Action,
-    /// When the leader took the order, in milliseconds of Unix time; only told to operators.
+    /// When the leader received the order, in milliseconds of Unix time; only shown to operators.
     pub given_ms: u64,
 }
