--- a/crates/core/src/gateway/retries.rs
+++ b/crates/core/src/gateway/retries.rs
@@ -39,7 +39,7 @@
         let Some(allowance) = self.allowance else {
             return false;
         };
-        let depth = allowance.floor * HUB_FLOOR_FRACTION / 2.0;
+        let depth = allowance.min_retries * HUB_FLOOR_FRACTION / 2.0;
         let rate = depth / allowance.window.as_secs_f64();
         let bucket = self.buckets.entry(service.clone());
         let bucket = bucket.or_insert_with(|| Bucket::new(0.0, self.started));
--- a/crates/core/src/gateway/rollouts.rs
+++ b/crates/core/src/gateway/rollouts.rs
@@ -64,8 +64,9 @@
     /// What of a list the hub gives places at.
     pub(super) fn admitted_servers(&self, listing: &ServerList) -> ServerList {
         let servers = listing.servers.iter();
-        let admitted = servers
-            .filter(|server| self.trials.admits(server) && !self.evacuated.has(&server.hall));
+        let admitted = servers.filter(|server| {
+            self.trials.admits(server) && !self.evacuated.is_evacuated(&server.hall)
+        });
         ServerList::new(admitted.cloned().collect())
     }
 
