--- a/crates/core/src/queue/action.rs
+++ b/crates/core/src/queue/action.rs
@@ -1,25 +1,25 @@
-//! What the owner tells an entry.
+//! The decisions that the owner of a queue sends to entries.
 
 use crate::code::Refusal;
 use crate::fleet::Pick;
 
 use super::Ticket;
 
-/// What the owner tells the entry that asked.
+/// A decision of the owner about one request, sent to the entry that submitted it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send it to this server now.
+    /// Send the request to this server now.
     Grant {
-        /// Whose turn it is.
+        /// The request that is granted a slot.
         ticket: Ticket,
-        /// The server and what to expect of it.
+        /// The server, and the response times expected of it.
         pick: Pick,
     },
-    /// It will not run.
+    /// The request will not be run.
     Refuse {
-        /// Whose request it is.
+        /// The request that is refused.
         ticket: Ticket,
-        /// Why.
+        /// The result code and the reason.
         refusal: Refusal,
     },
 }
--- a/crates/core/src/queue/admission.rs
+++ b/crates/core/src/queue/admission.rs
@@ -1,4 +1,4 @@
-//! Which requests may wait, and which are shed.
+//! Decides which requests may be queued, and which queued ones are shed.
 
 use crate::clock::Instant;
 use crate::code::Code;
@@ -10,55 +10,69 @@
 use super::Ticket;
 use super::customer_queue::WaitingRequest;
 use super::dispatch::cannot_finish;
-use super::dispatch::work_of;
+use super::dispatch::to_work;
 use super::position::Position;
 use super::tier_queue::TierQueue;
 
 /// # Admission
 impl Queue {
-    /// Whether a request may wait at all.
-    pub(super) fn admit(&self, ask: &Request, now: Instant) -> Result<(), Refusal> {
-        let held = self
+    /// Checks whether a request may be queued.
+    ///
+    /// Refuses it if its customer has too many requests queued, if no server is live, or if even the
+    /// fastest server couldn't meet its deadlines.
+    pub(super) fn admit(&self, request: &Request, now: Instant) -> Result<(), Refusal> {
+        let waiting_count = self
             .tiers
-            .get(&ask.rank)
-            .map_or(0, |tier| tier.count(&ask.customer));
-        if held >= ask.max_waiting as usize {
+            .get(&request.rank)
+            .map_or(0, |tier| tier.count(&request.customer));
+        if waiting_count >= request.max_waiting as usize {
             let why = format!(
-                "{held} requests of this customer wait; it may have {}",
-                ask.max_waiting
+                "{waiting_count} requests of this customer are queued already; the limit is {}",
+                request.max_waiting
             );
             return Err(Refusal::new(Code::QueueLimit, why));
         }
-        let length = self.lengths.get(&ask.customer).copied().unwrap_or_default();
-        let work = work_of(ask, length.expect(ask.max_output));
+        let length = self
+            .lengths
+            .get(&request.customer)
+            .copied()
+            .unwrap_or_default();
+        let work = to_work(request, length.estimate(request.max_output));
         let Some(fastest) = self.fleet.fastest(&work) else {
             return Err(Refusal::new(
                 Code::NoServer,
                 "no backend server of the service is live",
             ));
         };
-        if now + fastest.first > ask.first_token_deadline || now + fastest.whole > ask.deadline {
+        if now + fastest.first > request.first_token_deadline
+            || now + fastest.whole > request.deadline
+        {
             return Err(cannot_finish(&fastest));
         }
         Ok(())
     }
 
-    pub(super) fn wait(&mut self, waiting: WaitingRequest) {
+    /// Adds an admitted request to the queue of its tier.
+    pub(super) fn enqueue(&mut self, waiting: WaitingRequest) {
         self.arrivals += 1;
-        let ask = &waiting.ask;
-        let key = (ask.deadline, self.arrivals);
+        let request = &waiting.request;
+        let key = (request.deadline, self.arrivals);
         let position = Position {
-            rank: ask.rank,
-            customer: ask.customer.clone(),
+            rank: request.rank,
+            customer: request.customer.clone(),
             key,
         };
-        self.deadlines.insert((ask.deadline, ask.ticket.clone()));
-        self.positions.insert(ask.ticket.clone(), position);
-        self.tiers.entry(ask.rank).or_default().push(key, waiting);
+        self.deadlines
+            .insert((request.deadline, request.ticket.clone()));
+        self.positions.insert(request.ticket.clone(), position);
+        self.tiers
+            .entry(request.rank)
+            .or_default()
+            .push(key, waiting);
     }
 
-    /// Sheds from the lowest tier until the work that waits is within the limit.
-    pub(super) fn make_room(&mut self) {
+    /// Sheds requests from the lowest tier until the queued work is within the limit.
+    pub(super) fn shed_excess_work(&mut self) {
         while self.waiting_work() > self.work_limit {
             let Some(rank) = self.lowest_waiting_rank() else {
                 return;
@@ -66,16 +80,18 @@
             let Some(shed) = self.tiers.get_mut(&rank).and_then(TierQueue::shed) else {
                 return;
             };
-            let ticket = shed.ask.ticket;
+            let ticket = shed.request.ticket;
             self.positions.remove(&ticket);
-            self.deadlines.remove(&(shed.ask.deadline, ticket.clone()));
-            let why = "the service is full; the lowest tier that waits is shed first";
+            self.deadlines
+                .remove(&(shed.request.deadline, ticket.clone()));
+            let why = "the queue of the service is full; the lowest waiting tier is shed first";
             let refusal = Refusal::new(Code::Shed, why);
             self.actions.push(Action::Refuse { ticket, refusal });
         }
     }
 
-    pub(super) fn remove(&mut self, ticket: &Ticket) {
+    /// Removes a request from the queue; does nothing if it isn't queued.
+    pub(super) fn remove_waiting(&mut self, ticket: &Ticket) {
         let Some(position) = self.positions.remove(ticket) else {
             return;
         };
--- a/crates/core/src/queue/customer_queue.rs
+++ b/crates/core/src/queue/customer_queue.rs
@@ -1,4 +1,4 @@
-//! One customer's waiting requests in one tier.
+//! The queued requests of one customer in one tier.
 
 use std::collections::BTreeMap;
 
@@ -7,28 +7,30 @@
 
 use super::Request;
 
-/// The order within a queue: the earliest deadline first, then the earliest arrival.
+/// Orders the requests of a customer: by deadline, then by arrival number.
 pub(super) type OrderKey = (Instant, u64);
 
-/// An ask that waits.
+/// A queued request.
 #[derive(Clone, Debug)]
 pub(super) struct WaitingRequest {
-    pub(super) ask: Request,
-    pub(super) expect: Tokens,
+    pub(super) request: Request,
+    /// The number of tokens that its response is expected to have.
+    pub(super) expected_output: Tokens,
 }
 
 impl WaitingRequest {
-    /// What it costs, for the shares.
+    /// The cost that is charged to the customer's fair share: prompt and expected response, in tokens.
     pub(super) fn cost(&self) -> Tokens {
-        self.ask.prompt + self.expect
+        self.request.prompt + self.expected_output
     }
 }
 
-/// One customer's waiting requests in one tier, and what it has had.
+/// The queued requests of one customer in one tier, and the service that the customer has received.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CustomerQueue {
-    /// Tokens that it has had over its weight, in millionths, on the tier's scale.
+    /// The tokens granted to the customer divided by its weight, in the tier's virtual time.
     pub(super) virtual_time: u64,
     pub(super) requests: BTreeMap<OrderKey, WaitingRequest>,
+    /// The cost of all queued requests.
     pub(super) work: Tokens,
 }
--- a/crates/core/src/queue/dispatch.rs
+++ b/crates/core/src/queue/dispatch.rs
@@ -1,4 +1,4 @@
-//! Grants in turn, and what is learnt from what runs.
+//! Grants server slots to queued requests in order, and learns from the progress of running ones.
 
 use std::time::Duration;
 
@@ -17,17 +17,17 @@
 use super::Ticket;
 use super::position::Running;
 
-/// Added to each expected time for the ways of messages.
-const SLACK: Duration = Duration::from_millis(60);
+/// Added to every expected response time, for the delay of messages between entry, owner and server.
+const MESSAGE_DELAY_MARGIN: Duration = Duration::from_millis(60);
 
 /// # Dispatch
 impl Queue {
-    /// Grants in turn, as long as there is a server for whose turn it is.
-    pub(super) fn pump(&mut self, now: Instant) {
+    /// Grants slots in queue order while there is a server for the next request.
+    pub(super) fn grant_available(&mut self, now: Instant) {
         while !self.grants_held && self.grant_next(now) {}
     }
 
-    /// Whether something left the queue.
+    /// Grants or refuses the next request; returns whether one has left the queue.
     pub(super) fn grant_next(&mut self, now: Instant) -> bool {
         let Some(tier) = self.tiers.iter().find(|pair| !pair.1.is_empty()) else {
             return false;
@@ -36,50 +36,51 @@
         let Some((key, waiting)) = tier.1.first() else {
             return false;
         };
-        let work = work_of(&waiting.ask, waiting.expect);
-        let deadline = waiting.ask.deadline;
-        let first = waiting.ask.first_token_deadline;
-        let customer = waiting.ask.customer.clone();
+        let work = to_work(&waiting.request, waiting.expected_output);
+        let deadline = waiting.request.deadline;
+        let first_token_deadline = waiting.request.first_token_deadline;
+        let customer = waiting.request.customer.clone();
         let Some(pick) = self.fleet.pick(&work) else {
             return false;
         };
         let caution = self.fleet.get_tuning().caution;
         let in_time = |time: &Time| {
-            now + cautious(time.first, caution) <= first
-                && now + cautious(time.whole, caution) <= deadline
+            now + with_margin(time.first, caution) <= first_token_deadline
+                && now + with_margin(time.whole, caution) <= deadline
         };
-        let late = !in_time(&pick.time);
-        // Another server may do what this one cannot: the request waits for it.
-        if late && self.fleet.fastest(&work).is_some_and(|time| in_time(&time)) {
+        let is_late = !in_time(&pick.time);
+        // Another server would finish in time: the request waits for a slot there.
+        if is_late && self.fleet.fastest(&work).is_some_and(|time| in_time(&time)) {
             return false;
         }
         let Some(tier) = self.tiers.get_mut(&rank) else {
             return false;
         };
-        let taken = if late {
+        let removed = if is_late {
             tier.remove(&customer, key)
         } else {
             tier.pop()
         };
-        let Some(taken) = taken else { return false };
-        let ticket = taken.ask.ticket;
+        let Some(removed) = removed else { return false };
+        let ticket = removed.request.ticket;
         self.positions.remove(&ticket);
         self.deadlines.remove(&(deadline, ticket.clone()));
-        if late {
+        if is_late {
             let refusal = cannot_finish(&pick.time);
             self.actions.push(Action::Refuse { ticket, refusal });
         } else {
-            let granted = ticket.clone();
+            let granted_ticket = ticket.clone();
             self.actions.push(Action::Grant {
-                ticket: granted,
+                ticket: granted_ticket,
                 pick: pick.clone(),
             });
-            self.run(ticket, customer, pick, work, now);
+            self.start_running(ticket, customer, pick, work, now);
         }
         true
     }
 
-    pub(super) fn run(
+    /// Records that a request has been sent to the server of `pick`.
+    pub(super) fn start_running(
         &mut self,
         ticket: Ticket,
         customer: id::Customer,
@@ -92,40 +93,46 @@
             pick,
             work,
             customer,
-            sent: now,
-            first: None,
-            counted: (now, Tokens(0)),
+            sent_at: now,
+            first_token_at: None,
+            last_progress: (now, Tokens(0)),
         };
-        let before = self.running.insert(ticket, running);
-        debug_assert!(before.is_none(), "a ticket runs once");
+        let previous = self.running.insert(ticket, running);
+        debug_assert!(previous.is_none(), "a ticket must not run twice");
     }
 
-    pub(super) fn on_first(&mut self, ticket: &Ticket, now: Instant) {
+    /// Records the arrival of the first token.
+    pub(super) fn on_first_token(&mut self, ticket: &Ticket, now: Instant) {
         let Some(running) = self.running.get_mut(ticket) else {
             return;
         };
-        if running.first.is_some() {
+        if running.first_token_at.is_some() {
             return;
         }
-        running.first = Some(now);
-        running.counted = (now, Tokens(1));
-        let took = Some(now.since(running.sent));
-        self.fleet.first(&running.pick, &running.work, took, now);
+        running.first_token_at = Some(now);
+        running.last_progress = (now, Tokens(1));
+        let elapsed = Some(now.since(running.sent_at));
+        self.fleet.first(&running.pick, &running.work, elapsed, now);
     }
 
+    /// Records the total number of tokens received so far.
     pub(super) fn on_tokens(&mut self, ticket: &Ticket, tokens: Tokens, now: Instant) {
         let Some(running) = self.running.get_mut(ticket) else {
             return;
         };
-        if running.first.is_none() {
+        if running.first_token_at.is_none() {
             return;
         }
-        let (since, counted) = running.counted;
-        running.counted = (now, tokens);
-        self.fleet
-            .tokens(running.pick.server, tokens.less(counted), now.since(since));
+        let (since, previous_tokens) = running.last_progress;
+        running.last_progress = (now, tokens);
+        self.fleet.tokens(
+            running.pick.server,
+            tokens.less(previous_tokens),
+            now.since(since),
+        );
     }
 
+    /// Records the end of an attempt and frees its slot.
     pub(super) fn on_ended(
         &mut self,
         ticket: &Ticket,
@@ -136,7 +143,7 @@
         let Some(running) = self.running.remove(ticket) else {
             return;
         };
-        if running.first.is_none() {
+        if running.first_token_at.is_none() {
             self.fleet.first(&running.pick, &running.work, None, now);
         }
         self.fleet.ended(&running.pick, &running.work, cached);
@@ -149,25 +156,27 @@
     }
 }
 
-/// What is counted on for a time that is expected: a part more, and the ways of messages.
+/// Adds a safety margin to an expected time: the fraction `caution` of it, and the delay of messages.
 ///
-/// Under overload what is granted can only just meet its limit; without this a small error
-/// throws its whole prompt away.
-fn cautious(time: Duration, part: f64) -> Duration {
-    time.mul_f64(1.0 + part) + SLACK
+/// Under overload granted requests only just meet their deadlines. Without a margin a small error in the
+/// estimate makes such a request miss its deadline, and the work on its whole prompt is wasted.
+fn with_margin(time: Duration, caution: f64) -> Duration {
+    time.mul_f64(1.0 + caution) + MESSAGE_DELAY_MARGIN
 }
 
-pub(super) fn work_of(ask: &Request, expect: Tokens) -> Work {
+/// The work that the request causes on a server, with the expected length of its response.
+pub(super) fn to_work(request: &Request, expected_output: Tokens) -> Work {
     Work {
-        prompt: ask.prompt,
-        output: expect,
-        prefixes: ask.prefixes.clone(),
+        prompt: request.prompt,
+        output: expected_output,
+        prefixes: request.prefixes.clone(),
     }
 }
 
-pub(super) fn cannot_finish(needs: &Time) -> Refusal {
-    let first = needs.first.as_millis();
-    let whole = needs.whole.as_millis();
+/// The refusal of a request that would need `expected` time, too long for its deadlines.
+pub(super) fn cannot_finish(expected: &Time) -> Refusal {
+    let first = expected.first.as_millis();
+    let whole = expected.whole.as_millis();
     let why =
         format!("it needs {first} ms to its first token and {whole} ms in all; that is too late");
     Refusal::new(Code::CannotFinish, why)
--- a/crates/core/src/queue/mod.rs
+++ b/crates/core/src/queue/mod.rs
@@ -1,7 +1,8 @@
-//! The waiting work of one service, kept by its owner.
+//! The request queue of one service, held by the entry that owns the service.
 //!
-//! Strictly by tier; inside a tier by weighted fair shares over customers, counted in tokens;
-//! inside a customer by deadline. What must be shed is taken from the lowest tier that waits.
+//! Requests are ordered strictly by tier; within a tier by weighted fair shares of its customers, counted in
+//! tokens; within a customer by deadline. When the queue is full, requests are shed from the lowest tier that
+//! has any queued.
 
 mod action;
 mod admission;
--- a/crates/core/src/queue/request.rs
+++ b/crates/core/src/queue/request.rs
@@ -1,4 +1,4 @@
-//! What an entry asks of the owner, and what it reports.
+//! The requests that entries submit to the owner of a queue, and the reports they send on them.
 
 use std::fmt;
 
@@ -10,12 +10,12 @@
 use crate::id;
 use crate::unit::Tokens;
 
-/// Identifies a queued request: the entry that asked, and its number for the request.
+/// Identifies a request in the queue by the entry that submitted it and a number chosen by that entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ticket {
-    /// The entry.
+    /// The host of the entry.
     pub host: id::Host,
-    /// Its number.
+    /// The entry's number for the request.
     pub number: id::Ticket,
 }
 
@@ -25,45 +25,45 @@
     }
 }
 
-/// A request that wants a server.
+/// A request for a slot on a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Who asks.
+    /// Identifies the request.
     pub ticket: Ticket,
-    /// The customer.
+    /// The customer that the request is charged to.
     pub customer: id::Customer,
-    /// The customer's share.
+    /// The customer's weight in the fair shares of its tier.
     pub weight: u32,
-    /// How many requests of the customer may wait.
+    /// The maximum number of requests that the customer may have queued.
     pub max_waiting: u32,
-    /// The tier's rank, 0 the highest.
+    /// The rank of the tier; 0 is the highest.
     pub rank: u8,
-    /// Tokens of the prompt.
+    /// The number of tokens in the prompt.
     pub prompt: Tokens,
-    /// The most tokens that the answer may have.
+    /// The maximum number of tokens in the response.
     pub max_output: Tokens,
-    /// Beginnings of the prompt, the longest first.
+    /// Prefixes of the prompt, longest first.
     pub prefixes: Vec<Prefix>,
-    /// How often it was sent and surely not run before.
+    /// The number of earlier attempts that are known not to have run.
     pub attempt: u8,
-    /// When its first token must come, by the owner's clock.
+    /// The time by which the first token must arrive, on the owner's clock.
     pub first_token_deadline: Instant,
-    /// When its answer must be whole, by the owner's clock.
+    /// The time by which the response must be complete, on the owner's clock.
     pub deadline: Instant,
 }
 
-/// What an entry reports of a request that was granted.
+/// Progress that an entry reports on a request that was granted a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Report {
-    /// Its first token came.
+    /// The first token has arrived.
     FirstToken,
-    /// So many tokens have come in all.
+    /// The total number of tokens received so far.
     Tokens(Tokens),
-    /// It has ended: tokens in all, and what the server said was cached of the prompt.
+    /// The attempt has ended.
     Ended {
-        /// Tokens of the answer.
+        /// The number of tokens in the response.
         output: Tokens,
-        /// Prompt tokens that the server had cached, if it said so.
+        /// The number of prompt tokens that the server had cached, if it reported it.
         cached: Option<Tokens>,
     },
 }
--- a/crates/core/src/queue/response_length.rs
+++ b/crates/core/src/queue/response_length.rs
@@ -1,45 +1,46 @@
-//! How long answers are.
+//! Estimates how long the responses of a customer are.
 
 use crate::unit::Tokens;
 
-/// How much one answer weighs against those before.
-const GAIN: f64 = 0.1;
+/// The weight of a new response in the moving averages.
+const SMOOTHING_FACTOR: f64 = 0.1;
 
-/// Answers after which the mean is believed.
-const ENOUGH: u32 = 5;
+/// The number of responses from which on the averages are used.
+const MIN_RESPONSES: u32 = 5;
 
-/// The share of the most tokens that is expected before anything is known.
-const FIRST_GUESS: f64 = 0.5;
+/// The expected length, as a fraction of the maximum, while there are fewer responses.
+const INITIAL_FRACTION_OF_MAX: f64 = 0.5;
 
-/// Running mean and mean error of a customer's answers, in tokens.
+/// Moving averages of the length of a customer's responses and of its absolute deviation, in tokens.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ResponseLength {
     mean: f64,
-    error: f64,
+    deviation: f64,
     count: u32,
 }
 
 impl ResponseLength {
+    /// Adds the length of a complete response to the averages.
     pub(super) fn observe(&mut self, output: Tokens) {
         let output = output.as_f64();
-        let gain = if self.count < ENOUGH {
+        let gain = if self.count < MIN_RESPONSES {
             1.0 / f64::from(self.count + 1)
         } else {
-            GAIN
+            SMOOTHING_FACTOR
         };
-        self.error += gain * ((output - self.mean).abs() - self.error);
+        self.deviation += gain * ((output - self.mean).abs() - self.deviation);
         self.mean += gain * (output - self.mean);
         self.count = self.count.saturating_add(1);
     }
 
-    /// Tokens to expect of an answer that may have `most`: the mean and one mean error.
+    /// Estimates the length of a response of at most `max_output` tokens: the mean plus one mean deviation.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    pub(super) fn expect(&self, most: Tokens) -> Tokens {
-        let guess = if self.count < ENOUGH {
-            most.as_f64() * FIRST_GUESS
+    pub(super) fn estimate(&self, max_output: Tokens) -> Tokens {
+        let estimate = if self.count < MIN_RESPONSES {
+            max_output.as_f64() * INITIAL_FRACTION_OF_MAX
         } else {
-            self.mean + self.error
+            self.mean + self.deviation
         };
-        Tokens(guess.ceil() as u64).min(most)
+        Tokens(estimate.ceil() as u64).min(max_output)
     }
 }
--- a/crates/core/src/queue/retry_budget.rs
+++ b/crates/core/src/queue/retry_budget.rs
@@ -1,37 +1,41 @@
-//! The budget of further tries, over all entries.
+//! The retry budget of a service, shared by all entries.
 
 use std::collections::BTreeMap;
 
-/// Tries that one first try earns, in hundredths.
-const EARNED: u32 = 10;
+/// The credit that a first attempt earns, in hundredths of a retry.
+const CREDIT_PER_FIRST_ATTEMPT: u32 = 10;
 
-/// What one further try costs, in hundredths.
-const COST: u32 = 100;
+/// The cost of a retry, in hundredths of a retry.
+const COST_PER_RETRY: u32 = 100;
 
-/// The most that is saved up, in hundredths: ten tries.
-const MOST: u32 = 10 * COST;
+/// The maximum credit of a tier, in hundredths of a retry: ten retries.
+const MAX_CREDIT: u32 = 10 * COST_PER_RETRY;
 
-/// How often one request may be tried again.
-const TRIES: u8 = 3;
+/// The maximum number of retries of one request.
+const MAX_RETRIES_PER_REQUEST: u8 = 3;
 
-/// Further tries that each tier has left: one for ten first tries, ten at the most.
+/// The retry credit of each tier: ten first attempts earn one retry, and at most ten retries are saved up. A
+/// tier starts with that maximum.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RetryBudget {
-    left: BTreeMap<u8, u32>,
+    credit: BTreeMap<u8, u32>,
 }
 
 impl RetryBudget {
-    /// Whether a request of the tier `rank` may be tried for the `attempt`-th further time.
-    pub(super) fn take(&mut self, rank: u8, attempt: u8) -> bool {
-        let left = self.left.entry(rank).or_insert(MOST);
+    /// Charges an attempt of a request of the tier `rank`, and returns whether it may be made.
+    ///
+    /// `attempt` is 0 for a first attempt, which is always allowed and earns credit, and `n` for the `n`-th
+    /// retry.
+    pub(super) fn try_acquire(&mut self, rank: u8, attempt: u8) -> bool {
+        let credit = self.credit.entry(rank).or_insert(MAX_CREDIT);
         if attempt == 0 {
-            *left = (*left + EARNED).min(MOST);
+            *credit = (*credit + CREDIT_PER_FIRST_ATTEMPT).min(MAX_CREDIT);
             return true;
         }
-        if attempt > TRIES || *left < COST {
+        if attempt > MAX_RETRIES_PER_REQUEST || *credit < COST_PER_RETRY {
             return false;
         }
-        *left -= COST;
+        *credit -= COST_PER_RETRY;
         true
     }
 }
--- a/crates/core/src/queue/service_queue.rs
+++ b/crates/core/src/queue/service_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of one service.
+//! The request queue of one service.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,18 +18,18 @@
 use super::Request;
 use super::Ticket;
 use super::customer_queue::WaitingRequest;
-use super::dispatch::work_of;
+use super::dispatch::to_work;
 use super::position::Position;
 use super::position::Running;
 use super::response_length::ResponseLength;
 use super::retry_budget::RetryBudget;
 use super::tier_queue::TierQueue;
 
-/// The waiting and the running work of one service, at its owner.
+/// The queued and the running requests of one service, as its owner tracks them.
 ///
-/// An ask or a report costs time logarithmic in what waits and linear in the classes of servers;
-/// memory is linear in what waits and runs, and bounded by the limit on work and the customers'
-/// limits on waiting requests.
+/// Submitting a request and handling a report take time logarithmic in the queued requests and linear in the
+/// classes of servers. Memory is linear in the queued and running requests; it is bounded by the limit on queued
+/// work and by the customers' limits on queued requests.
 #[derive(Clone, Debug)]
 pub struct Queue {
     pub(super) fleet: Fleet,
@@ -47,7 +47,7 @@
 
 /// # Events
 impl Queue {
-    /// An empty queue over `fleet` in which work of `work_limit` tokens may wait.
+    /// Creates an empty queue for the servers of `fleet` that holds work of at most `work_limit` tokens.
     #[must_use]
     pub fn new(fleet: Fleet, work_limit: Tokens) -> Self {
         Self {
@@ -65,79 +65,86 @@
         }
     }
 
-    /// A request wants a server; the same ticket again is the same request.
-    pub fn submit(&mut self, ask: Request, now: Instant) {
-        if self.positions.contains_key(&ask.ticket) {
+    /// Submits a request for a server slot.
+    ///
+    /// A ticket that is submitted again is the same request: if it is queued, nothing changes; if it runs, its
+    /// grant is repeated.
+    pub fn submit(&mut self, request: Request, now: Instant) {
+        if self.positions.contains_key(&request.ticket) {
             return;
         }
-        if let Some(running) = self.running.get(&ask.ticket) {
+        if let Some(running) = self.running.get(&request.ticket) {
             let pick = running.pick.clone();
-            let ticket = ask.ticket;
+            let ticket = request.ticket;
             self.actions.push(Action::Grant { ticket, pick });
             return;
         }
-        if let Err(refusal) = self.admit(&ask, now) {
-            let ticket = ask.ticket;
+        if let Err(refusal) = self.admit(&request, now) {
+            let ticket = request.ticket;
             self.actions.push(Action::Refuse { ticket, refusal });
             return;
         }
-        if !self.retry_budget.take(ask.rank, ask.attempt) {
-            let why = "no further try: too many requests of the tier are being tried again";
+        if !self.retry_budget.try_acquire(request.rank, request.attempt) {
+            let why =
+                "the retry budget is exhausted: too many requests of the tier are being retried";
             let refusal = Refusal::new(Code::Refused, why);
-            let ticket = ask.ticket;
+            let ticket = request.ticket;
             self.actions.push(Action::Refuse { ticket, refusal });
             return;
         }
-        let length = self.lengths.entry(ask.customer.clone()).or_default();
-        let expect = length.expect(ask.max_output);
-        self.wait(WaitingRequest { ask, expect });
-        self.make_room();
-        self.pump(now);
-    }
-
-    /// A request that runs already, told by its entry to a new owner.
-    pub fn restore_running(&mut self, ask: Request, server: &id::Server, now: Instant) {
+        let length = self.lengths.entry(request.customer.clone()).or_default();
+        let expected_output = length.estimate(request.max_output);
+        self.enqueue(WaitingRequest {
+            request,
+            expected_output,
+        });
+        self.shed_excess_work();
+        self.grant_available(now);
+    }
+
+    /// Records a request that runs already, as its entry reports it to a new owner of the queue.
+    pub fn restore_running(&mut self, request: Request, server: &id::Server, now: Instant) {
         let Some(index) = self.fleet.find(server) else {
             return;
         };
-        let length = self.lengths.entry(ask.customer.clone()).or_default();
-        let work = work_of(&ask, length.expect(ask.max_output));
+        let length = self.lengths.entry(request.customer.clone()).or_default();
+        let work = to_work(&request, length.estimate(request.max_output));
         let pick = Pick {
             server: index,
             name: server.clone(),
-            cached: ask.prompt,
+            cached: request.prompt,
             time: Time::default(),
         };
-        self.remove(&ask.ticket);
-        if self.running.contains_key(&ask.ticket) {
+        self.remove_waiting(&request.ticket);
+        if self.running.contains_key(&request.ticket) {
             return;
         }
-        self.run(ask.ticket.clone(), ask.customer, pick, work, now);
-        if let Some(running) = self.running.get_mut(&ask.ticket) {
-            running.first = Some(now);
+        self.start_running(request.ticket.clone(), request.customer, pick, work, now);
+        if let Some(running) = self.running.get_mut(&request.ticket) {
+            running.first_token_at = Some(now);
         }
     }
 
-    /// What an entry reports of a request that was granted.
+    /// Handles the report of an entry on a request that was granted a slot.
     pub fn report(&mut self, ticket: &Ticket, report: Report, now: Instant) {
         match report {
-            Report::FirstToken => self.on_first(ticket, now),
+            Report::FirstToken => self.on_first_token(ticket, now),
             Report::Tokens(tokens) => self.on_tokens(ticket, tokens, now),
             Report::Ended { output, cached } => self.on_ended(ticket, output, cached, now),
         }
-        self.pump(now);
+        self.grant_available(now);
     }
 
-    /// The caller has gone while its request waited; nothing is told to anyone.
+    /// Drops a request whose caller has left. No action is issued for it.
     pub fn cancel(&mut self, ticket: &Ticket, now: Instant) {
-        self.remove(ticket);
+        self.remove_waiting(ticket);
         if self.running.contains_key(ticket) {
             self.on_ended(ticket, Tokens(0), None, now);
         }
-        self.pump(now);
+        self.grant_available(now);
     }
 
-    /// An entry is gone, and with it all that it asked for.
+    /// Drops all requests of an entry that is gone.
     pub fn remove_entry(&mut self, host: &id::Host, now: Instant) {
         let waiting = self.positions.keys().filter(|ticket| &ticket.host == host);
         let running = self.running.keys().filter(|ticket| &ticket.host == host);
@@ -147,78 +154,82 @@
         }
     }
 
-    /// Time has passed: what is too late is told so, and slow servers are looked for.
+    /// Does the periodic work: refuses requests whose deadline has passed, checks for slow servers, and drops
+    /// the accounting of idle customers.
     pub fn tick(&mut self, now: Instant) {
         while let Some((deadline, ticket)) = self.deadlines.first().cloned() {
             if deadline > now {
                 break;
             }
-            self.remove(&ticket);
-            let refusal = Refusal::new(Code::Expired, "the deadline passed while it waited");
+            self.remove_waiting(&ticket);
+            let refusal = Refusal::new(
+                Code::Expired,
+                "the deadline passed while the request was queued",
+            );
             self.actions.push(Action::Refuse { ticket, refusal });
         }
         self.fleet.watch(now);
         self.tiers.values_mut().for_each(TierQueue::sweep);
-        self.pump(now);
+        self.grant_available(now);
     }
 
-    /// Changes the servers, or what is known of them.
-    pub fn update_fleet(&mut self, edit: impl FnOnce(&mut Fleet), now: Instant) {
-        edit(&mut self.fleet);
-        self.pump(now);
+    /// Updates the servers, or what is known of them, and grants slots that became free.
+    pub fn update_fleet(&mut self, update: impl FnOnce(&mut Fleet), now: Instant) {
+        update(&mut self.fleet);
+        self.grant_available(now);
     }
 
-    /// Changes the limit on the work that waits.
+    /// Sets the limit on queued work, in tokens, and sheds requests above it.
     pub fn set_work_limit(&mut self, work_limit: Tokens) {
         self.work_limit = work_limit;
-        self.make_room();
+        self.shed_excess_work();
     }
 
-    /// Whether grants are grants_held back, while a new owner learns what runs already.
+    /// Sets whether grants are held back, as a new owner does until it knows which requests already run.
     pub fn set_grants_held(&mut self, grants_held: bool, now: Instant) {
         self.grants_held = grants_held;
-        self.pump(now);
+        self.grant_available(now);
     }
 
-    /// Takes what there is to tell.
-    #[must_use = "an action that is dropped leaves its entry waiting"]
+    /// Takes the actions that are to be sent to entries.
+    #[must_use = "the entry of a dropped action waits until its deadline"]
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 }
 
-/// # What it knows
+/// # Queries
 impl Queue {
-    /// Requests that wait.
+    /// The number of queued requests.
     #[must_use]
     pub fn waiting_count(&self) -> usize {
         self.positions.len()
     }
 
-    /// Requests that run.
+    /// The number of running requests.
     #[must_use]
     pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
-    /// Work that waits.
+    /// The queued work, in tokens.
     #[must_use]
     pub fn waiting_work(&self) -> Tokens {
         self.tiers.values().map(|tier| tier.work).sum()
     }
 
-    /// Every ticket that waits.
+    /// The tickets of all queued requests.
     pub fn waiting_tickets(&self) -> impl Iterator<Item = &Ticket> {
         self.positions.keys()
     }
 
-    /// The servers.
+    /// The servers of the service.
     #[must_use]
     pub fn get_fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// The rank of the lowest tier that waits.
+    /// The rank of the lowest tier that has queued requests.
     #[must_use]
     pub fn lowest_waiting_rank(&self) -> Option<u8> {
         let waiting = self.tiers.iter().rev().find(|pair| !pair.1.is_empty());
--- a/crates/core/src/queue/tier_queue.rs
+++ b/crates/core/src/queue/tier_queue.rs
@@ -1,4 +1,4 @@
-//! One tier's waiting requests.
+//! The queued requests of one tier.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,19 +10,21 @@
 use super::customer_queue::OrderKey;
 use super::customer_queue::WaitingRequest;
 
-/// Virtual time for one token of a customer with weight 1.
-const SCALE: u64 = 1_000;
+/// The virtual time that one token takes for a customer of weight 1.
+const VIRTUAL_TIME_PER_TOKEN: u64 = 1_000;
 
-/// One tier: the customers in the order of what they have had.
+/// The queues of one tier's customers, served by start-time fair queueing.
 ///
-/// Start-time fair queueing: a customer that comes back begins where the tier is, so it can save
-/// up nothing. While two customers both wait, what they had over their weights differs by at most
-/// the cost of one request of each.
+/// The customer with the lowest virtual time is next. One that had nothing queued starts at the virtual time of
+/// the tier, so that it can't save up service while idle. While two customers both have requests queued, the
+/// tokens granted to them, divided by their weights, differ by at most the cost of one request of each.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TierQueue {
     customers: BTreeMap<id::Customer, CustomerQueue>,
+    /// The customers with queued requests, by their virtual time.
     order: BTreeSet<(u64, id::Customer)>,
     virtual_time: u64,
+    /// The cost of all queued requests.
     pub(super) work: Tokens,
 }
 
@@ -31,15 +33,16 @@
         self.order.is_empty()
     }
 
-    /// Requests of `customer` that wait.
+    /// The number of queued requests of `customer`.
     pub(super) fn count(&self, customer: &id::Customer) -> usize {
         self.customers
             .get(customer)
             .map_or(0, |queue| queue.requests.len())
     }
 
+    /// Adds a request to the queue of its customer.
     pub(super) fn push(&mut self, key: OrderKey, waiting: WaitingRequest) {
-        let customer = waiting.ask.customer.clone();
+        let customer = waiting.request.customer.clone();
         let queue = self.customers.entry(customer.clone()).or_default();
         if queue.requests.is_empty() {
             queue.virtual_time = queue.virtual_time.max(self.virtual_time);
@@ -50,7 +53,7 @@
         queue.requests.insert(key, waiting);
     }
 
-    /// Whose turn it is.
+    /// The next request in the fair order.
     pub(super) fn first(&self) -> Option<(OrderKey, &WaitingRequest)> {
         let (_, customer) = self.order.first()?;
         let queue = self.customers.get(customer)?;
@@ -60,14 +63,14 @@
             .map(|(key, waiting)| (*key, waiting))
     }
 
-    /// Takes out the request whose turn it is, and counts its cost.
+    /// Removes the next request in the fair order and charges its cost to the customer.
     pub(super) fn pop(&mut self) -> Option<WaitingRequest> {
         let (virtual_time, customer) = self.order.pop_first()?;
         self.virtual_time = self.virtual_time.max(virtual_time);
         let queue = self.customers.get_mut(&customer)?;
         let (_, waiting) = queue.requests.pop_first()?;
-        let weight = u64::from(waiting.ask.weight.max(1));
-        queue.virtual_time += waiting.cost().0 * SCALE / weight;
+        let weight = u64::from(waiting.request.weight.max(1));
+        queue.virtual_time += waiting.cost().0 * VIRTUAL_TIME_PER_TOKEN / weight;
         queue.work = queue.work.less(waiting.cost());
         self.work = self.work.less(waiting.cost());
         if !queue.requests.is_empty() {
@@ -76,7 +79,7 @@
         Some(waiting)
     }
 
-    /// Takes out the request at `key` of `customer`, without cost.
+    /// Removes the request at `key` of `customer` without charging its cost.
     pub(super) fn remove(
         &mut self,
         customer: &id::Customer,
@@ -92,8 +95,10 @@
         Some(waiting)
     }
 
-    /// Takes out what is shed first: the last deadline of the customer with the most work over its
-    /// weight. Linear in the tier's customers; only called when the queue is full.
+    /// Removes the request that is shed first: the one with the latest deadline, of the customer with the most
+    /// queued work divided by its weight.
+    ///
+    /// Takes time linear in the customers of the tier; it is only called when the queue is full.
     pub(super) fn shed(&mut self) -> Option<WaitingRequest> {
         let customers = self
             .customers
@@ -104,7 +109,7 @@
                 .requests
                 .values()
                 .next()
-                .map_or(1, |first| first.ask.weight);
+                .map_or(1, |first| first.request.weight);
             queue.work.0 / u64::from(weight.max(1))
         });
         let (customer, queue) = worst?;
@@ -113,7 +118,7 @@
         self.remove(&customer, key)
     }
 
-    /// Drops the queues of customers that have nothing waiting and are not ahead of the tier.
+    /// Drops customers that have nothing queued, unless they are ahead of the tier's virtual time.
     pub(super) fn sweep(&mut self) {
         let now = self.virtual_time;
         self.customers
