--- a/crates/core/src/rollout/exposure.rs
+++ b/crates/core/src/rollout/exposure.rs
@@ -1,22 +1,22 @@
-//! How many requests a version on trial may get.
+//! Limits how many requests a version on trial receives.
 //!
-//! Load pattern: all gateways ask at once, hubs follow one another, and each knows only what it was told
-//! itself. A bound that is worked out from what others are thought to do is broken by the first that is not
-//! heard; so nothing is estimated here.
+//! Load pattern: all gateways request slots at the same time, hubs replace one another, and each hub knows only
+//! the requests that were reported to it. A limit that is computed from an estimate of what other hubs do is
+//! exceeded as soon as one of them can't be reached. So nothing is estimated here.
 
-/// The part of the bound that is used: the rest is for answers that broke off and are counted otherwise by
-/// whoever holds us to the bound.
-const USED: f64 = 0.95;
+/// The fraction of the share that is used. The rest allows for responses that broke off, which whoever checks
+/// the limit may count differently.
+const USED_FRACTION_OF_SHARE: f64 = 0.95;
 
-/// The part of what is borne on top that is used, once, by the hub under which the order was taken.
-const USED_ON_TOP: f64 = 0.9;
+/// The fraction of the extra requests that is used, once, by the hub under which the order was accepted.
+const USED_FRACTION_OF_EXTRA: f64 = 0.9;
 
-/// The requests that a version on trial may get, over all gateways.
+/// The credit for requests to a version on trial, over all gateways.
 ///
-/// It is earned by requests that are known to have reached the service's other versions, and spent when a
-/// place is given. A request is told of to one hub only, and each hub spends what it has earned itself: so the
-/// sum over all hubs stays within the bound, in every prefix of time, also of two that both think that they
-/// lead. What is told and lost earns nothing; a place that is given and not used is spent.
+/// Credit is earned by requests that are known to have reached the service's other versions, and spent when a
+/// slot is granted. A request is reported to one hub only, and each hub spends only the credit that it earned
+/// itself. So the sum over all hubs stays within the limit at every moment, even while two hubs both believe
+/// that they lead. A report that is lost earns nothing; a granted slot that isn't used stays spent.
 ///
 /// # Examples
 ///
@@ -27,42 +27,44 @@
 /// for _ in 0..13 {
 ///     exposure.earn();
 /// }
-/// assert!(exposure.try_spend(), "13 x 0.1 x 0.95 are more than one");
+/// assert!(exposure.try_spend(), "13 x 0.1 x 0.95 is more than 1");
 /// assert!(!exposure.try_spend());
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct Exposure {
-    /// What one request that reached another version earns.
+    /// The credit earned by each request that reached another version.
     rate: f64,
+    /// The number of requests that may be spent.
     credit: f64,
 }
 
 impl Exposure {
-    /// A version on trial may get `share` (0 to 1) of all requests, and `extra_requests` of that; the latter is 0 for
-    /// a hub under which the order was not taken.
+    /// Allows a version on trial `share` (0 to 1) of all requests, and `extra_requests` in addition.
+    ///
+    /// The latter must be 0 for a hub under which the order was not accepted, so that only one hub spends them.
     #[must_use]
     pub fn new(share: f64, extra_requests: f64) -> Self {
         Self {
-            rate: share * USED,
-            credit: extra_requests * USED_ON_TOP,
+            rate: share * USED_FRACTION_OF_SHARE,
+            credit: extra_requests * USED_FRACTION_OF_EXTRA,
         }
     }
 
-    /// A request has reached another version.
+    /// Earns credit for a request that reached another version.
     pub fn earn(&mut self) {
         self.credit += self.rate;
     }
 
-    /// Takes one request's part; false where there is none left.
+    /// Spends the credit for one request; returns false if there isn't enough.
     pub fn try_spend(&mut self) -> bool {
-        let has = self.credit >= 1.0;
-        if has {
+        let is_enough = self.credit >= 1.0;
+        if is_enough {
             self.credit -= 1.0;
         }
-        has
+        is_enough
     }
 
-    /// How many requests may be spent now.
+    /// The number of requests that may be spent now.
     #[must_use]
     pub fn available(&self) -> u32 {
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
--- a/crates/core/src/rollout/mod.rs
+++ b/crates/core/src/rollout/mod.rs
@@ -1,9 +1,9 @@
-//! Roll-outs: a service's traffic moves to backend servers of another version, or back.
+//! Roll-outs: moving the traffic of a service to backend servers of another version, or back.
 //!
-//! What operators ordered and what came of it is agreed in the log ([`Plans`]); what gateways may send to by
-//! their own choice follows from it ([`Policy`]). The hub tries the version that was ordered on a bounded part
-//! of the requests ([`Exposure`]), compares its answers with those of the version beside it ([`Judge`]), and
-//! moves the service over, or back ([`Trial`]).
+//! The orders of operators and the phases of roll-outs are committed to the log ([`Plans`]). They determine
+//! which versions gateways may send to without asking the hub ([`Policy`]). The hub sends a limited share of the
+//! requests to the target version ([`Exposure`]), compares its responses with those of the former version
+//! ([`Judge`]), and then moves all traffic to the target, or rolls back ([`Trial`]).
 
 mod baseline;
 mod exposure;
--- a/crates/core/src/rollout/order.rs
+++ b/crates/core/src/rollout/order.rs
@@ -1,4 +1,4 @@
-//! What operators order of a roll-out, and the steps that the log carries of it.
+//! Roll-out orders of operators, and the steps of roll-outs that are committed to the log.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -11,23 +11,23 @@
 
 use super::Version;
 
-/// An order to move a service's traffic to servers of a version.
+/// An order to move the traffic of a service to servers of another version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     /// The service.
     pub service: id::Service,
-    /// The version that it is to run.
+    /// The version that the traffic moves to.
     pub target: Version,
-    /// Within what time after the order.
+    /// The time within which the roll-out is to be completed.
     #[serde(rename = "length")]
     pub duration: Duration,
-    /// When it was given, in milliseconds of Unix time: a leader that did not see it come takes its age from
-    /// this. Nothing that must always hold depends on it, as clocks jump.
+    /// When the order was given, in milliseconds of Unix time. A leader that did not receive the order itself
+    /// computes its age from this. No guarantee depends on it, as clocks jump.
     pub given_ms: u64,
 }
 
 impl Order {
-    /// Whether `other` is the same order, given again.
+    /// Whether this and `other` are the same order, received twice.
     #[must_use]
     pub fn is_repeat_of(&self, other: &Self) -> bool {
         self.service == other.service
@@ -35,7 +35,9 @@
             && self.duration == other.duration
     }
 
-    /// The time since it was given, at `now_ms` of Unix time; no more than its length, whatever clocks say.
+    /// The time since the order was given, at `now_ms` of Unix time.
+    ///
+    /// It is at most the order's duration, so that a clock that jumps can't make an order older than that.
     #[must_use]
     pub fn age(&self, now_ms: u64) -> Duration {
         let age = Duration::from_millis(now_ms.saturating_sub(self.given_ms));
@@ -43,27 +45,27 @@
     }
 }
 
-/// How far a roll-out has come.
+/// The phase of a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Phase {
-    /// A bounded part of the requests goes to the target.
+    /// A limited share of the requests goes to the target version.
     Trial,
-    /// New requests go to the target; what runs at the former version ends.
+    /// All new requests go to the target version; requests that run on the former version finish there.
     Moving,
-    /// Nothing is left at the former version, which may be stopped.
+    /// No request runs on the former version any more; its servers may be stopped.
     Completed,
-    /// The former version serves on, alone.
+    /// The target version was rejected; the former version serves all requests.
     RolledBack,
 }
 
 impl Phase {
-    /// Whether nothing follows it.
+    /// Whether the roll-out has ended.
     #[must_use]
     pub fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::RolledBack)
     }
 
-    /// Whether a roll-out may come to `next` from here.
+    /// Whether a roll-out in this phase may advance to `next`.
     pub(super) fn can_advance_to(self, next: Self) -> bool {
         match self {
             Self::Trial => matches!(next, Self::Moving | Self::RolledBack),
@@ -84,25 +86,25 @@
     }
 }
 
-/// What the log carries of roll-outs.
+/// A step of a roll-out, as it is committed to the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Step {
-    /// These versions serve the service, without any order.
+    /// The service was first seen with servers of these versions, which serve it without any order.
     Established {
         /// The service.
         service: id::Service,
         /// The versions.
         versions: BTreeSet<Version>,
     },
-    /// An operator's order.
+    /// An operator ordered a roll-out.
     Ordered(Order),
-    /// A roll-out has come to another phase.
+    /// A roll-out advanced to another phase.
     Advanced {
         /// The service.
         service: id::Service,
-        /// The version that was ordered.
+        /// The target version of the roll-out.
         target: Version,
-        /// The phase.
+        /// The new phase.
         phase: Phase,
     },
 }
--- a/crates/core/src/rollout/policy.rs
+++ b/crates/core/src/rollout/policy.rs
@@ -1,4 +1,4 @@
-//! The versions and data halls that gateways may send to by their own choice.
+//! The versions and data halls that gateways may send requests to without asking the hub.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,25 +16,26 @@
 use super::Plans;
 use super::Version;
 
-/// The versions that gateways may send to by their own choice; servers of others only with a place that the
-/// hub gives. In a data hall that is evacuated, to none at all.
+/// The versions that gateways may send requests to by a local decision, without the hub.
 ///
-/// A gateway that is cut off goes by the last one that it heard. So a version on trial gets nothing from it,
-/// whatever it does not know.
+/// Servers of other versions receive requests only with a slot granted by the hub; servers in an evacuated data
+/// hall receive none at all. A gateway that can't reach the hub keeps to the last policy that it received. So a
+/// version that goes on trial meanwhile gets no requests from it, though the gateway doesn't know of the
+/// roll-out.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Policy {
-    /// Tells one content from another; not an order. 0 stands for none.
+    /// A hash of the content, not an increasing number; 0 stands for no policy.
     pub version: u64,
-    /// By service; one that is not named has no such bound.
+    /// The allowed versions by service; for a service that isn't listed, all are.
     allowed_versions: BTreeMap<id::Service, BTreeSet<Version>>,
-    /// The services with a roll-out under way, and the version that it is to.
+    /// The target versions of active roll-outs, by service.
     rollout_targets: BTreeMap<id::Service, Version>,
-    /// The data halls that are evacuated.
+    /// The evacuated data halls.
     evacuated: BTreeSet<Arc<str>>,
 }
 
 impl Policy {
-    /// What follows from `plans`.
+    /// Creates the policy that follows from the committed `plans`.
     #[must_use]
     pub fn from_plans(plans: &Plans) -> Self {
         let mut policy = Self::default();
@@ -48,7 +49,8 @@
                     .allowed_versions
                     .insert(service.clone(), serving.clone());
             } else if last.is_some() {
-                // Ordered before any server of the service was seen: it may be the target's.
+                // The roll-out was ordered before any server of the service was seen: the first one may run the
+                // target version.
                 policy
                     .allowed_versions
                     .insert(service.clone(), BTreeSet::new());
@@ -64,36 +66,39 @@
         policy.with_content_version()
     }
 
-    /// The same, with these data halls evacuated.
+    /// Returns the policy with these data halls evacuated instead of its own.
     #[must_use]
     pub fn with_evacuated(self, halls: &Halls) -> Self {
         let evacuated = halls.iter().map(|(hall, _)| Arc::clone(hall)).collect();
         Self { evacuated, ..self }.with_content_version()
     }
 
+    /// Sets the version to the hash of the content.
     fn with_content_version(mut self) -> Self {
         self.version = 0;
         self.version = version(&self).max(1);
         self
     }
 
-    /// Whether no request may be sent to the servers of `hall`, whoever gave the place.
+    /// Whether `hall` is evacuated: no request may be sent to its servers, even with a slot from the hub.
     #[must_use]
     pub fn is_evacuated(&self, hall: &str) -> bool {
         self.evacuated.contains(hall)
     }
 
-    /// Whether a gateway may send to `server` by its own choice.
+    /// Whether a gateway may send requests to `server` by a local decision, without the hub.
     #[must_use]
     pub fn allows(&self, server: &Server) -> bool {
         if self.is_evacuated(&server.hall) {
             return false;
         }
-        let open = self.allowed_versions.get(&server.service);
-        open.is_none_or(|open| open.contains(&server.version))
+        let allowed = self.allowed_versions.get(&server.service);
+        allowed.is_none_or(|allowed| allowed.contains(&server.version))
     }
 
-    /// The version to which a roll-out of `service` is under way, so that what its answers show is asked for.
+    /// The target version of the active roll-out of `service`, if any.
+    ///
+    /// While there is one, gateways report how requests to the service ended.
     #[must_use]
     pub fn rollout_target(&self, service: &id::Service) -> Option<&Version> {
         self.rollout_targets.get(service)
--- a/crates/core/src/rollout/version.rs
+++ b/crates/core/src/rollout/version.rs
@@ -7,10 +7,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The longest name of a version, in bytes: longer ones are no names but mistakes.
-const LONGEST: usize = 128;
+/// The maximum length of a version name, in bytes: a longer text is taken for a mistake.
+const MAX_VERSION_BYTES: usize = 128;
 
-/// The reason why a text does not name a version.
+/// The error for a text that is not a valid version name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidVersion(String);
 
@@ -19,16 +19,18 @@
         let text = &self.0;
         write!(
             f,
-            "`{text}` names no version: 1 to {LONGEST} bytes, without blanks and control characters"
+            "`{text}` is not a valid version name: expected 1 to {MAX_VERSION_BYTES} bytes without white space or \
+             control characters"
         )
     }
 }
 
 impl std::error::Error for InvalidVersion {}
 
-/// The version of the software that a backend server runs, as whoever started the server calls it.
+/// The version of the software that a backend server runs, as named by whoever started the server.
 ///
-/// Versions have no order: which one follows which is the operators' to say.
+/// Versions are not ordered: operators decide which one replaces which. The order of this type is that of the
+/// names.
 ///
 /// # Examples
 ///
@@ -54,10 +56,12 @@
 
     fn from_str(text: &str) -> Result<Self, InvalidVersion> {
         let is_clean = |c: char| !c.is_whitespace() && !c.is_control();
-        if (1..=LONGEST).contains(&text.len()) && text.chars().all(is_clean) {
+        if (1..=MAX_VERSION_BYTES).contains(&text.len()) && text.chars().all(is_clean) {
             Ok(Self(text.into()))
         } else {
-            Err(InvalidVersion(text.chars().take(LONGEST).collect()))
+            Err(InvalidVersion(
+                text.chars().take(MAX_VERSION_BYTES).collect(),
+            ))
         }
     }
 }
