--- a/crates/core/src/state/audit.rs
+++ b/crates/core/src/state/audit.rs
@@ -7,7 +7,7 @@
 
 /// One line of the audit trail.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
+pub struct AuditEntry {
     /// The operator.
     pub operator: id::Operator,
     /// The command's number.
--- a/crates/core/src/state/document.rs
+++ b/crates/core/src/state/document.rs
@@ -16,10 +16,10 @@
 use crate::code::Refusal;
 
 /// What the packed form begins with.
-const PACKED: &str = "deflate,base64:";
+const PACKED_PREFIX: &str = "deflate,base64:";
 
 /// The largest document, in bytes: some thirty thousand routes.
-pub const LARGEST: usize = 8 << 20;
+pub const MAX_DOCUMENT_BYTES: usize = 8 << 20;
 
 /// A document that is kept to the byte: as it is, or packed where that is shorter.
 ///
@@ -44,7 +44,7 @@
     #[must_use]
     pub fn pack(text: &str) -> Self {
         match deflate(text) {
-            Ok(packed) if packed.len() < text.len() || text.starts_with(PACKED) => {
+            Ok(packed) if packed.len() < text.len() || text.starts_with(PACKED_PREFIX) => {
                 Self(packed.into())
             }
             _ => Self(text.into()),
@@ -69,7 +69,7 @@
     ///
     /// [`Code::Damaged`] where it was not packed by [`Document::pack`], or is larger than [`LARGEST`].
     pub fn unpack(&self) -> Result<String, Refusal> {
-        let Some(packed) = self.0.strip_prefix(PACKED) else {
+        let Some(packed) = self.0.strip_prefix(PACKED_PREFIX) else {
             return Ok(self.0.to_string());
         };
         let damaged = |why: String| Refusal::new(Code::Damaged, format!("a document: {why}"));
@@ -77,11 +77,11 @@
         let bytes = bytes.map_err(|why| damaged(why.to_string()))?;
         let mut text = String::new();
         DeflateDecoder::new(&*bytes)
-            .take(LARGEST as u64 + 1)
+            .take(MAX_DOCUMENT_BYTES as u64 + 1)
             .read_to_string(&mut text)
             .map_err(|why| damaged(why.to_string()))?;
-        if text.len() > LARGEST {
-            return Err(damaged(format!("it has over {LARGEST} bytes")));
+        if text.len() > MAX_DOCUMENT_BYTES {
+            return Err(damaged(format!("it has over {MAX_DOCUMENT_BYTES} bytes")));
         }
         Ok(text)
     }
@@ -90,5 +90,5 @@
 fn deflate(text: &str) -> std::io::Result<String> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     encoder.write_all(text.as_bytes())?;
-    Ok(PACKED.to_owned() + &BASE64_STANDARD.encode(encoder.finish()?))
+    Ok(PACKED_PREFIX.to_owned() + &BASE64_STANDARD.encode(encoder.finish()?))
 }
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -19,17 +19,17 @@
 use crate::rollout::Plans;
 use crate::view::Roster;
 
+use super::AuditEntry;
 use super::Command;
-use super::Ledger;
-use super::Line;
+use super::CommandResults;
 use super::Publication;
 use super::Record;
 
 /// How many lines of the audit trail are kept.
-const AUDIT: usize = 10_000;
+const MAX_AUDIT_ENTRIES: usize = 10_000;
 
 /// How many steps between revisions are kept, for those who are a little behind.
-const RECENT: usize = 256;
+const MAX_RECENT_STEPS: usize = 256;
 
 /// The change that made a revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -62,23 +62,30 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
     snapshot: Arc<Snapshot>,
-    ledger: Ledger,
-    audit: VecDeque<Line>,
+    #[serde(rename = "ledger")]
+    results: CommandResults,
+    audit: VecDeque<AuditEntry>,
     roster: Roster,
-    previous: Roster,
-    recent: VecDeque<Step>,
+    #[serde(rename = "previous")]
+    previous_roster: Roster,
+    #[serde(rename = "recent")]
+    recent_steps: VecDeque<Step>,
     #[serde(default)]
     publication: Publication,
     #[serde(default)]
-    parts: Parts,
+    #[serde(rename = "parts")]
+    shares: Parts,
     #[serde(default)]
-    deputies: Parts,
+    #[serde(rename = "deputies")]
+    standbys: Parts,
     #[serde(default)]
-    plans: Plans,
+    #[serde(rename = "plans")]
+    rollouts: Plans,
     #[serde(default)]
     quarantine: quarantine::List,
     #[serde(default)]
-    evacuated: Halls,
+    #[serde(rename = "evacuated")]
+    evacuated_halls: Halls,
 }
 
 impl Machine {
@@ -89,27 +96,27 @@
     /// The reason why a command is refused; the refusal is part of the state.
     pub fn apply(&mut self, record: &Record) -> Result<id::Revision, Refusal> {
         match record {
-            Record::Command(command) => self.command(command),
+            Record::Command(command) => self.apply_command(command),
             Record::Roster(roster) => {
                 if roster.number > self.roster.number {
-                    self.previous = std::mem::replace(&mut self.roster, roster.clone());
+                    self.previous_roster = std::mem::replace(&mut self.roster, roster.clone());
                 }
                 Ok(self.snapshot.revision)
             }
             Record::Publication(publication) => {
-                self.publish(publication);
+                self.apply_publication(publication);
                 Ok(self.snapshot.revision)
             }
-            Record::Parts(parts) => {
-                self.parts = parts.clone();
+            Record::Shares(parts) => {
+                self.shares = parts.clone();
                 Ok(self.snapshot.revision)
             }
-            Record::Deputies(parts) => {
-                self.deputies = parts.clone();
+            Record::Standbys(parts) => {
+                self.standbys = parts.clone();
                 Ok(self.snapshot.revision)
             }
             Record::Rollout(step) => {
-                self.plans.apply(step)?;
+                self.rollouts.apply(step)?;
                 Ok(self.snapshot.revision)
             }
             Record::Quarantine(steps) => {
@@ -119,26 +126,26 @@
                 Ok(self.snapshot.revision)
             }
             Record::Evacuation(order) => {
-                self.evacuated.apply(order);
+                self.evacuated_halls.apply(order);
                 Ok(self.snapshot.revision)
             }
         }
     }
 
     /// Takes up a routing table; one whose number is not above the one in force changes nothing.
-    fn publish(&mut self, publication: &Publication) {
+    fn apply_publication(&mut self, publication: &Publication) {
         if publication.number > self.publication.number {
             self.publication = publication.clone();
         }
     }
 
-    fn command(&mut self, command: &Command) -> Result<id::Revision, Refusal> {
-        if let Some(answer) = self.ledger.get(command) {
+    fn apply_command(&mut self, command: &Command) -> Result<id::Revision, Refusal> {
+        if let Some(answer) = self.results.get(command) {
             return answer;
         }
-        let answer = self.change(&command.line);
-        self.ledger.put(command, answer.clone());
-        self.audit.push_back(Line {
+        let answer = self.apply_change(&command.line);
+        self.results.put(command, answer.clone());
+        self.audit.push_back(AuditEntry {
             operator: command.operator.clone(),
             number: command.number,
             revision: self.snapshot.revision,
@@ -147,23 +154,23 @@
                 .map_or_else(|why| why.get_code().number(), |_| 0),
             line: command.line.clone(),
         });
-        if self.audit.len() > AUDIT {
+        if self.audit.len() > MAX_AUDIT_ENTRIES {
             self.audit.pop_front();
         }
         answer
     }
 
-    fn change(&mut self, line: &str) -> Result<id::Revision, Refusal> {
+    fn apply_change(&mut self, line: &str) -> Result<id::Revision, Refusal> {
         let Statement::Change(change) = lang::parse(line)? else {
             return Err(Refusal::new(Code::Syntax, "only a change is numbered"));
         };
         self.snapshot = Arc::new(self.snapshot.apply(&change)?);
-        self.recent.push_back(Step {
+        self.recent_steps.push_back(Step {
             revision: self.snapshot.revision,
             line: line.to_owned(),
         });
-        if self.recent.len() > RECENT {
-            self.recent.pop_front();
+        if self.recent_steps.len() > MAX_RECENT_STEPS {
+            self.recent_steps.pop_front();
         }
         Ok(self.snapshot.revision)
     }
@@ -185,20 +192,20 @@
 
     /// Which gateways hold a part of the sendings past the first that they may do by themselves.
     #[must_use]
-    pub fn get_parts(&self) -> &Parts {
-        &self.parts
+    pub fn get_shares(&self) -> &Parts {
+        &self.shares
     }
 
     /// Which gateways hold a part of what may be let in without the hub's word.
     #[must_use]
-    pub fn get_deputies(&self) -> &Parts {
-        &self.deputies
+    pub fn get_standbys(&self) -> &Parts {
+        &self.standbys
     }
 
     /// The roll-outs.
     #[must_use]
-    pub fn get_plans(&self) -> &Plans {
-        &self.plans
+    pub fn get_rollouts(&self) -> &Plans {
+        &self.rollouts
     }
 
     /// The requests under which servers ended.
@@ -209,8 +216,8 @@
 
     /// The data halls that are evacuated.
     #[must_use]
-    pub fn get_evacuated(&self) -> &Halls {
-        &self.evacuated
+    pub fn get_evacuated_halls(&self) -> &Halls {
+        &self.evacuated_halls
     }
 
     /// The newest view.
@@ -221,27 +228,27 @@
 
     /// The view before it.
     #[must_use]
-    pub fn get_previous(&self) -> &Roster {
-        &self.previous
+    pub fn get_previous_roster(&self) -> &Roster {
+        &self.previous_roster
     }
 
     /// The steps that lead from `revision` to the one in force; none where they are not kept.
     #[must_use]
-    pub fn steps_from(&self, revision: id::Revision) -> Option<Vec<Step>> {
+    pub fn steps_since(&self, revision: id::Revision) -> Option<Vec<Step>> {
         let missing = usize::try_from(self.snapshot.revision.0.checked_sub(revision.0)?).ok()?;
-        let first = self.recent.len().checked_sub(missing)?;
-        Some(self.recent.iter().skip(first).cloned().collect())
+        let first = self.recent_steps.len().checked_sub(missing)?;
+        Some(self.recent_steps.iter().skip(first).cloned().collect())
     }
 
     /// The audit trail, oldest first.
-    pub fn audit(&self) -> impl Iterator<Item = &Line> {
+    pub fn audit(&self) -> impl Iterator<Item = &AuditEntry> {
         self.audit.iter()
     }
 
     /// The answer to `command`, if its number was used before.
     #[must_use]
-    pub fn answered(&self, command: &Command) -> Option<Result<id::Revision, Refusal>> {
-        self.ledger.get(command)
+    pub fn recorded_result(&self, command: &Command) -> Option<Result<id::Revision, Refusal>> {
+        self.results.get(command)
     }
 
     /// Whether `operator`, whose key has the hash `digest`, may ask or change.
@@ -251,7 +258,12 @@
     /// # Errors
     ///
     /// [`Code::Forbidden`].
-    pub fn may(&self, operator: &id::Operator, digest: &str, right: Right) -> Result<(), Refusal> {
+    pub fn authorize(
+        &self,
+        operator: &id::Operator,
+        digest: &str,
+        right: Right,
+    ) -> Result<(), Refusal> {
         use subtle::ConstantTimeEq;
         let operators = &self.snapshot.operators;
         if operators.is_empty() && operator.as_str() == "root" {
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -2,17 +2,17 @@
 
 mod audit;
 mod document;
-mod ledger;
 mod machine;
 mod record;
+mod results;
 
-pub use audit::Line;
+pub use audit::AuditEntry;
 pub use document::Document;
-pub use document::LARGEST;
-pub use ledger::Done;
-pub use ledger::Ledger;
+pub use document::MAX_DOCUMENT_BYTES;
 pub use machine::Machine;
 pub use machine::Step;
 pub use record::Command;
 pub use record::Publication;
 pub use record::Record;
+pub use results::CommandResult;
+pub use results::CommandResults;
--- a/crates/core/src/state/record.rs
+++ b/crates/core/src/state/record.rs
@@ -42,9 +42,11 @@
     /// A routing table.
     Publication(Publication),
     /// Which gateways hold a part of the sendings past the first that they may do by themselves.
-    Parts(Parts),
+    #[serde(rename = "Parts")]
+    Shares(Parts),
     /// Which gateways hold a part of what may be let in without the hub's word.
-    Deputies(Parts),
+    #[serde(rename = "Deputies")]
+    Standbys(Parts),
     /// A step of a roll-out.
     Rollout(rollout::Step),
     /// Steps of the list of requests under which servers ended.
--- a/crates/core/src/view/grantor.rs
+++ b/crates/core/src/view/grantor.rs
@@ -98,7 +98,7 @@
         let newer = roster.number > asked.held_view;
         Ok(Grant {
             roster: newer.then(|| roster.clone()),
-            previous: newer.then(|| machine.get_previous().clone()),
+            previous: newer.then(|| machine.get_previous_roster().clone()),
             view: roster.number,
             active: self.is_active(machine, now),
             lease: (roster.has(&asked.member) && !asked.stopped).then_some(self.lease.duration),
@@ -110,7 +110,7 @@
     #[must_use]
     pub fn is_active(&self, machine: &Machine, now: Instant) -> bool {
         let number = machine.get_roster().number;
-        let former = machine.get_previous().members.iter();
+        let former = machine.get_previous_roster().members.iter();
         let mut former = former.map(|member| self.has_let_go(member, number, now));
         former.all(|gone| gone)
     }
@@ -210,7 +210,7 @@
     if snapshot.revision <= held {
         return Update::None;
     }
-    let steps = machine.steps_from(held).filter(|_| held > id::Revision(0));
+    let steps = machine.steps_since(held).filter(|_| held > id::Revision(0));
     steps.map_or_else(|| Update::Snapshot(Arc::clone(snapshot)), Update::Steps)
 }
 
--- a/crates/core/tests/command_rules.rs
+++ b/crates/core/tests/command_rules.rs
@@ -168,7 +168,7 @@
     let may = |machine: &Machine, name: &str, hash: &str, right| {
         let operator = name.parse().expect("a name");
         machine
-            .may(&operator, hash, right)
+            .authorize(&operator, hash, right)
             .map_err(|why| why.get_code())
     };
     assert_eq!(
--- a/crates/core/tests/evacuated_halls.rs
+++ b/crates/core/tests/evacuated_halls.rs
@@ -113,12 +113,12 @@
         machine
             .apply(&Record::Evacuation(order.clone()))
             .expect("taken");
-        assert!(machine.get_evacuated().reflects(&order));
+        assert!(machine.get_evacuated_halls().reflects(&order));
     }
     let machine = Machine::decode(&machine.encode()).expect("a machine");
-    let since: Vec<_> = machine.get_evacuated().iter().collect();
+    let since: Vec<_> = machine.get_evacuated_halls().iter().collect();
     assert_eq!(since, [(&"a".into(), 5)], "the first order counts");
-    let mut halls = machine.get_evacuated().clone();
+    let mut halls = machine.get_evacuated_halls().clone();
     halls.apply(&order("b", Action::End, 10));
     assert!(halls.has("a"), "another hall's end");
     halls.apply(&order("a", Action::End, 11));
--- a/crates/core/tests/rollout_plans.rs
+++ b/crates/core/tests/rollout_plans.rs
@@ -226,22 +226,22 @@
                     phase: phases[random.random_range(0..4)],
                 },
             };
-            let before = phase(machine.get_plans());
+            let before = phase(machine.get_rollouts());
             let taken = machine.apply(&Record::Rollout(step.clone())).is_ok();
             if matches!(step, Step::Ordered(_)) && taken {
                 ordered.push(target);
             }
-            let after = phase(machine.get_plans());
+            let after = phase(machine.get_rollouts());
             let is_end = before.is_some_and(Phase::is_end);
             if is_end && !matches!(step, Step::Ordered(_)) {
                 assert_eq!(after, before, "seed {seed}");
             }
             if machine
-                .get_plans()
+                .get_rollouts()
                 .serving(&"chat".parse().expect("a name"))
                 .is_some()
             {
-                let open = open(machine.get_plans());
+                let open = open(machine.get_rollouts());
                 assert!(
                     open.iter().all(|name| ordered.contains(name)),
                     "seed {seed}: {open:?}"
--- a/crates/curlewlift/src/control/answers.rs
+++ b/crates/curlewlift/src/control/answers.rs
@@ -108,7 +108,7 @@
         let state = state.borrow();
         state.leads()?;
         let digest = crate::key::digest(&call.key);
-        state.machine.may(&call.operator, &digest, right)?;
+        state.machine.authorize(&call.operator, &digest, right)?;
     }
     match statement {
         Statement::Query(query) => super::query::answer(&state.borrow(), &query),
@@ -126,7 +126,7 @@
         number: call.number,
         line: call.line,
     };
-    let known = state.borrow().machine.answered(&command);
+    let known = state.borrow().machine.recorded_result(&command);
     let answer = if let Some(answer) = known {
         answer
     } else {
--- a/crates/curlewlift/src/control/evacuations.rs
+++ b/crates/curlewlift/src/control/evacuations.rs
@@ -36,7 +36,7 @@
     let wait = {
         let mut state = state.borrow_mut();
         // Leading surely and settled, what is applied here is what is committed.
-        if state.machine.get_evacuated().reflects(&order) {
+        if state.machine.get_evacuated_halls().reflects(&order) {
             return Ok(());
         }
         state.outlives_losses()?;
@@ -63,7 +63,7 @@
         let Some(hub) = &mut self.hub else {
             return;
         };
-        let evacuated = self.machine.get_evacuated();
+        let evacuated = self.machine.get_evacuated_halls();
         hub.adopt_evacuated(evacuated);
         #[allow(clippy::cast_precision_loss)]
         metrics::gauge!("curlewlift_halls_evacuated").set(evacuated.iter().count() as f64);
--- a/crates/curlewlift/src/control/parts.rs
+++ b/crates/curlewlift/src/control/parts.rs
@@ -13,9 +13,9 @@
         let Some(hub) = &mut self.hub else {
             return;
         };
-        let parts = self.machine.get_parts();
+        let parts = self.machine.get_shares();
         hub.adopt_parts(parts, now);
-        let deputies = self.machine.get_deputies();
+        let deputies = self.machine.get_standbys();
         hub.adopt_deputies(deputies, now);
         let (held, deputies) = (parts.holders.len(), deputies.holders.len());
         let detail = format!("parts={} held={held} deputies={deputies}", parts.count);
@@ -30,8 +30,8 @@
         let Some(hub) = &mut self.hub else {
             return;
         };
-        let parts = hub.tend_parts(now).map(Record::Parts);
-        let deputies = hub.tend_deputies(now).map(Record::Deputies);
+        let parts = hub.tend_parts(now).map(Record::Shares);
+        let deputies = hub.tend_deputies(now).map(Record::Standbys);
         for record in parts.into_iter().chain(deputies) {
             // A change that is lost goes with this leader, and with it the hub that waits for it.
             if let Err(why) = self.propose(&record) {
--- a/crates/curlewlift/src/control/replica.rs
+++ b/crates/curlewlift/src/control/replica.rs
@@ -243,7 +243,7 @@
         let record = Record::decode(data).map_err(|why| Refusal::new(Code::Internal, why))?;
         let before = Arc::clone(self.machine.get_snapshot());
         let had_table = self.machine.get_publication().number > 0;
-        let plans = self.machine.get_plans().clone();
+        let plans = self.machine.get_rollouts().clone();
         let answer = self.machine.apply(&record);
         match record {
             Record::Publication(_) => {
@@ -253,7 +253,7 @@
                     self.first_table();
                 }
             }
-            Record::Parts(_) | Record::Deputies(_) => self.take_up_parts(),
+            Record::Shares(_) | Record::Standbys(_) => self.take_up_parts(),
             Record::Rollout(step) => self.take_up_step(&step, &plans, term),
             Record::Quarantine(steps) => self.take_up_quarantine(&steps),
             Record::Evacuation(order) => self.take_up_evacuation(&order),
--- a/crates/curlewlift/src/control/rollouts.rs
+++ b/crates/curlewlift/src/control/rollouts.rs
@@ -43,7 +43,7 @@
     let wait = {
         let mut state = state.borrow_mut();
         state.has_service(&order.service)?;
-        let plans = state.machine.get_plans();
+        let plans = state.machine.get_rollouts();
         plans.check(&order)?;
         if plans.has(&order) {
             return Ok(());
@@ -61,7 +61,7 @@
 pub(super) async fn read(state: &Shared, service: &id::Service) -> Result<HubReply, Refusal> {
     hub::confirm(state).await?;
     let state = state.borrow();
-    let last = state.machine.get_plans().get(service);
+    let last = state.machine.get_rollouts().get(service);
     let last = last.map(|(order, phase)| (order.target.clone(), phase));
     Ok(HubReply::Rollout(last))
 }
@@ -107,7 +107,7 @@
             return;
         };
         hub.adopt_plans(
-            self.machine.get_plans(),
+            self.machine.get_rollouts(),
             own,
             crate::process::unix_ms(),
             now,
--- a/crates/curlewlift/src/platform/operator.rs
+++ b/crates/curlewlift/src/platform/operator.rs
@@ -9,7 +9,7 @@
 use curlewlift_core::code::Refusal;
 use curlewlift_core::event::Kind;
 use curlewlift_core::state::Document;
-use curlewlift_core::state::LARGEST;
+use curlewlift_core::state::MAX_DOCUMENT_BYTES;
 use curlewlift_core::state::Publication;
 use http_body_util::BodyExt;
 use http_body_util::LengthLimitError;
@@ -95,7 +95,9 @@
 
 /// The body of an order, as text.
 pub(super) async fn text(request: Request<Incoming>) -> Result<String, Refusal> {
-    let body = Limited::new(request.into_body(), LARGEST).collect().await;
+    let body = Limited::new(request.into_body(), MAX_DOCUMENT_BYTES)
+        .collect()
+        .await;
     let body = body.map_err(|why| {
         let large = why.is::<LengthLimitError>();
         let code = if large { Code::TooLarge } else { Code::BadJson };
