--- a/crates/core/src/view/grantor.rs
+++ b/crates/core/src/view/grantor.rs
@@ -20,21 +20,21 @@
 use super::Update;
 
 /// After how many leases an entry that is not heard any more is forgotten.
-const FORGET: u32 = 10;
+const FORGET_AFTER_LEASES: u32 = 10;
 
 /// One run of an entry: a host and its incarnation.
-type Process = (id::Host, u64);
+type ProcessId = (id::Host, u64);
 
 /// What the leader knows of one entry.
 #[derive(Clone, Debug)]
-struct Seen {
+struct MemberStatus {
     member: Member,
-    held: id::View,
-    acting: id::View,
-    whole: bool,
+    held_view: id::View,
+    active_view: id::View,
+    shards_complete: bool,
     revision: id::Revision,
-    heard: Instant,
-    gone: bool,
+    last_renewal: Instant,
+    stopped: bool,
 }
 
 /// The leader's side: grants leases, and says when the view must change and when it is active.
@@ -45,9 +45,9 @@
 #[derive(Clone, Debug)]
 pub struct Grantor {
     lease: Lease,
-    began: Instant,
-    active: Option<(id::View, Instant)>,
-    seen: BTreeMap<Process, Seen>,
+    leader_since: Instant,
+    active_since: Option<(id::View, Instant)>,
+    statuses: BTreeMap<ProcessId, MemberStatus>,
 }
 
 impl Grantor {
@@ -56,9 +56,9 @@
     pub fn new(lease: Lease, now: Instant) -> Self {
         Self {
             lease,
-            began: now,
-            active: None,
-            seen: BTreeMap::new(),
+            leader_since: now,
+            active_since: None,
+            statuses: BTreeMap::new(),
         }
     }
 
@@ -82,19 +82,20 @@
             return Err(Refusal::new(Code::Unknown, why));
         }
         let roster = machine.get_roster();
-        let seen = Seen {
+        let seen = MemberStatus {
             member: asked.member.clone(),
-            held: asked.held_view,
-            acting: asked.active_view,
-            whole: asked.shards_complete,
+            held_view: asked.held_view,
+            active_view: asked.active_view,
+            shards_complete: asked.shards_complete,
             revision: asked.revision,
-            heard: now,
-            gone: asked.stopped,
+            last_renewal: now,
+            stopped: asked.stopped,
         };
         let lease = self.lease;
-        self.seen
-            .retain(|_, seen| now.since(seen.heard) < (lease.duration + lease.max_drift) * FORGET);
-        self.seen.insert(process(&asked.member), seen);
+        self.statuses.retain(|_, seen| {
+            now.since(seen.last_renewal) < (lease.duration + lease.max_drift) * FORGET_AFTER_LEASES
+        });
+        self.statuses.insert(process_id(&asked.member), seen);
         let newer = roster.number > asked.held_view;
         Ok(Grant {
             roster: newer.then(|| roster.clone()),
@@ -102,7 +103,7 @@
             view: roster.number,
             active: self.is_active(machine, now),
             lease: (roster.has(&asked.member) && !asked.stopped).then_some(self.lease.duration),
-            update: news(machine, asked.revision),
+            update: config_update(machine, asked.revision),
         })
     }
 
@@ -111,19 +112,19 @@
     pub fn is_active(&self, machine: &Machine, now: Instant) -> bool {
         let number = machine.get_roster().number;
         let former = machine.get_previous_roster().members.iter();
-        let mut former = former.map(|member| self.has_let_go(member, number, now));
+        let mut former = former.map(|member| self.has_left_previous_view(member, number, now));
         former.all(|gone| gone)
     }
 
-    fn has_let_go(&self, member: &Member, number: id::View, now: Instant) -> bool {
-        match self.seen.get(&process(member)) {
-            Some(seen) if seen.held >= number || seen.gone => true,
-            Some(seen) => self.has_run_out(seen.heard, now),
-            None => self.has_run_out(self.began, now),
+    fn has_left_previous_view(&self, member: &Member, number: id::View, now: Instant) -> bool {
+        match self.statuses.get(&process_id(member)) {
+            Some(seen) if seen.held_view >= number || seen.stopped => true,
+            Some(seen) => self.is_lease_expired(seen.last_renewal, now),
+            None => self.is_lease_expired(self.leader_since, now),
         }
     }
 
-    fn has_run_out(&self, granted: Instant, now: Instant) -> bool {
+    fn is_lease_expired(&self, granted: Instant, now: Instant) -> bool {
         now.since(granted) > self.lease.duration + self.lease.max_drift
     }
 
@@ -138,74 +139,86 @@
         if !self.is_active(machine, now) {
             return None;
         }
-        let since = match self.active {
+        let since = match self.active_since {
             Some((number, since)) if number == roster.number => since,
             _ => {
-                self.active = Some((roster.number, now));
+                self.active_since = Some((roster.number, now));
                 now
             }
         };
         let members = roster.members.iter();
         let live: Vec<_> = members
-            .filter(|member| !self.is_dead(member, now))
+            .filter(|member| !self.has_stopped(member, now))
             .collect();
-        if !live.iter().all(|member| self.has_taken_up(member, roster)) {
+        if !live.iter().all(|member| self.has_activated(member, roster)) {
             return None;
         }
         let death = live.len() < roster.members.len();
-        if !death && !live.iter().all(|member| self.is_whole(member)) {
+        if !death && !live.iter().all(|member| self.has_complete_shards(member)) {
             return None;
         }
         let aged = !roster.members.is_empty() && now.since(since) >= self.lease.max_view_age;
-        let mut members: Vec<_> = live.iter().map(|member| self.newest(member)).collect();
-        for seen in self.seen.values() {
+        let mut members: Vec<_> = live
+            .iter()
+            .map(|member| self.latest_member(member))
+            .collect();
+        for seen in self.statuses.values() {
             let is_new = members
                 .iter()
                 .all(|member: &Member| member.host != seen.member.host);
-            if is_new && !seen.gone && !self.has_run_out(seen.heard, now) {
+            if is_new && !seen.stopped && !self.is_lease_expired(seen.last_renewal, now) {
                 members.push(seen.member.clone());
             }
         }
-        mark(&mut members, machine.get_snapshot());
+        apply_operator_state(&mut members, machine.get_snapshot());
         members.sort_by(|a, b| a.host.cmp(&b.host));
         let number = roster.number.next();
         (aged || members != roster.members).then_some(Roster { number, members })
     }
 
     /// Whether `member` acts no more: it has said so, or its lease has run out.
-    fn is_dead(&self, member: &Member, now: Instant) -> bool {
-        match self.seen.get(&process(member)) {
-            Some(seen) => seen.gone || self.has_run_out(seen.heard, now),
-            None => self.has_run_out(self.began, now),
+    fn has_stopped(&self, member: &Member, now: Instant) -> bool {
+        match self.statuses.get(&process_id(member)) {
+            Some(seen) => seen.stopped || self.is_lease_expired(seen.last_renewal, now),
+            None => self.is_lease_expired(self.leader_since, now),
         }
     }
 
-    fn has_taken_up(&self, member: &Member, roster: &Roster) -> bool {
-        let seen = self.seen.get(&process(member));
-        seen.is_some_and(|seen| seen.acting >= roster.number)
+    fn has_activated(&self, member: &Member, roster: &Roster) -> bool {
+        let seen = self.statuses.get(&process_id(member));
+        seen.is_some_and(|seen| seen.active_view >= roster.number)
     }
 
-    fn is_whole(&self, member: &Member) -> bool {
-        self.seen
-            .get(&process(member))
-            .is_some_and(|seen| seen.whole)
+    fn has_complete_shards(&self, member: &Member) -> bool {
+        self.statuses
+            .get(&process_id(member))
+            .is_some_and(|seen| seen.shards_complete)
     }
 
     /// What `member` has last said of itself.
-    fn newest(&self, member: &Member) -> Member {
-        let seen = self.seen.get(&process(member));
+    fn latest_member(&self, member: &Member) -> Member {
+        let seen = self.statuses.get(&process_id(member));
         seen.map_or(member, |seen| &seen.member).clone()
     }
 
     /// The revision that was last told to be in force at each entry, and how long ago.
-    pub fn revisions(&self) -> impl Iterator<Item = (&id::Host, id::Revision, id::View, Instant)> {
-        let seen = self.seen.values();
-        seen.map(|seen| (&seen.member.host, seen.revision, seen.held, seen.heard))
+    pub fn reported_revisions(
+        &self,
+    ) -> impl Iterator<Item = (&id::Host, id::Revision, id::View, Instant)> {
+        let seen = self.statuses.values();
+        seen.map(|seen| {
+            (
+                &seen.member.host,
+                seen.revision,
+                seen.held_view,
+                seen.last_renewal,
+            )
+        })
     }
 }
 
 /// The steps where they are known, else the whole: a change costs a line an entry.
-fn news(machine: &Machine, held: id::Revision) -> Update {
+fn config_update(machine: &Machine, held: id::Revision) -> Update {
     let snapshot = machine.get_snapshot();
     if snapshot.revision <= held {
         return Update::None;
@@ -214,13 +227,13 @@
     steps.map_or_else(|| Update::Snapshot(Arc::clone(snapshot)), Update::Steps)
 }
 
-fn process(member: &Member) -> Process {
+fn process_id(member: &Member) -> ProcessId {
     (member.host.clone(), member.incarnation)
 }
 
 /// Marks what the operators drain or set aside; a member that says itself that it is leaving stays
 /// marked.
-fn mark(members: &mut [Member], snapshot: &Snapshot) {
+fn apply_operator_state(members: &mut [Member], snapshot: &Snapshot) {
     for member in members {
         let host = snapshot.hosts.get(&member.host);
         member.owns = host.is_some_and(|host| host.owns);
--- a/crates/core/src/view/holder.rs
+++ b/crates/core/src/view/holder.rs
@@ -20,12 +20,12 @@
 pub struct Holder {
     member: Member,
     roster: Arc<Roster>,
-    previous: Arc<Roster>,
+    previous_roster: Arc<Roster>,
     active: bool,
-    until: Instant,
+    lease_until: Instant,
     snapshot: Arc<Snapshot>,
-    gone: bool,
-    whole: bool,
+    stopped: bool,
+    shards_complete: bool,
 }
 
 impl Holder {
@@ -35,12 +35,12 @@
         Self {
             member,
             roster: Arc::default(),
-            previous: Arc::default(),
+            previous_roster: Arc::default(),
             active: false,
-            until: Instant::default(),
+            lease_until: Instant::default(),
             snapshot: Arc::default(),
-            gone: false,
-            whole: true,
+            stopped: false,
+            shards_complete: true,
         }
     }
 
@@ -55,9 +55,9 @@
             } else {
                 id::View::default()
             },
-            shards_complete: self.whole,
+            shards_complete: self.shards_complete,
             revision: self.snapshot.revision,
-            stopped: self.gone,
+            stopped: self.stopped,
         }
     }
 
@@ -70,14 +70,14 @@
             Update::Snapshot(snapshot) if snapshot.revision > self.snapshot.revision => {
                 self.snapshot = snapshot;
             }
-            Update::Steps(steps) => steps.iter().for_each(|step| self.take(step)),
+            Update::Steps(steps) => steps.iter().for_each(|step| self.apply_step(step)),
             Update::Snapshot(_) | Update::None => {}
         }
         if let Some(roster) = grant.roster
             && roster.number > self.roster.number
         {
             self.roster = Arc::new(roster);
-            self.previous = Arc::new(grant.previous.unwrap_or_default());
+            self.previous_roster = Arc::new(grant.previous.unwrap_or_default());
             self.active = false;
         }
         if grant.view != self.roster.number {
@@ -85,12 +85,12 @@
         }
         self.active |= grant.active;
         if let Some(length) = grant.lease {
-            self.until = self.until.max(asked + length);
+            self.lease_until = self.lease_until.max(asked + length);
         }
     }
 
     /// Takes the next step of the configuration; any other is passed over.
-    fn take(&mut self, step: &Step) {
+    fn apply_step(&mut self, step: &Step) {
         if step.revision != self.snapshot.revision.next() {
             return;
         }
@@ -109,7 +109,8 @@
     /// The view to act under, if there is one at `now`.
     #[must_use]
     pub fn usable_roster(&self, now: Instant) -> Option<&Arc<Roster>> {
-        let holds = self.active && !self.gone && now < self.until && self.roster.has(&self.member);
+        let holds =
+            self.active && !self.stopped && now < self.lease_until && self.roster.has(&self.member);
         holds.then_some(&self.roster)
     }
 
@@ -121,13 +122,13 @@
 
     /// Whether a view to act under may come soon: the view is changing and the lease runs.
     #[must_use]
-    pub fn is_waiting(&self, now: Instant) -> bool {
-        !self.active && now < self.until
+    pub fn awaits_activation(&self, now: Instant) -> bool {
+        !self.active && now < self.lease_until
     }
 
     /// Whether every shard that this entry keeps is whole; the leader is told with each renewal.
     pub fn set_shards_complete(&mut self, whole: bool) {
-        self.whole = whole;
+        self.shards_complete = whole;
     }
 
     /// Tells the leader from now on that this entry is stopping.
@@ -137,7 +138,7 @@
 
     /// Acts no more, and tells the leader so: its lease need not be waited out.
     pub fn stop(&mut self) {
-        self.gone = true;
+        self.stopped = true;
     }
 
     /// This entry.
@@ -154,8 +155,8 @@
 
     /// The view before the newest.
     #[must_use]
-    pub fn get_previous(&self) -> &Arc<Roster> {
-        &self.previous
+    pub fn get_previous_roster(&self) -> &Arc<Roster> {
+        &self.previous_roster
     }
 
     /// The configuration in force here.
--- a/crates/curlewlift/src/control/query.rs
+++ b/crates/curlewlift/src/control/query.rs
@@ -62,7 +62,7 @@
     for (host, revision, view, heard) in state
         .grantor
         .iter()
-        .flat_map(curlewlift_core::view::Grantor::revisions)
+        .flat_map(curlewlift_core::view::Grantor::reported_revisions)
     {
         let age = u64::try_from(now.since(heard).as_millis()).unwrap_or(u64::MAX);
         table.push(
--- a/crates/curlewlift/src/entry/node.rs
+++ b/crates/curlewlift/src/entry/node.rs
@@ -144,7 +144,7 @@
         loop {
             let acting = self.acting();
             let now = self.now();
-            if acting.is_ok() || now >= until || !lock(&self.holder).is_waiting(now) {
+            if acting.is_ok() || now >= until || !lock(&self.holder).awaits_activation(now) {
                 return acting;
             }
             tokio::time::sleep(LOOK).await;
--- a/crates/curlewlift/src/entry/renew.rs
+++ b/crates/curlewlift/src/entry/renew.rs
@@ -99,7 +99,7 @@
     }
     let holder = lock(&node.holder);
     let roster = Arc::clone(holder.get_roster());
-    let previous = Arc::clone(holder.get_previous());
+    let previous = Arc::clone(holder.get_previous_roster());
     drop(holder);
     lock(&node.table).apply_view(&roster, &previous, node.now());
     owner::adopt(node, &roster, &previous);
