--- a/crates/core/src/state/record.rs
+++ b/crates/core/src/state/record.rs
@@ -42,9 +42,11 @@
     /// A routing table.
     Publication(Publication),
     /// Which gateways hold a part of the sendings past the first that they may do by themselves.
-    Parts(Shares),
+    #[serde(rename = "Parts")]
+    Shares(Shares),
     /// Which gateways hold a part of what may be let in without the hub's word.
-    Deputies(Shares),
+    #[serde(rename = "Deputies")]
+    Standbys(Shares),
     /// A step of a roll-out.
     Rollout(rollout::Step),
     /// Steps of the list of requests under which servers ended.
