--- a/crates/core/src/quota/local.rs
+++ b/crates/core/src/quota/local.rs
@@ -64,7 +64,7 @@
 ///
 /// The gateway has a share of the tolerance at all times and, once the hub has been unresponsive for
 /// [`LOCAL_QUOTA_DELAY`], a share of the quotas too. The shares of all gateways never add up to more than one
-/// ([`crate::gateway::Parts`]). All buckets start empty, so that a restart admits nothing twice.
+/// ([`crate::gateway::Shares`]). All buckets start empty, so that a restart admits nothing twice.
 #[derive(Clone, Debug, Default)]
 pub struct LocalLimiter {
     tolerance: Tolerance,
--- a/crates/core/src/state/document.rs
+++ b/crates/core/src/state/document.rs
@@ -67,7 +67,7 @@
     ///
     /// # Errors
     ///
-    /// [`Code::Damaged`] where it was not packed by [`Document::pack`], or is larger than [`LARGEST`].
+    /// [`Code::Damaged`] where it was not packed by [`Document::pack`], or is larger than [`MAX_DOCUMENT_BYTES`].
     pub fn unpack(&self) -> Result<String, Refusal> {
         let Some(packed) = self.0.strip_prefix(PACKED_PREFIX) else {
             return Ok(self.0.to_string());
--- a/crates/core/tests/claim_histories.rs
+++ b/crates/core/tests/claim_histories.rs
@@ -267,7 +267,7 @@
         let table = &mut self.entries[place].table;
         match copy {
             CopyResponse::Complete(slot) => {
-                table.install_copy(shard, view, slot, Instant::default())
+                table.install_copy(shard, view, slot, Instant::default());
             }
             CopyResponse::Incomplete => table.skip_source(shard, &source.host, Instant::default()),
             CopyResponse::ViewMismatch => {}
