--- a/crates/core/src/gateway/dispatch.rs
+++ b/crates/core/src/gateway/dispatch.rs
@@ -11,20 +11,20 @@
 use crate::limit::Change;
 use crate::limit::Warmup;
 use crate::pool;
-use crate::pool::Ask;
-use crate::pool::End;
-use crate::pool::OnTrial;
+use crate::pool::AttemptOutcome;
 use crate::pool::Pool;
+use crate::pool::Request;
+use crate::pool::TrialVersion;
 use crate::quarantine::Identity;
 use crate::quarantine::Permit;
 
-use super::Ended;
+use super::AttemptEnd;
 use super::Grant;
-use super::Listing;
+use super::GrantId;
 use super::Load;
-use super::Mark;
 use super::Server;
-use super::Want;
+use super::ServerList;
+use super::SlotRequest;
 use super::grant::Given;
 use super::occupancy::Occupancy;
 
@@ -81,14 +81,14 @@
     }
 
     /// Takes up a list of backend servers; of their `limits` a service that is new here knows nothing yet.
-    pub(super) fn adopt(&mut self, listing: &Listing, limits: &limit::Table) {
+    pub(super) fn adopt(&mut self, listing: &ServerList, limits: &limit::Table) {
         let mut by_service = listing.by_service();
         for (service, pool) in &mut self.pools {
-            pool.adopt(by_service.remove(service).unwrap_or_default());
+            pool.update_servers(by_service.remove(service).unwrap_or_default());
         }
         for (service, servers) in by_service {
-            let mut pool = Pool::new(pool::Tuning::default(), self.hub).of_all();
-            pool.adopt(servers);
+            let mut pool = Pool::new(pool::Tuning::default(), self.hub).for_all_gateways();
+            pool.update_servers(servers);
             for (key, limit, heard) in limits.service_limits(&service) {
                 pool.set_limit(key, Some(limit), heard);
             }
@@ -113,11 +113,11 @@
     /// The versions that get no more than so many requests, by service.
     pub(super) fn set_on_trial<'a>(
         &mut self,
-        on_trial: impl Iterator<Item = (&'a id::Service, OnTrial)>,
+        on_trial: impl Iterator<Item = (&'a id::Service, TrialVersion)>,
     ) {
         let mut on_trial: BTreeMap<_, _> = on_trial.collect();
         for (service, pool) in &mut self.pools {
-            pool.set_on_trial(on_trial.remove(service));
+            pool.set_trial(on_trial.remove(service));
         }
     }
 
@@ -133,25 +133,25 @@
     }
 
     /// Takes up what a gateway has in flight.
-    pub(super) fn report(&mut self, host: &id::Host, mark: Mark, loads: &[Load]) {
+    pub(super) fn report(&mut self, host: &id::Host, mark: GrantId, loads: &[Load]) {
         let seen = if mark.hub == self.hub { mark.number } else { 0 };
         self.occupancy.report(host, seen, loads);
     }
 
     /// Takes note of how sendings of a gateway ended.
-    pub(super) fn ended(&mut self, host: &id::Host, ends: &[Ended], now: Instant) {
+    pub(super) fn ended(&mut self, host: &id::Host, ends: &[AttemptEnd], now: Instant) {
         for ended in ends {
             if let Some(pool) = self.pools.get_mut(&ended.service) {
-                pool.seen(&ended.incarnation, ended.end, now);
+                pool.observe(&ended.incarnation, ended.outcome, now);
             }
-            if let End::Rests(length) = ended.end {
+            if let AttemptOutcome::Backoff(length) = ended.outcome {
                 self.rests(host, ended, now + length);
             }
         }
     }
 
     /// A server has asked a host for rest: those that the host has in line for its service do not go there.
-    fn rests(&mut self, host: &id::Host, ended: &Ended, until: Instant) {
+    fn rests(&mut self, host: &id::Host, ended: &AttemptEnd, until: Instant) {
         let Some(pool) = self.pools.get_mut(&ended.service) else {
             return;
         };
@@ -159,7 +159,7 @@
         let in_line = in_line
             .filter(|(ticket, asking)| ticket.service == ended.service && asking.host == *host);
         for (ticket, _) in in_line {
-            pool.rests(ticket.number, &ended.incarnation, until);
+            pool.add_backoff(ticket.number, &ended.incarnation, until);
         }
     }
 
@@ -174,7 +174,7 @@
 
     /// For how long requests waited only because servers had named limits, since this was last asked for.
     pub(super) fn take_held(&mut self) -> Duration {
-        self.pools.values_mut().map(Pool::take_held).sum()
+        self.pools.values_mut().map(Pool::take_limit_wait).sum()
     }
 
     /// The number of the last grant.
@@ -205,7 +205,7 @@
     /// What it was given, where the service has no servers here.
     pub(super) fn want(
         &mut self,
-        want: Want,
+        want: SlotRequest,
         given: Given,
         now: Instant,
     ) -> Result<(Ticket, Option<Left>), Given> {
@@ -213,20 +213,20 @@
             return Err(given);
         };
         let until = |(incarnation, left)| (incarnation, now + left);
-        let ask = Ask {
+        let ask = Request {
             rule: want.rule,
             rank: want.rank,
             arrived: now - want.waited,
-            wanted: now + want.wanted,
-            until: now + want.patience,
+            send_by: now + want.useful_for,
+            wait_until: now + want.wait_limit,
             prompt: want.prompt,
             hall: want.hall,
             tried: want.tried,
             avoid: want.avoid.into_iter().map(until).collect(),
-            rests: want.rests.into_iter().map(until).collect(),
-            halls: want.halls,
+            backoffs: want.backing_off.into_iter().map(until).collect(),
+            allowed_halls: want.allowed_halls,
         };
-        let (number, last) = pool.ask(ask, now);
+        let (number, last) = pool.enqueue(ask, now);
         let hub = self.hub;
         let ticket = |number| Ticket {
             hub,
@@ -237,7 +237,7 @@
         let asking = Asking {
             host: want.host,
             identity: want.identity,
-            until: now + want.left,
+            until: now + want.time_left,
             given,
         };
         self.asking.insert(asked.clone(), asking);
@@ -251,7 +251,7 @@
             return Given::default();
         };
         if let Some(pool) = self.pools.get_mut(&ticket.service) {
-            pool.leave(ticket.number);
+            pool.cancel(ticket.number);
         }
         asking.given
     }
@@ -300,7 +300,7 @@
     pub(super) fn give_up(&mut self, now: Instant) -> Vec<Left> {
         let mut hopeless = Vec::new();
         for (service, pool) in &mut self.pools {
-            let numbers = pool.give_up(now).into_iter();
+            let numbers = pool.remove_doomed(now).into_iter();
             hopeless.extend(numbers.map(|number| Ticket {
                 hub: self.hub,
                 service: service.clone(),
@@ -323,7 +323,7 @@
     /// The services that somebody waits for.
     fn wanted(&self) -> Vec<id::Service> {
         let pools = self.pools.iter();
-        let wanted = pools.filter(|(_, pool)| pool.waiting() > 0);
+        let wanted = pools.filter(|(_, pool)| pool.queue_len() > 0);
         wanted.map(|(service, _)| service.clone()).collect()
     }
 
@@ -332,17 +332,17 @@
         for incarnation in self.occupancy.changed() {
             let in_flight = self.occupancy.get(&incarnation);
             for pool in self.pools.values_mut() {
-                pool.occupy(&incarnation, in_flight);
+                pool.set_in_flight(&incarnation, in_flight);
             }
         }
     }
 
     /// The turns that a service has, by what is in flight now.
-    fn turns(&mut self, service: &id::Service, now: Instant) -> Vec<pool::Turn> {
+    fn turns(&mut self, service: &id::Service, now: Instant) -> Vec<pool::Assignment> {
         let Some(pool) = self.pools.get_mut(service) else {
             return Vec::new();
         };
-        let turns = pool.serve(now);
+        let turns = pool.assign(now);
         for turn in &turns {
             // The pool has counted the turn itself; what is granted of it counts instead.
             self.occupancy.touch(&turn.server.incarnation);
@@ -354,7 +354,7 @@
     fn grant(
         &mut self,
         ticket: &Ticket,
-        turn: &pool::Turn,
+        turn: &pool::Assignment,
         now: Instant,
     ) -> Option<(Grant, Given)> {
         let Asking { host, given, .. } = self.asking.remove(ticket)?;
@@ -362,19 +362,19 @@
         let load = Load {
             incarnation: Arc::clone(&server.incarnation),
             requests: 1,
-            reading: turn.prompt,
+            prefill_tokens: turn.prompt,
         };
-        let mark = Mark {
+        let id = GrantId {
             hub: self.hub,
             number: self.occupancy.grant(&host, load, now),
         };
         let permit = given.permit.as_ref().map(|permit| permit.number);
         let grant = Grant {
-            mark,
+            id,
             server,
             permit,
-            drawn: turn.drawn,
-            retry: given.retry.is_some(),
+            rate_charged: turn.charged_to_limit,
+            includes_retry: given.retry.is_some(),
         };
         Some((grant, given))
     }
--- a/crates/core/src/gateway/mod.rs
+++ b/crates/core/src/gateway/mod.rs
@@ -1,61 +1,61 @@
-//! Gateways: entries that pass requests on by a routing table, and the hub that keeps them together.
+//! Gateways, which forward requests by a routing table, and the hub that coordinates them.
 //!
-//! The hub lives beside the leading control replica, and gives the gateways' requests places at
-//! backend servers. Each gateway asks it several times a second and tells what it has in flight; the answer
-//! has what is new: the routing table, the gateway's subset of the backend servers, the
-//! gateways that live, the sums over all of them.
+//! The hub runs beside the leading control replica and grants the gateways' requests slots at
+//! backend servers. Each gateway polls it several times a second and reports what it has in flight.
+//! The reply carries what has changed: the routing table, the gateway's subset of the backend
+//! servers, the gateway membership, and the load over all gateways.
 
-mod alone;
-mod answers;
+mod bulk_schedule;
 mod dispatch;
+mod distribution;
 mod grant;
-mod handout;
-mod holding;
 mod hub;
+mod incarnations;
+mod leader_search;
 mod limits;
-mod listing;
-mod lives;
+mod membership;
 mod occupancy;
-mod pace;
-mod parts;
-mod places;
+mod polls;
 mod quarantine;
 mod retries;
-mod roll;
 mod rollouts;
+mod server_list;
+mod server_list_cache;
+mod shares;
+mod slots;
 mod subset;
 mod sync;
 mod version;
 
-pub use alone::Search;
-pub use alone::apart;
+pub use bulk_schedule::BulkSchedule;
 pub use dispatch::Ticket;
-pub use grant::Ended;
+pub use distribution::Chunk;
+pub use distribution::Distribution;
+pub use grant::AttemptEnd;
 pub use grant::Grant;
-pub use grant::Mark;
+pub use grant::GrantId;
 pub use grant::Report;
-pub use grant::Want;
-pub use grant::Watched;
-pub use handout::Handout;
-pub use handout::Piece;
-pub use holding::Holding;
+pub use grant::RolloutTag;
+pub use grant::SlotRequest;
 pub use hub::Hub;
 pub use hub::Tuning;
-pub use listing::Change as ListingChange;
-pub use listing::Listing;
-pub use listing::News as ListingNews;
-pub use listing::Server;
-pub use lives::Lives;
-pub use pace::Pace;
-pub use parts::Keeper;
-pub use parts::Parts;
-pub use places::Wanted;
-pub use roll::Change;
-pub use roll::News;
-pub use roll::Roll;
-pub use sync::Deputies;
+pub use incarnations::Incarnations;
+pub use leader_search::LeaderSearch;
+pub use leader_search::call_interval;
+pub use membership::Membership;
+pub use membership::MembershipChange;
+pub use membership::MembershipUpdate;
+pub use server_list::Change as ServerListChange;
+pub use server_list::Server;
+pub use server_list::ServerList;
+pub use server_list::Update as ServerListUpdate;
+pub use server_list_cache::ServerListCache;
+pub use shares::ShareAllocator;
+pub use shares::Shares;
+pub use slots::SlotDecision;
 pub use sync::Gateway;
 pub use sync::Load;
-pub use sync::Question;
+pub use sync::Poll;
 pub use sync::Reply;
+pub use sync::Standbys;
 pub(crate) use version::version;
--- a/crates/core/src/gateway/parts.rs
+++ b/crates/core/src/gateway/shares.rs
@@ -28,19 +28,19 @@
 /// parts enough, and one is taken out only once it has had no word for so long. A leader that has only
 /// begun counts from its own beginning.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Parts {
+pub struct Shares {
     /// How many parts there are.
     pub count: u32,
     /// The hosts that hold one.
     pub holders: BTreeSet<Host>,
 }
 
-impl Parts {
+impl Shares {
     /// The part that `host` holds, 0 to 1.
     #[must_use]
-    pub fn of(&self, host: &Host) -> f64 {
+    pub fn share_of(&self, host: &Host) -> f64 {
         if self.holders.contains(host) {
-            self.share(1)
+            self.fraction(1)
         } else {
             0.0
         }
@@ -48,7 +48,7 @@
 
     /// So many parts, 0 to 1.
     #[must_use]
-    pub fn share(&self, parts: usize) -> f64 {
+    pub fn fraction(&self, parts: usize) -> f64 {
         let parts = u32::try_from(parts).unwrap_or(u32::MAX);
         f64::from(parts.min(self.count)) / f64::from(self.count.max(1))
     }
@@ -65,37 +65,37 @@
 
 /// A leader's care of the parts.
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct ShareAllocator {
     began: Instant,
-    parts: Parts,
+    parts: Shares,
     /// Since when there are at least as many parts as now.
     grown: Instant,
     /// The change that is on its way into the log.
-    proposed: Option<Parts>,
+    proposed: Option<Shares>,
     /// When the last change was begun.
     changed: Instant,
     told: BTreeMap<Host, Told>,
-    /// What [`Keeper::present`] last came to, and until when that stands.
-    present: Option<(f64, Instant)>,
+    /// What [`ShareAllocator::hub_fraction`] last came to, and until when that stands.
+    hub_fraction: Option<(f64, Instant)>,
 }
 
-impl Keeper {
+impl ShareAllocator {
     /// A leader begins at `now`.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
             began: now,
-            parts: Parts::default(),
+            parts: Shares::default(),
             grown: now,
             proposed: None,
             changed: now,
             told: BTreeMap::new(),
-            present: None,
+            hub_fraction: None,
         }
     }
 
     /// Takes up the parts as they stand in the log at `now`.
-    pub fn adopt(&mut self, parts: &Parts, now: Instant) {
+    pub fn apply(&mut self, parts: &Shares, now: Instant) {
         if *parts == self.parts {
             return;
         }
@@ -104,11 +104,11 @@
         }
         self.parts = parts.clone();
         self.proposed = None;
-        self.present = None;
+        self.hub_fraction = None;
     }
 
     /// A gateway asks, and says which answer it has got last.
-    pub fn hear(&mut self, host: &Host, got: u64, now: Instant) {
+    pub fn on_poll(&mut self, host: &Host, got: u64, now: Instant) {
         if let Some(told) = self.told.get_mut(host)
             && told.last.0 == got
         {
@@ -117,19 +117,19 @@
                 .is_none_or(|got| got + quota::SHARE_RESERVE_DELAY <= now);
             told.got = Some(told.last.1);
             if was_aside {
-                self.present = None;
+                self.hub_fraction = None;
             }
         }
     }
 
     /// A gateway is answered: gives the answer's number and the part that it holds.
-    pub fn tell(&mut self, host: &Host, number: u64, now: Instant) -> f64 {
-        let got = self.got(host);
+    pub fn on_reply(&mut self, host: &Host, number: u64, now: Instant) -> f64 {
+        let got = self.acknowledged_at(host);
         let last = (number, now);
         self.told.insert(host.clone(), Told { last, got });
-        let stays = |next: &Parts| next.holders.contains(host);
+        let stays = |next: &Shares| next.holders.contains(host);
         if self.proposed.as_ref().is_none_or(stays) {
-            self.parts.of(host)
+            self.parts.share_of(host)
         } else {
             0.0
         }
@@ -140,13 +140,17 @@
     ///
     /// It is asked for at each request, and worked out again only when it can have changed: that costs time
     /// linear in the holders.
-    pub fn present(&mut self, now: Instant) -> f64 {
-        if let Some((present, until)) = self.present
+    pub fn hub_fraction(&mut self, now: Instant) -> f64 {
+        if let Some((present, until)) = self.hub_fraction
             && now < until
         {
             return present;
         }
-        let heard = self.parts.holders.iter().filter_map(|host| self.got(host));
+        let heard = self
+            .parts
+            .holders
+            .iter()
+            .filter_map(|host| self.acknowledged_at(host));
         let ends = heard
             .map(|got| got + quota::SHARE_RESERVE_DELAY)
             .filter(|end| now < *end);
@@ -154,18 +158,18 @@
             (0, now + quota::SHARE_RESERVE_DELAY),
             |(count, until), end| (count + 1, until.min(end)),
         );
-        let present = 1.0 - self.parts.share(self.parts.holders.len() - count);
-        self.present = Some((present, until));
+        let present = 1.0 - self.parts.fraction(self.parts.holders.len() - count);
+        self.hub_fraction = Some((present, until));
         present
     }
 
     /// When the newest answer was given that `host` says it has got.
-    fn got(&self, host: &Host) -> Option<Instant> {
+    fn acknowledged_at(&self, host: &Host) -> Option<Instant> {
         self.told.get(host).and_then(|told| told.got)
     }
 
     /// The parts as they are to be, where they are to change; none is added to `most` holders or more.
-    pub fn tend(&mut self, most: usize, now: Instant) -> Option<Parts> {
+    pub fn propose(&mut self, most: usize, now: Instant) -> Option<Shares> {
         if now.since(self.changed) < APART || self.proposed.is_some() {
             return None;
         }
@@ -173,7 +177,7 @@
         self.told.retain(|host, told| {
             holders.contains(host) || now.since(told.last.1) < quota::SHARE_LIFETIME
         });
-        let next = self.next(most, now);
+        let next = self.next_shares(most, now);
         if next == self.parts {
             return None;
         }
@@ -182,7 +186,7 @@
         Some(next)
     }
 
-    fn next(&self, most: usize, now: Instant) -> Parts {
+    fn next_shares(&self, most: usize, now: Instant) -> Shares {
         let goes_by = |host: &Host| {
             let last = self.told.get(host).map_or(self.began, |told| told.last.1);
             now.since(last) < quota::SHARE_LIFETIME
@@ -197,13 +201,16 @@
             let count = wanted + wanted / FURTHER;
             // Where nobody holds a part, nobody goes by a larger one.
             let holders = if holders.is_empty() { come } else { holders };
-            return Parts { count, holders };
+            return Shares { count, holders };
         }
-        let heard_of_it = |host: &Host| self.got(host).is_some_and(|got| got >= self.grown);
+        let heard_of_it = |host: &Host| {
+            self.acknowledged_at(host)
+                .is_some_and(|got| got >= self.grown)
+        };
         if holders.iter().all(heard_of_it) {
             holders.extend(come);
         }
-        Parts {
+        Shares {
             count: self.parts.count,
             holders,
         }
--- a/crates/core/src/limit/local.rs
+++ b/crates/core/src/limit/local.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use crate::clock::Instant;
-use crate::gateway::Mark;
+use crate::gateway::GrantId;
 use crate::gateway::Server;
 use crate::id;
 
@@ -75,7 +75,7 @@
         &mut self,
         server: &Server,
         announcement: &Announcement,
-        grant_id: Mark,
+        grant_id: GrantId,
         sent: Instant,
         now: Instant,
     ) -> Option<Announcement> {
@@ -177,7 +177,7 @@
             number: 0,
             key,
             rate: Some(rate),
-            grant_id: Mark::default(),
+            grant_id: GrantId::default(),
         };
         self.add_report(report, Instant::default(), now);
     }
@@ -190,7 +190,7 @@
         if let Some(pending) = unordered {
             let pending = &pending.report;
             if pending.rate.is_some() || report.rate.is_some() {
-                report.grant_id = Mark::default();
+                report.grant_id = GrantId::default();
             }
             report.rate = match (pending.rate, report.rate) {
                 (Some(a), Some(b)) if a <= b => Some(a),
@@ -228,7 +228,7 @@
     /// Returns whether a request must not be sent with a slot that was granted without a token of its server's rate
     /// limit, because the hub did not know of the limit.
     #[must_use]
-    pub fn blocks(&self, server: &Server, grant_id: Mark) -> bool {
+    pub fn blocks(&self, server: &Server, grant_id: GrantId) -> bool {
         let key = Key::from_server(server);
         // A newer incarnation may respond under the same name.
         let newer = self.newer_incarnation(server);
--- /dev/null
+++ b/crates/core/src/pool/request.rs
@@ -0,0 +1,128 @@
+//! A request that waits for a backend server, its assignment to one, and the outcome of an attempt.
+
+use std::borrow::Cow;
+use std::sync::Arc;
+use std::time::Duration;
+
+use serde::Deserialize;
+use serde::Serialize;
+
+use crate::clock::Instant;
+use crate::gateway::Server;
+use crate::route::Rank;
+use crate::unit::Tokens;
+
+/// Identifies a request that is queued or runs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct Ticket(pub u64);
+
+/// A request that needs a backend server.
+#[derive(Clone, Debug, Default)]
+pub struct Request {
+    /// The routing rule that it matched, if known.
+    pub rule: Option<Arc<str>>,
+    /// Its priority.
+    pub rank: Rank,
+    /// When it first arrived; a retried request keeps this time, and with it its queue position.
+    pub arrived: Instant,
+    /// The latest time to send it so that its answer begins within the latency objective.
+    pub send_by: Instant,
+    /// The latest time until which it stays queued.
+    pub wait_until: Instant,
+    /// The length of its prompt; 0 if it has none.
+    pub prompt: Tokens,
+    /// The data hall that it is sent from.
+    pub hall: Arc<str>,
+    /// Incarnations that it was already sent to.
+    pub tried: Vec<Arc<str>>,
+    /// Further incarnations that it must not be sent to before the given time.
+    pub avoid: Vec<(Arc<str>, Instant)>,
+    /// Incarnations that asked its host to send no requests before the given time.
+    pub backoffs: Vec<(Arc<str>, Instant)>,
+    /// The data halls that it must stay in; `None` if it may go to any.
+    pub allowed_halls: Option<Arc<[Arc<str>]>>,
+}
+
+impl Request {
+    /// Whether it may be sent to `server` at `now`.
+    pub(super) fn may_go_to(&self, server: &Server, now: Instant) -> bool {
+        let incarnation = &server.incarnation;
+        let excludes = |(other, until): &(Arc<str>, Instant)| other == incarnation && now < *until;
+        let is_excluded = self.avoid.iter().any(excludes) || self.backoffs.iter().any(excludes);
+        !is_excluded && self.allows_hall_of(server) && !self.tried.contains(incarnation)
+    }
+
+    /// Whether `server` is in a data hall that it may go to.
+    fn allows_hall_of(&self, server: &Server) -> bool {
+        let halls = self.allowed_halls.as_ref();
+        halls.is_none_or(|halls| halls.contains(&server.hall))
+    }
+
+    /// The same request with further backoffs that servers asked its host for.
+    pub(super) fn with_backoffs(&self, backoffs: &[(Arc<str>, Instant)]) -> Cow<'_, Self> {
+        let mut request = Cow::Borrowed(self);
+        if !backoffs.is_empty() {
+            request.to_mut().backoffs.extend_from_slice(backoffs);
+        }
+        request
+    }
+
+    /// Whether it may not be sent to some servers that other requests may be sent to.
+    pub(super) fn is_restricted(&self) -> bool {
+        !(self.tried.is_empty() && self.avoid.is_empty()) || self.has_backoff_or_halls()
+    }
+
+    /// Whether backoffs or allowed data halls exclude some servers.
+    pub(super) fn has_backoff_or_halls(&self) -> bool {
+        !self.backoffs.is_empty() || self.allowed_halls.is_some()
+    }
+
+    /// Whether it cannot be sent to `server` for as long as it stays queued: it was already sent there, the server
+    /// backs off for longer, or is outside its allowed data halls.
+    pub(super) fn never_goes_to(&self, server: &Server) -> bool {
+        let incarnation = &server.incarnation;
+        let mut backoffs = self.backoffs.iter();
+        let is_backing_off =
+            backoffs.any(|(other, until)| other == incarnation && self.wait_until <= *until);
+        is_backing_off || !self.allows_hall_of(server) || self.tried.contains(incarnation)
+    }
+}
+
+/// The assignment of a queued request to a backend server.
+#[derive(Clone, Debug)]
+pub struct Assignment {
+    /// The request.
+    pub ticket: Ticket,
+    /// The server to send it to.
+    pub server: Arc<Server>,
+    /// The length of its prompt.
+    pub prompt: Tokens,
+    /// Whether the request was charged to a rate limit that the server announced.
+    pub charged_to_limit: bool,
+}
+
+/// The outcome of an attempt, as far as it tells something about the backend server.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+pub enum AttemptOutcome {
+    /// The server answered.
+    Answered {
+        /// From sending the request to the first byte of the answer.
+        first_byte: Duration,
+        /// The mean time between two chunks of a stream, if there were several.
+        gap: Option<Duration>,
+    },
+    /// The server answered that it has no room.
+    Full,
+    /// The server rejected the request and asked for none from this gateway's host for the given time.
+    Backoff(Duration),
+    /// The server answered with an error.
+    Failed,
+    /// The server could not be reached, closed the connection early, or answered with an invalid response.
+    Broken,
+    /// The server sent nothing for longer than its load can explain.
+    TimedOut,
+    /// The address belongs to another incarnation by now, or the server is draining.
+    Gone,
+    /// The caller disconnected, so that nothing is known about the server.
+    Unknown,
+}
--- a/crates/core/src/queue/admission.rs
+++ b/crates/core/src/queue/admission.rs
@@ -1,88 +1,103 @@
-//! Which requests may wait, and which are shed.
+//! Decides which requests may be queued, and which queued ones are shed.
 
 use crate::clock::Instant;
 use crate::code::Code;
 use crate::code::Refusal;
 
 use super::Action;
-use super::Ask;
 use super::Queue;
+use super::Request;
 use super::Ticket;
+use super::customer_queue::WaitingRequest;
 use super::dispatch::cannot_finish;
-use super::dispatch::work_of;
-use super::level::Level;
-use super::line::Waiting;
-use super::spot::Spot;
+use super::dispatch::to_work;
+use super::position::Position;
+use super::tier_queue::TierQueue;
 
 /// # Admission
 impl Queue {
-    /// Whether a request may wait at all.
-    pub(super) fn admit(&self, ask: &Ask, now: Instant) -> Result<(), Refusal> {
-        let held = self
-            .levels
-            .get(&ask.rank)
-            .map_or(0, |level| level.count(&ask.customer));
-        if held >= ask.waiting as usize {
+    /// Checks whether a request may be queued.
+    ///
+    /// Refuses it if its customer has too many requests queued, if no server is live, or if even the
+    /// fastest server couldn't meet its deadlines.
+    pub(super) fn admit(&self, request: &Request, now: Instant) -> Result<(), Refusal> {
+        let waiting_count = self
+            .tiers
+            .get(&request.rank)
+            .map_or(0, |tier| tier.count(&request.customer));
+        if waiting_count >= request.max_waiting as usize {
             let why = format!(
-                "{held} requests of this customer wait; it may have {}",
-                ask.waiting
+                "{waiting_count} requests of this customer are queued already; the limit is {}",
+                request.max_waiting
             );
             return Err(Refusal::new(Code::QueueLimit, why));
         }
-        let length = self.lengths.get(&ask.customer).copied().unwrap_or_default();
-        let work = work_of(ask, length.expect(ask.output));
-        let Some(fastest) = self.fleet.fastest(&work) else {
+        let length = self
+            .lengths
+            .get(&request.customer)
+            .copied()
+            .unwrap_or_default();
+        let work = to_work(request, length.estimate(request.max_output));
+        let Some(fastest) = self.fleet.fastest_estimate(&work) else {
             return Err(Refusal::new(
                 Code::NoServer,
                 "no backend server of the service is live",
             ));
         };
-        if now + fastest.first > ask.first || now + fastest.whole > ask.deadline {
+        if now + fastest.first_token > request.first_token_deadline
+            || now + fastest.total > request.deadline
+        {
             return Err(cannot_finish(&fastest));
         }
         Ok(())
     }
 
-    pub(super) fn wait(&mut self, waiting: Waiting) {
+    /// Adds an admitted request to the queue of its tier.
+    pub(super) fn enqueue(&mut self, waiting: WaitingRequest) {
         self.arrivals += 1;
-        let ask = &waiting.ask;
-        let place = (ask.deadline, self.arrivals);
-        let spot = Spot {
-            rank: ask.rank,
-            customer: ask.customer.clone(),
-            place,
+        let request = &waiting.request;
+        let key = (request.deadline, self.arrivals);
+        let position = Position {
+            rank: request.rank,
+            customer: request.customer.clone(),
+            key,
         };
-        self.deadlines.insert((ask.deadline, ask.ticket.clone()));
-        self.spots.insert(ask.ticket.clone(), spot);
-        self.levels
-            .entry(ask.rank)
+        self.deadlines
+            .insert((request.deadline, request.ticket.clone()));
+        self.positions.insert(request.ticket.clone(), position);
+        self.tiers
+            .entry(request.rank)
             .or_default()
-            .push(place, waiting);
+            .push(key, waiting);
     }
 
-    /// Sheds from the lowest tier until the work that waits is within the limit.
-    pub(super) fn make_room(&mut self) {
-        while self.work() > self.limit {
-            let Some(rank) = self.lowest() else { return };
-            let Some(shed) = self.levels.get_mut(&rank).and_then(Level::shed) else {
+    /// Sheds requests from the lowest tier until the queued work is within the limit.
+    pub(super) fn shed_excess_work(&mut self) {
+        while self.waiting_work() > self.work_limit {
+            let Some(rank) = self.lowest_waiting_rank() else {
                 return;
             };
-            let ticket = shed.ask.ticket;
-            self.spots.remove(&ticket);
-            self.deadlines.remove(&(shed.ask.deadline, ticket.clone()));
-            let why = "the service is full; the lowest tier that waits is shed first";
+            let Some(shed) = self.tiers.get_mut(&rank).and_then(TierQueue::shed) else {
+                return;
+            };
+            let ticket = shed.request.ticket;
+            self.positions.remove(&ticket);
+            self.deadlines
+                .remove(&(shed.request.deadline, ticket.clone()));
+            let why = "the queue of the service is full; the lowest waiting tier is shed first";
             let refusal = Refusal::new(Code::Shed, why);
             self.actions.push(Action::Refuse { ticket, refusal });
         }
     }
 
-    pub(super) fn remove(&mut self, ticket: &Ticket) {
-        let Some(spot) = self.spots.remove(ticket) else {
+    /// Removes a request from the queue; does nothing if it isn't queued.
+    pub(super) fn remove_waiting(&mut self, ticket: &Ticket) {
+        let Some(position) = self.positions.remove(ticket) else {
             return;
         };
-        self.deadlines.remove(&(spot.place.0, ticket.clone()));
-        if let Some(level) = self.levels.get_mut(&spot.rank) {
-            level.remove(&spot.customer, spot.place);
+        self.deadlines.remove(&(position.key.0, ticket.clone()));
+        if let Some(tier) = self.tiers.get_mut(&position.rank) {
+            tier.remove(&position.customer, position.key);
         }
     }
 }
--- a/crates/core/src/queue/mod.rs
+++ b/crates/core/src/queue/mod.rs
@@ -1,21 +1,22 @@
-//! The waiting work of one service, kept by its owner.
+//! The request queue of one service, held by the entry that owns the service.
 //!
-//! Strictly by tier; inside a tier by weighted fair shares over customers, counted in tokens;
-//! inside a customer by deadline. What must be shed is taken from the lowest tier that waits.
+//! Requests are ordered strictly by tier; within a tier by weighted fair shares of its customers, counted in
+//! tokens; within a customer by deadline. When the queue is full, requests are shed from the lowest tier that
+//! has any queued.
 
 mod action;
 mod admission;
-mod ask;
-mod budget;
+mod customer_queue;
 mod dispatch;
-mod length;
-mod level;
-mod line;
-mod order;
-mod spot;
+mod position;
+mod request;
+mod response_length;
+mod retry_budget;
+mod service_queue;
+mod tier_queue;
 
 pub use action::Action;
-pub use ask::Ask;
-pub use ask::Report;
-pub use ask::Ticket;
-pub use order::Queue;
+pub use request::Report;
+pub use request::Request;
+pub use request::Ticket;
+pub use service_queue::Queue;
--- a/crates/core/src/quota/limiter.rs
+++ b/crates/core/src/quota/limiter.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::Instant;
 use crate::id;
-use crate::route::Allowance;
+use crate::route::Quota;
 
 use super::Bucket;
 use super::Charge;
@@ -20,7 +20,7 @@
 /// The quota and bucket of one customer.
 #[derive(Clone, Copy, Debug)]
 struct CustomerBucket {
-    quota: Allowance,
+    quota: Quota,
     bucket: Bucket,
     /// Charged for waiting requests; not committed or refunded yet.
     reserved: f64,
@@ -69,7 +69,7 @@
     /// Replaces the quotas; a bucket never holds more than its quota's burst.
     pub fn set_quotas<'a>(
         &mut self,
-        quotas: impl Iterator<Item = (&'a id::Customer, Allowance)>,
+        quotas: impl Iterator<Item = (&'a id::Customer, Quota)>,
         now: Instant,
     ) {
         self.fill(now);
--- a/crates/core/src/quota/local.rs
+++ b/crates/core/src/quota/local.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::Instant;
 use crate::id;
-use crate::route::Allowance;
+use crate::route::Quota;
 
 use super::Bucket;
 use super::Charge;
@@ -34,7 +34,7 @@
 /// The two buckets of a customer.
 #[derive(Clone, Copy, Debug)]
 struct LocalBuckets {
-    quota: Allowance,
+    quota: Quota,
     /// The gateway's share of the tolerance, which the hub never uses.
     tolerance_bucket: Bucket,
     /// The gateway's share of the quota, while the hub reserves it.
@@ -64,7 +64,7 @@
 ///
 /// The gateway has a share of the tolerance at all times and, once the hub has been unresponsive for
 /// [`LOCAL_QUOTA_DELAY`], a share of the quotas too. The shares of all gateways never add up to more than one
-/// ([`crate::gateway::Parts`]). All buckets start empty, so that a restart admits nothing twice.
+/// ([`crate::gateway::Shares`]). All buckets start empty, so that a restart admits nothing twice.
 #[derive(Clone, Debug, Default)]
 pub struct LocalLimiter {
     tolerance: Tolerance,
@@ -117,7 +117,7 @@
     }
 
     /// Charges a request and returns whether it is admitted; a rejected one costs nothing.
-    pub fn acquire(&mut self, charge: &Charge, quota: &Allowance, now: Instant) -> bool {
+    pub fn acquire(&mut self, charge: &Charge, quota: &Quota, now: Instant) -> bool {
         let share = self.get_share(now);
         if share <= 0.0 {
             return false;
--- a/crates/core/src/quota/tolerance.rs
+++ b/crates/core/src/quota/tolerance.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::route::Allowance;
+use crate::route::Quota;
 
 /// The share of the tolerance that the hub adds to the quotas, evenly over time.
 const HUB_TOLERANCE_SHARE: f64 = 0.65;
@@ -37,7 +37,7 @@
     /// ```
     /// use std::time::Duration;
     /// use curlewlift_core::quota::Tolerance;
-    /// use curlewlift_core::route::Allowance;
+    /// use curlewlift_core::route::Quota;
     /// use curlewlift_core::route::Unit;
     /// let quota = Allowance { unit: Unit::Requests, rate: 10.0, burst: 20.0 };
     /// let tolerance = Tolerance { window: Duration::from_secs(8), ratio: 0.1, slack: 0.0 };
@@ -45,7 +45,7 @@
     /// assert!((Tolerance::default().fill_rate(&quota) - 10.0).abs() < 1e-9);
     /// ```
     #[must_use]
-    pub fn fill_rate(&self, quota: &Allowance) -> f64 {
+    pub fn fill_rate(&self, quota: &Quota) -> f64 {
         let window = self.window.as_secs_f64();
         if window <= 0.0 {
             return quota.rate;
@@ -55,7 +55,7 @@
 
     /// Returns the rate and the burst that all gateways together have for the time in which the hub does not answer.
     #[must_use]
-    pub fn local_reserve(&self, quota: &Allowance) -> (f64, f64) {
+    pub fn local_reserve(&self, quota: &Quota) -> (f64, f64) {
         let window = self.window.as_secs_f64();
         if window <= 0.0 {
             return (0.0, 0.0);
@@ -68,11 +68,11 @@
     }
 
     /// What the quota itself allows in a window.
-    fn window_quota(&self, quota: &Allowance) -> f64 {
+    fn window_quota(&self, quota: &Quota) -> f64 {
         quota.rate * self.window.as_secs_f64() + quota.burst
     }
 
-    fn tolerated_excess(&self, quota: &Allowance) -> f64 {
+    fn tolerated_excess(&self, quota: &Quota) -> f64 {
         self.ratio * self.window_quota(quota) + self.slack
     }
 }
--- a/crates/core/src/rollout/version.rs
+++ b/crates/core/src/rollout/version.rs
@@ -7,28 +7,30 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The longest name of a version, in bytes: longer ones are no names but mistakes.
-const LONGEST: usize = 128;
+/// The maximum length of a version name, in bytes: a longer text is taken for a mistake.
+const MAX_VERSION_BYTES: usize = 128;
 
-/// The reason why a text does not name a version.
+/// The error for a text that is not a valid version name.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Invalid(String);
+pub struct InvalidVersion(String);
 
-impl fmt::Display for Invalid {
+impl fmt::Display for InvalidVersion {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = &self.0;
         write!(
             f,
-            "`{text}` names no version: 1 to {LONGEST} bytes, without blanks and control characters"
+            "`{text}` is not a valid version name: expected 1 to {MAX_VERSION_BYTES} bytes without white space or \
+             control characters"
         )
     }
 }
 
-impl std::error::Error for Invalid {}
+impl std::error::Error for InvalidVersion {}
 
-/// The version of the software that a backend server runs, as whoever started the server calls it.
+/// The version of the software that a backend server runs, as named by whoever started the server.
 ///
-/// Versions have no order: which one follows which is the operators' to say.
+/// Versions are not ordered: operators decide which one replaces which. The order of this type is that of the
+/// names.
 ///
 /// # Examples
 ///
@@ -37,7 +39,7 @@
 /// let version: Version = "v2".parse()?;
 /// assert_eq!(version.to_string(), "v2");
 /// assert!("v 2".parse::<Version>().is_err());
-/// # Ok::<(), curlewlift_core::rollout::Invalid>(())
+/// # Ok::<(), curlewlift_core::rollout::InvalidVersion>(())
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
@@ -50,22 +52,24 @@
 }
 
 impl FromStr for Version {
-    type Err = Invalid;
+    type Err = InvalidVersion;
 
-    fn from_str(text: &str) -> Result<Self, Invalid> {
+    fn from_str(text: &str) -> Result<Self, InvalidVersion> {
         let is_clean = |c: char| !c.is_whitespace() && !c.is_control();
-        if (1..=LONGEST).contains(&text.len()) && text.chars().all(is_clean) {
+        if (1..=MAX_VERSION_BYTES).contains(&text.len()) && text.chars().all(is_clean) {
             Ok(Self(text.into()))
         } else {
-            Err(Invalid(text.chars().take(LONGEST).collect()))
+            Err(InvalidVersion(
+                text.chars().take(MAX_VERSION_BYTES).collect(),
+            ))
         }
     }
 }
 
 impl TryFrom<String> for Version {
-    type Error = Invalid;
+    type Error = InvalidVersion;
 
-    fn try_from(text: String) -> Result<Self, Invalid> {
+    fn try_from(text: String) -> Result<Self, InvalidVersion> {
         text.parse()
     }
 }
--- a/crates/core/tests/allowances.rs
+++ b/crates/core/tests/allowances.rs
@@ -9,13 +9,13 @@
 
 use curlewlift_core::quota::Charge;
 use curlewlift_core::quota::Limiter;
-use curlewlift_core::route::Allowance;
+use curlewlift_core::route::Quota;
 
-use support::asks::at;
 use support::gateways::ALLOWANCE;
 use support::gateways::TOLERANCE;
 use support::gateways::World;
 use support::gateways::ann;
+use support::requests::at;
 
 fn seconds(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
@@ -53,7 +53,7 @@
 /// 2,495,045). 70 gateways exceeded the bound in this test, 12 did not.
 #[test]
 fn sudden_load() {
-    let quota = Allowance {
+    let quota = Quota {
         rate: 276_000.0,
         burst: 276_000.0,
         ..ALLOWANCE
@@ -131,7 +131,7 @@
 /// test admitted 1,716 of 144,000 requested tokens.
 #[test]
 fn leaderless_second() {
-    let quota = Allowance {
+    let quota = Quota {
         rate: 276_000.0,
         burst: 276_000.0,
         ..ALLOWANCE
@@ -191,7 +191,7 @@
 fn lowered_quota() {
     let mut world = World::new(12, 3);
     world.go_on(seconds(10), 55_000.0);
-    world.limit(Allowance {
+    world.limit(Quota {
         rate: 20_000.0,
         burst: 20_000.0,
         ..ALLOWANCE
--- a/crates/core/tests/limit_reports.rs
+++ b/crates/core/tests/limit_reports.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use curlewlift_core::clock::Instant;
-use curlewlift_core::gateway::Mark;
+use curlewlift_core::gateway::GrantId;
 use curlewlift_core::gateway::Server;
 use curlewlift_core::id;
 use curlewlift_core::limit::Announcement;
@@ -38,8 +38,8 @@
     Announcement::Limited(rate(text))
 }
 
-fn grant_id(number: u64) -> Mark {
-    Mark { hub: HUB, number }
+fn grant_id(number: u64) -> GrantId {
+    GrantId { hub: HUB, number }
 }
 
 fn host() -> id::Host {
@@ -132,7 +132,7 @@
     let mut hub = Hub::new();
     hub.report("s", Some("3"), 5, 10);
     let server = life("s", 1);
-    for (number, grant_id) in [(2, Mark { hub: 1, number: 99 }), (3, Mark::default())] {
+    for (number, grant_id) in [(2, GrantId { hub: 1, number: 99 }), (3, GrantId::default())] {
         let report = Report {
             number,
             key: Key::from_server(&server),
@@ -164,13 +164,13 @@
 fn kept_until_lifted() {
     let server = life("s", 1);
     let (mut local, mut first_hub) = (LocalReports::new(1), Table::new(1));
-    local.record_response(&server, &limited("3"), Mark::default(), at(0), at(1));
+    local.record_response(&server, &limited("3"), GrantId::default(), at(0), at(1));
     assert!(local.blocks(&server, grant_id(1)));
     // It is lifted neither by responses to this gateway, whatever their order, nor by the hub's acknowledgement.
     local.record_response(
         &server,
         &Announcement::NoLimit,
-        Mark::default(),
+        GrantId::default(),
         at(0),
         at(2),
     );
@@ -179,12 +179,12 @@
     first_hub.record(&host(), &local.pending_reports(), 9, at(3));
     let _ = local.apply_reply(1, last_number, None, at(4));
     assert!(local.pending_reports().reports.is_empty());
-    assert!(local.blocks(&server, Mark { hub: 1, number: 9 }));
+    assert!(local.blocks(&server, GrantId { hub: 1, number: 9 }));
     first_hub.publish(at(5));
     let update = first_hub.update_since(local.get_table_version());
     let _ = local.apply_reply(1, last_number, update.as_ref(), at(6));
-    assert!(local.blocks(&server, Mark { hub: 1, number: 9 }));
-    let later = Mark { hub: 1, number: 10 };
+    assert!(local.blocks(&server, GrantId { hub: 1, number: 9 }));
+    let later = GrantId { hub: 1, number: 10 };
     assert!(
         !local.blocks(&server, later),
         "granted after the hub knew of the limit"
--- a/crates/core/tests/rollout_plans.rs
+++ b/crates/core/tests/rollout_plans.rs
@@ -4,8 +4,8 @@
 
 use curlewlift_core::clock::Instant;
 use curlewlift_core::code::Code;
-use curlewlift_core::gateway::Listing;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
 use curlewlift_core::rollout::Bounds;
 use curlewlift_core::rollout::Order;
 use curlewlift_core::rollout::Phase;
@@ -30,7 +30,7 @@
     Order {
         service: "chat".parse().expect("a name"),
         target: version(target),
-        length: Duration::from_secs(seconds),
+        duration: Duration::from_secs(seconds),
         given_ms: 0,
     }
 }
@@ -59,7 +59,7 @@
 }
 
 fn phase(plans: &Plans) -> Option<Phase> {
-    let last = plans.get(&"chat".parse().expect("a name"));
+    let last = plans.last_order(&"chat".parse().expect("a name"));
     last.map(|(_, phase)| phase)
 }
 
@@ -67,7 +67,7 @@
     Server {
         incarnation: "s1".into(),
         name: "s1".into(),
-        born: 0,
+        started_ms: 0,
         version: version(name),
         service: "chat".parse().expect("a name"),
         address: "127.0.0.1:1".parse().expect("an address"),
@@ -80,9 +80,9 @@
 
 /// The versions that gateways may send to by themselves.
 fn open(plans: &Plans) -> Vec<&'static str> {
-    let policy = Policy::of(plans);
+    let policy = Policy::from_plans(plans);
     let all = ["v1", "v2", "v3"].into_iter();
-    all.filter(|name| policy.is_open(&server(name))).collect()
+    all.filter(|name| policy.allows(&server(name))).collect()
 }
 
 #[test]
@@ -165,17 +165,17 @@
 fn established_by(plans: &Plans, versions: &[&str]) -> Vec<Step> {
     let bounds = Bounds {
         share: 0.1,
-        on_top: 50.0,
+        extra_requests: 50.0,
     };
     let now = Instant::default();
     let mut trials = Trials::new(Some(bounds));
-    trials.adopt(plans, None, 0, now);
+    trials.apply_plans(plans, None, 0, now);
     let servers = versions.iter().enumerate();
     let servers = servers.map(|(number, name)| Server {
         incarnation: format!("s{number}").into(),
         ..server(name)
     });
-    trials.establish(&Listing::new(servers.collect()), now)
+    trials.propose_established(&ServerList::new(servers.collect()), now)
 }
 
 #[test]
@@ -226,22 +226,22 @@
                     phase: phases[random.random_range(0..4)],
                 },
             };
-            let before = phase(machine.get_plans());
+            let before = phase(machine.get_rollouts());
             let taken = machine.apply(&Record::Rollout(step.clone())).is_ok();
             if matches!(step, Step::Ordered(_)) && taken {
                 ordered.push(target);
             }
-            let after = phase(machine.get_plans());
-            let is_end = before.is_some_and(Phase::is_end);
+            let after = phase(machine.get_rollouts());
+            let is_end = before.is_some_and(Phase::is_final);
             if is_end && !matches!(step, Step::Ordered(_)) {
                 assert_eq!(after, before, "seed {seed}");
             }
             if machine
-                .get_plans()
-                .serving(&"chat".parse().expect("a name"))
+                .get_rollouts()
+                .serving_versions(&"chat".parse().expect("a name"))
                 .is_some()
             {
-                let open = open(machine.get_plans());
+                let open = open(machine.get_rollouts());
                 assert!(
                     open.iter().all(|name| ordered.contains(name)),
                     "seed {seed}: {open:?}"
--- a/crates/core/tests/support/messages.rs
+++ b/crates/core/tests/support/messages.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use curlewlift_core::gateway::Gateway;
-use curlewlift_core::gateway::Mark;
-use curlewlift_core::gateway::Question;
+use curlewlift_core::gateway::GrantId;
+use curlewlift_core::gateway::Poll;
 use curlewlift_core::gateway::Report;
-use curlewlift_core::gateway::Want;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::id;
 use curlewlift_core::limit::Reports;
 use curlewlift_core::quarantine::Identity;
@@ -14,52 +14,52 @@
 use curlewlift_core::unit::Tokens;
 
 /// A request that waits for a second at most.
-pub(crate) fn want(host: &id::Host) -> Want {
-    Want {
+pub(crate) fn want(host: &id::Host) -> SlotRequest {
+    SlotRequest {
         host: host.clone(),
         hall: "a".into(),
         rule: None,
         service: "chat".parse().expect("a name"),
         rank: Rank::default(),
         waited: Duration::ZERO,
-        wanted: Duration::from_secs(1),
-        patience: Duration::from_secs(1),
-        left: Duration::from_secs(5),
+        useful_for: Duration::from_secs(1),
+        wait_limit: Duration::from_secs(1),
+        time_left: Duration::from_secs(5),
         identity: Identity::default(),
-        observed: Vec::new(),
+        observations: Vec::new(),
         prompt: Tokens(0),
         charge: None,
-        retry: false,
+        needs_retry: false,
         tried: Vec::new(),
         avoid: Vec::new(),
-        rests: Vec::new(),
-        halls: None,
+        backing_off: Vec::new(),
+        allowed_halls: None,
     }
 }
 
 /// The question of a gateway that takes callers and holds nothing.
-pub(crate) fn question(host: &id::Host) -> Question {
-    Question {
+pub(crate) fn question(host: &id::Host) -> Poll {
+    Poll {
         host: host.clone(),
         gateway: Gateway {
             hall: "a".into(),
             callers: "127.0.0.1:80".parse().expect("an address"),
         },
         ready: true,
-        table: 0,
-        whole: false,
-        listing: 0,
-        roll: 0,
-        deputies: 0,
-        policy: 0,
-        mark: Mark::default(),
+        known_table: 0,
+        wants_whole_list: false,
+        server_list_version: 0,
+        membership_version: 0,
+        standbys_version: 0,
+        policy_version: 0,
+        last_grant: GrantId::default(),
         loads: Vec::new(),
-        got: 0,
-        quarantine: 0,
-        observed: Vec::new(),
-        limits: Reports::default(),
-        limits_held: (0, 0),
-        fetched: None,
+        last_reply: 0,
+        quarantine_version: 0,
+        observations: Vec::new(),
+        limit_reports: Reports::default(),
+        limits_version: (0, 0),
+        fetched_list: None,
     }
 }
 
@@ -67,10 +67,10 @@
 pub(crate) fn report(host: &id::Host) -> Report {
     Report {
         host: host.clone(),
-        mark: Mark::default(),
+        last_grant: GrantId::default(),
         loads: Vec::new(),
-        ends: Vec::new(),
-        observed: Vec::new(),
-        limits: Reports::default(),
+        ended: Vec::new(),
+        observations: Vec::new(),
+        limit_reports: Reports::default(),
     }
 }
--- a/crates/core/tests/thousand_gateways.rs
+++ b/crates/core/tests/thousand_gateways.rs
@@ -9,24 +9,24 @@
 
 use curlewlift_core::clock::Instant;
 use curlewlift_core::gateway;
+use curlewlift_core::gateway::BulkSchedule;
+use curlewlift_core::gateway::Distribution;
 use curlewlift_core::gateway::Gateway;
-use curlewlift_core::gateway::Handout;
-use curlewlift_core::gateway::Holding;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
-use curlewlift_core::gateway::Pace;
-use curlewlift_core::gateway::Question;
+use curlewlift_core::gateway::LeaderSearch;
+use curlewlift_core::gateway::Membership;
+use curlewlift_core::gateway::Poll;
 use curlewlift_core::gateway::Reply;
-use curlewlift_core::gateway::Roll;
-use curlewlift_core::gateway::Search;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::ServerListCache;
+use curlewlift_core::gateway::SlotDecision;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::gateway::Tuning;
-use curlewlift_core::gateway::Want;
-use curlewlift_core::gateway::Wanted;
-use curlewlift_core::gateway::apart;
+use curlewlift_core::gateway::call_interval;
 use curlewlift_core::id;
-use curlewlift_core::pool::Allowed;
-use curlewlift_core::pool::Budget;
+use curlewlift_core::pool::RetryAllowance;
+use curlewlift_core::pool::RetryBudget;
 use curlewlift_core::state::Publication;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -64,8 +64,8 @@
     host: id::Host,
     ready: bool,
     callers: Gateway,
-    holding: Holding,
-    roll: Roll,
+    holding: ServerListCache,
+    roll: Membership,
 }
 
 impl Asker {
@@ -79,37 +79,37 @@
                     .parse()
                     .expect("an address"),
             },
-            holding: Holding::new(host.clone(), false),
-            roll: Roll::default(),
+            holding: ServerListCache::new(host.clone(), false),
+            roll: Membership::default(),
             host,
         }
     }
 
-    fn question(&self) -> Question {
-        Question {
+    fn question(&self) -> Poll {
+        Poll {
             gateway: self.callers.clone(),
             ready: self.ready,
-            listing: self.holding.get_version(),
-            roll: self.roll.version,
+            server_list_version: self.holding.get_version(),
+            membership_version: self.roll.version,
             ..messages::question(&self.host)
         }
     }
 
     fn hear(&self, hub: &mut Hub, now: Instant) -> Reply {
         let question = self.question();
-        hub.hear(&question, now);
-        hub.answer(&question, &Publication::default(), now)
+        hub.on_poll(&question, now);
+        hub.reply(&question, &Publication::default(), now)
     }
 
     /// Asks, takes the answer up, and tells how many bytes it had.
     fn ask(&mut self, hub: &mut Hub, now: Instant) -> usize {
         let reply = self.hear(hub, now);
         let bytes = postcard::to_stdvec(&reply).expect("encoded").len();
-        if let Some(news) = reply.listing {
-            self.holding.told(news);
+        if let Some(news) = reply.server_list {
+            self.holding.apply(news);
         }
-        if let Some(news) = reply.roll {
-            self.roll = self.roll.after(news).expect("about the roll held");
+        if let Some(news) = reply.membership {
+            self.roll = self.roll.apply(news).expect("about the roll held");
         }
         bytes
     }
@@ -118,7 +118,7 @@
 /// Gateways that hold what the hub has told them.
 fn fleet(servers: &[Server], gateways: usize) -> (Hub, Vec<Asker>) {
     let mut hub = Hub::new(Tuning::default(), ms(0));
-    hub.list(Arc::new(Listing::new(servers.to_vec())));
+    hub.set_server_list(Arc::new(ServerList::new(servers.to_vec())));
     let mut askers: Vec<_> = (0..gateways).map(Asker::new).collect();
     for round in [100, 200] {
         for asker in &mut askers {
@@ -138,7 +138,7 @@
         .map(|asker| asker.ask(&mut hub, ms(300)))
         .sum();
     servers.last_mut().expect("some").leaving = true;
-    hub.list(Arc::new(Listing::new(servers.clone())));
+    hub.set_server_list(Arc::new(ServerList::new(servers.clone())));
     let told: usize = askers
         .iter_mut()
         .map(|asker| asker.ask(&mut hub, ms(400)))
@@ -153,12 +153,12 @@
     let mut servers = servers();
     let (mut hub, askers) = fleet(&servers, GATEWAYS);
     servers[17].leaving = true;
-    hub.list(Arc::new(Listing::new(servers.clone())));
+    hub.set_server_list(Arc::new(ServerList::new(servers.clone())));
     let mut concerned = 0;
     for asker in &askers {
         let question = asker.question();
-        hub.hear(&question, ms(300));
-        concerned += usize::from(hub.has_news(&question));
+        hub.on_poll(&question, ms(300));
+        concerned += usize::from(hub.has_update(&question));
     }
     assert!((1..40).contains(&concerned), "{concerned} of {GATEWAYS}");
 }
@@ -188,7 +188,7 @@
                     None => listed.push(server.clone()),
                 }
             }
-            hub.list(Arc::new(Listing::new(listed.clone())));
+            hub.set_server_list(Arc::new(ServerList::new(listed.clone())));
             let place = random.random_range(0..askers.len());
             if random.random_range(0..4) == 0 {
                 askers[place].hear(&mut hub, ms(now));
@@ -196,7 +196,7 @@
                 askers[place].ask(&mut hub, ms(now));
             }
         }
-        let listing = Listing::new(listed);
+        let listing = ServerList::new(listed);
         for asker in &mut askers {
             for _ in 0..2 {
                 now += 30;
@@ -248,18 +248,22 @@
 /// first, however often they ask again.
 #[test]
 fn turns_in_order() {
-    let mut pace = Pace::default();
+    let mut pace = BulkSchedule::default();
     let first: Vec<_> = (0..GATEWAYS)
-        .map(|place| pace.turn(&host(place), ms(0)))
+        .map(|place| pace.reserve(&host(place), ms(0)))
         .collect();
     assert!(first.windows(2).all(|two| two[0] < two[1]));
     assert!(first[GATEWAYS - 1] <= ms(1_000), "all within a second");
     for (place, turn) in first.iter().enumerate().skip(300) {
-        assert_eq!(pace.turn(&host(place), ms(250)), *turn);
+        assert_eq!(pace.reserve(&host(place), ms(250)), *turn);
     }
-    pace.told(&host(0));
-    assert_eq!(pace.turn(&host(0), ms(10)), ms(1_000), "behind all others");
-    let gone = pace.turn(&host(1), ms(6_100));
+    pace.finish(&host(0));
+    assert_eq!(
+        pace.reserve(&host(0), ms(10)),
+        ms(1_000),
+        "behind all others"
+    );
+    let gone = pace.reserve(&host(1), ms(6_100));
     assert!(
         gone >= ms(6_100),
         "a turn that was not used is no right to go first"
@@ -270,7 +274,7 @@
 #[test]
 fn small_answers() {
     let mut hub = Hub::new(Tuning::default(), ms(0));
-    hub.list(Arc::new(Listing::new(servers())));
+    hub.set_server_list(Arc::new(ServerList::new(servers())));
     let publication = Publication {
         number: 7,
         ..Publication::default()
@@ -278,14 +282,20 @@
     let askers: Vec<_> = (0..100).map(Asker::new).collect();
     for (place, asker) in askers.iter().enumerate() {
         let question = asker.question();
-        hub.hear(&question, ms(1));
-        let turn = hub.turn(&question, &publication, ms(1));
+        hub.on_poll(&question, ms(1));
+        let turn = hub.bulk_time(&question, &publication, ms(1));
         assert_eq!(turn, Some(ms(1 + place as u64)));
-        let small = hub.answer_small(&question, &publication, ms(1));
-        assert_eq!((small.listing, small.roll, small.table), (None, None, None));
-        assert_eq!(small.newest, 0, "a table is fetched when it is its turn");
-        assert!(small.wait <= Duration::from_millis(250));
-        assert!(postcard::to_stdvec(&small.loads).is_ok_and(|bytes| bytes.len() < 100));
+        let small = hub.small_reply(&question, &publication, ms(1));
+        assert_eq!(
+            (small.server_list, small.membership, small.table),
+            (None, None, None)
+        );
+        assert_eq!(
+            small.newest_table, 0,
+            "a table is fetched when it is its turn"
+        );
+        assert!(small.poll_timeout <= Duration::from_millis(250));
+        assert!(postcard::to_stdvec(&small.other_loads).is_ok_and(|bytes| bytes.len() < 100));
     }
 }
 
@@ -300,21 +310,21 @@
         (2_000, 2_100.0),
     ] {
         let mut hub = Hub::new(Tuning::default(), ms(0));
-        hub.list(Arc::new(Listing::new(servers()[..1].to_vec())));
+        hub.set_server_list(Arc::new(ServerList::new(servers()[..1].to_vec())));
         let askers: Vec<_> = (0..gateways).map(Asker::new).collect();
         for asker in &askers {
-            hub.hear(&asker.question(), ms(1));
+            hub.on_poll(&asker.question(), ms(1));
         }
-        let wait = hub.wait(&askers[0].question());
+        let wait = hub.poll_timeout(&askers[0].question());
         let each = 1.0 / wait.as_secs_f64();
         let all = each * f64::from(u32::try_from(gateways).expect("few"));
         assert!(all <= most, "{gateways}: {all} questions a second");
         let last = ms(1) + wait * 2;
         let question = askers[1].question();
-        hub.hear(&question, last);
-        let reply = hub.answer(&question, &Publication::default(), last);
-        let Some(gateway::News::Whole(roll)) = reply.roll else {
-            panic!("no roll: {:?}", reply.roll);
+        hub.on_poll(&question, last);
+        let reply = hub.reply(&question, &Publication::default(), last);
+        let Some(gateway::MembershipUpdate::Whole(roll)) = reply.membership else {
+            panic!("no roll: {:?}", reply.membership);
         };
         assert_eq!(roll.gateways.len(), gateways);
     }
@@ -328,7 +338,7 @@
         let mut random = SmallRng::seed_from_u64(1);
         let mut asked = [0; 10];
         for _ in 0..GATEWAYS {
-            let mut search = Search::default();
+            let mut search = LeaderSearch::default();
             let mut at = Duration::ZERO;
             while at < Duration::from_secs(10) {
                 asked[usize::try_from(at.as_secs()).expect("few")] += 1;
@@ -338,7 +348,7 @@
         }
         assert!(asked[1..].iter().all(|asked| *asked < 2_500), "{asked:?}");
     }
-    let mut search = Search::default();
+    let mut search = LeaderSearch::default();
     search.missed();
     assert!(search.pause(0, 1.0) < Duration::from_millis(100));
     search.found();
@@ -350,11 +360,16 @@
 #[test]
 fn calls_of_all() {
     for gateways in [12, 300, 1_000, 2_000] {
-        let apart = apart(gateways, 190.0);
-        let calls = 1.0 / apart.as_secs_f64() * f64::from(u32::try_from(gateways).expect("few"));
+        let call_interval = call_interval(gateways, 190.0);
+        let calls =
+            1.0 / call_interval.as_secs_f64() * f64::from(u32::try_from(gateways).expect("few"));
         assert!(calls <= 96.0, "{gateways}: {calls} calls a second");
     }
-    assert_eq!(apart(1_000, 0.0), Duration::ZERO, "no rate is known");
+    assert_eq!(
+        call_interval(1_000, 0.0),
+        Duration::ZERO,
+        "no rate is known"
+    );
 }
 
 /// A table is handed to as many gateways as a hundredth of a second of the leader's link bears; one that asks no more
@@ -362,7 +377,7 @@
 #[test]
 fn handed_out() {
     for (link, most) in [(0.0, 6), (12.5e6, 6), (125e6, 61)] {
-        let mut handout = Handout::new(link);
+        let mut handout = Distribution::new(link);
         let admitted = (0..GATEWAYS)
             .filter(|place| handout.admit(&host(*place), ms(0)))
             .count();
@@ -373,9 +388,9 @@
     }
 }
 
-const ALLOWED: Allowed = Allowed {
+const ALLOWED: RetryAllowance = RetryAllowance {
     ratio: 0.2,
-    floor: 1_040.0,
+    min_retries: 1_040.0,
     window: Duration::from_secs(10),
 };
 
@@ -389,13 +404,13 @@
     };
     let new_hub = |now| {
         let mut hub = Hub::new(tuning, now);
-        hub.list(Arc::new(Listing::new(servers())));
+        hub.set_server_list(Arc::new(ServerList::new(servers())));
         hub
     };
     for seed in 0..5 {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut hub = new_hub(ms(0));
-        let mut budgets = vec![Budget::new(ALLOWED); GATEWAYS];
+        let mut budgets = vec![RetryBudget::new(ALLOWED); GATEWAYS];
         let mut firsts: VecDeque<Instant> = VecDeque::new();
         let mut further: VecDeque<Instant> = VecDeque::new();
         let (mut wanted, mut granted) = (0, 0);
@@ -412,18 +427,18 @@
             };
             for _ in 0..5 {
                 let place = random.random_range(0..GATEWAYS);
-                budgets[place].first(now);
+                budgets[place].count_request(now);
                 firsts.push_back(now);
                 if !random.random_bool(fails) {
                     continue;
                 }
                 wanted += 1;
-                let is_sent = budgets[place].take(1.0 / 1_119.0, now) || {
-                    let want = Want {
-                        retry: true,
+                let is_sent = budgets[place].try_acquire(1.0 / 1_119.0, now) || {
+                    let want = SlotRequest {
+                        needs_retry: true,
                         ..messages::want(&host(place))
                     };
-                    matches!(hub.want(want, now), Wanted::Line(..))
+                    matches!(hub.request_slot(want, now), SlotDecision::Queued(..))
                 };
                 if is_sent {
                     granted += 1;
@@ -438,7 +453,7 @@
                 further.pop_front();
             }
             let count = |all: &VecDeque<_>| f64::from(u32::try_from(all.len()).expect("few"));
-            let most = ALLOWED.floor + ALLOWED.ratio * count(&firsts);
+            let most = ALLOWED.min_retries + ALLOWED.ratio * count(&firsts);
             assert!(count(&further) <= most, "seed {seed}");
             if step == 1_999 {
                 assert!(
--- a/crates/curlewlift/src/control/hub.rs
+++ b/crates/curlewlift/src/control/hub.rs
@@ -9,7 +9,7 @@
 use curlewlift_core::code::Refusal;
 use curlewlift_core::event::Kind;
 use curlewlift_core::event::Line;
-use curlewlift_core::gateway::Question;
+use curlewlift_core::gateway::Poll;
 use curlewlift_core::id;
 use curlewlift_core::state::Publication;
 use curlewlift_core::state::Record;
@@ -64,25 +64,25 @@
             return;
         }
         match (gateways.decode)(publication) {
-            Ok(table) => hub.adopt(&table, self.clock.now()),
+            Ok(table) => hub.apply_table(&table, self.clock.now()),
             Err(why) => log::error!("table {} cannot be read: {why}", publication.number),
         }
         self.news.notify_waiters();
     }
 
     /// Whether there is something that the asker does not hold yet.
-    fn has_news(&mut self, question: &Question) -> bool {
-        let is_newer = self.machine.get_publication().number > question.table;
+    fn has_news(&mut self, question: &Poll) -> bool {
+        let is_newer = self.machine.get_publication().number > question.known_table;
         let hub = self.hub.as_mut();
-        is_newer || hub.is_some_and(|hub| hub.has_news(question))
+        is_newer || hub.is_some_and(|hub| hub.has_update(question))
     }
 
     /// For how much longer the asker waits to be told what is large and new to it.
-    fn until_turn(&mut self, question: &Question) -> Duration {
+    fn until_turn(&mut self, question: &Poll) -> Duration {
         let now = self.clock.now();
         let publication = self.machine.get_publication();
         let hub = self.hub.as_mut();
-        let turn = hub.and_then(|hub| hub.turn(question, publication, now));
+        let turn = hub.and_then(|hub| hub.bulk_time(question, publication, now));
         turn.map_or(Duration::ZERO, |turn| turn.since(now))
     }
 
@@ -102,7 +102,7 @@
     pub(super) fn first_table(&mut self) {
         let now = self.clock.now();
         if let Some(hub) = &mut self.hub {
-            hub.first_table(now);
+            hub.mark_first_table(now);
         }
     }
 }
@@ -134,9 +134,13 @@
     HubReply::Told
 }
 
-async fn ask(state: &Shared, question: Question) -> Result<HubReply, Refusal> {
+async fn ask(state: &Shared, question: Poll) -> Result<HubReply, Refusal> {
     let mut has_news = hear(&mut state.borrow_mut(), &question)?;
-    let wait = state.borrow().hub.as_ref().map(|hub| hub.wait(&question));
+    let wait = state
+        .borrow()
+        .hub
+        .as_ref()
+        .map(|hub| hub.poll_timeout(&question));
     let until = Instant::now() + wait.unwrap_or_default();
     while !has_news {
         let news = Rc::clone(&state.borrow().news);
@@ -162,25 +166,25 @@
     let host = state.replica.get_host().clone();
     let hub = state.hub.as_mut().ok_or_else(begun)?;
     let mut reply = if is_turn {
-        hub.answer(&question, &publication, now)
+        hub.reply(&question, &publication, now)
     } else {
-        hub.answer_small(&question, &publication, now)
+        hub.small_reply(&question, &publication, now)
     };
-    reply.control = control;
-    reply.fetches = hub.fetcher(&host, now).as_ref() == Some(&question.host);
+    reply.control_hosts = control;
+    reply.fetches_list = hub.fetcher(&host, now).as_ref() == Some(&question.host);
     reply.leader = Some(host);
     Ok(HubReply::News(Box::new(reply)))
 }
 
 /// Takes note of a question; true where it can be answered at once.
-fn hear(state: &mut State, question: &Question) -> Result<bool, Refusal> {
+fn hear(state: &mut State, question: &Poll) -> Result<bool, Refusal> {
     let now = state.clock.now();
     let hub = state.hub.as_mut().ok_or_else(begun)?;
-    hub.hear(question, now);
-    let fetched = question.fetched.as_ref();
-    let fetched = fetched.filter(|listing| hub.get_listing().version != listing.version);
+    hub.on_poll(question, now);
+    let fetched = question.fetched_list.as_ref();
+    let fetched = fetched.filter(|listing| hub.get_server_list().version != listing.version);
     if let Some(listing) = fetched {
-        hub.list(Arc::new(listing.clone()));
+        hub.set_server_list(Arc::new(listing.clone()));
         state.news.notify_waiters();
     }
     let is_taken = fetched.is_some();
--- a/crates/curlewlift/src/entry/node.rs
+++ b/crates/curlewlift/src/entry/node.rs
@@ -129,7 +129,7 @@
         let holder = lock(&self.holder);
         let why = "this entry has no lease; ask another address";
         holder
-            .acting(now)
+            .usable_roster(now)
             .cloned()
             .ok_or_else(|| Refusal::new(Code::NoLease, why))
     }
@@ -144,7 +144,7 @@
         loop {
             let acting = self.acting();
             let now = self.now();
-            if acting.is_ok() || now >= until || !lock(&self.holder).is_waiting(now) {
+            if acting.is_ok() || now >= until || !lock(&self.holder).awaits_activation(now) {
                 return acting;
             }
             tokio::time::sleep(LOOK).await;
--- a/crates/curlewlift/src/entry/renew.rs
+++ b/crates/curlewlift/src/entry/renew.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use curlewlift_core::claim::Copy;
+use curlewlift_core::claim::CopyResponse;
 use curlewlift_core::code::Refusal;
 use curlewlift_core::event::Kind;
 use curlewlift_core::event::Line;
@@ -46,7 +46,7 @@
             take_up(&node, acting);
         }
         let hurry = !renewed || lock(&node.holder).is_changing();
-        tokio::time::sleep(if hurry { HURRY } else { lease.renew }).await;
+        tokio::time::sleep(if hurry { HURRY } else { lease.renew_interval }).await;
     }
 }
 
@@ -56,8 +56,8 @@
         return false;
     };
     let asked = node.now();
-    let whole = lock(&node.table).wanted().is_empty();
-    lock(&node.holder).whole(whole);
+    let whole = lock(&node.table).pending_copies().is_empty();
+    lock(&node.holder).set_shards_complete(whole);
     let call = RenewCall::Entry(lock(&node.holder).renewal());
     let grant: Result<Grant, Refusal> = node.rpc.call(*address, Method::Renew, &call, CALL).await;
     match grant {
@@ -77,7 +77,7 @@
     let mut holder = lock(&node.holder);
     let revision = holder.get_snapshot().revision;
     let view = holder.get_roster().number;
-    holder.granted(grant, asked);
+    holder.on_grant(grant, asked);
     let new_revision = holder.get_snapshot().revision;
     let new_view = holder.get_roster().number;
     drop(holder);
@@ -99,9 +99,9 @@
     }
     let holder = lock(&node.holder);
     let roster = Arc::clone(holder.get_roster());
-    let previous = Arc::clone(holder.get_previous());
+    let previous = Arc::clone(holder.get_previous_roster());
     drop(holder);
-    lock(&node.table).adopt(&roster, &previous, node.now());
+    lock(&node.table).apply_view(&roster, &previous, node.now());
     owner::adopt(node, &roster, &previous);
     schedule::resume(node, &roster);
     node.timeline.note(Line::new(Kind::ViewActive).detail(view));
@@ -120,7 +120,7 @@
 
 /// Asks for the copies of shards that are kept here since this view.
 async fn fill(node: &Arc<Node>) {
-    let wanted = lock(&node.table).wanted();
+    let wanted = lock(&node.table).pending_copies();
     let copies = wanted
         .into_iter()
         .map(|(shard, source)| copy(node, shard, source));
@@ -133,13 +133,13 @@
     let reply = node.rpc.call(source.rpc, Method::Claim, &call, COPY).await;
     let now = node.now();
     match reply {
-        Ok(ClaimReply::Copy(Copy::Whole(slot))) => {
-            lock(&node.table).fill(shard, view, slot, now);
+        Ok(ClaimReply::Copy(CopyResponse::Complete(slot))) => {
+            lock(&node.table).install_copy(shard, view, slot, now);
             node.timeline
                 .note(Line::new(Kind::ShardFilled).detail(shard));
         }
-        Ok(ClaimReply::Copy(Copy::NotWhole)) => {
-            lock(&node.table).refuse(shard, &source.host, now);
+        Ok(ClaimReply::Copy(CopyResponse::Incomplete)) => {
+            lock(&node.table).skip_source(shard, &source.host, now);
             let detail = format!("shard={shard} source={}", source.host);
             node.timeline
                 .note(Line::new(Kind::ShardLost).detail(detail));
--- a/crates/curlewlift/src/gateway/daemon.rs
+++ b/crates/curlewlift/src/gateway/daemon.rs
@@ -9,9 +9,9 @@
 use curlewlift_core::code::Refusal;
 use curlewlift_core::event::Kind;
 use curlewlift_core::gateway;
-use curlewlift_core::gateway::Holding;
+use curlewlift_core::gateway::ServerListCache;
 use curlewlift_core::id;
-use curlewlift_core::pool::Allowed;
+use curlewlift_core::pool::RetryAllowance;
 use curlewlift_core::quota::Tolerance;
 use curlewlift_core::route::Limits;
 use curlewlift_core::route::Regions;
@@ -56,7 +56,7 @@
     /// How heads are read and written.
     pub(crate) dialect: Dialect,
     /// How many sendings past the first are allowed.
-    pub(crate) allowed: Allowed,
+    pub(crate) allowed: RetryAllowance,
     /// How much more than an allowance may be let in.
     pub(crate) tolerance: Tolerance,
     /// How long a planned stop takes.
@@ -118,7 +118,7 @@
         let listener = process::listener(self.callers)?;
         let kept = self.beside.is_some();
         let node = Node::new(
-            Holding::new(self.host.clone(), kept),
+            ServerListCache::new(self.host.clone(), kept),
             self.known_as,
             self.dialect,
             self.allowed,
--- a/crates/curlewlift/src/gateway/judge.rs
+++ b/crates/curlewlift/src/gateway/judge.rs
@@ -4,7 +4,7 @@
 
 use curlewlift_core::code::Code;
 use curlewlift_core::event::Kind;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::quarantine::Rejection;
 use rand::RngExt;
 
@@ -134,7 +134,7 @@
     /// For how much longer all servers of the service want no requests from here.
     fn all_rest(&self) -> Option<Duration> {
         let now = self.node.now();
-        let all_rest = |service: &mut Service| service.pool.all_rest(now);
+        let all_rest = |service: &mut Service| service.pool.all_backing_off_for(now);
         self.node.with_service(&self.service, all_rest).flatten()
     }
 
@@ -180,14 +180,24 @@
 }
 
 /// What a failure says of the server, and why, for the log and the caller.
-pub(super) fn meaning(failure: &Failure) -> (End, String) {
+pub(super) fn meaning(failure: &Failure) -> (AttemptOutcome, String) {
     match failure {
         Failure::NotSent(why) | Failure::Broke(why) | Failure::Unknown(why) => {
-            (End::Broken, why.clone())
+            (AttemptOutcome::Broken, why.clone())
         }
-        Failure::Closed => (End::Nothing, "the server wants no requests now".to_owned()),
-        Failure::NotRun { moved: true, .. } => (End::Gone, "another has its address".to_owned()),
-        Failure::NotRun { status, .. } => (End::Full, format!("it did not run it: {status}")),
-        Failure::Late => (End::Silent, "the deadline has passed".to_owned()),
+        Failure::Closed => (
+            AttemptOutcome::Unknown,
+            "the server wants no requests now".to_owned(),
+        ),
+        Failure::NotRun { moved: true, .. } => {
+            (AttemptOutcome::Gone, "another has its address".to_owned())
+        }
+        Failure::NotRun { status, .. } => {
+            (AttemptOutcome::Full, format!("it did not run it: {status}"))
+        }
+        Failure::Late => (
+            AttemptOutcome::TimedOut,
+            "the deadline has passed".to_owned(),
+        ),
     }
 }
--- a/crates/curlewlift/src/gateway/lists.rs
+++ b/crates/curlewlift/src/gateway/lists.rs
@@ -8,7 +8,7 @@
 
 use curlewlift_core::event::Kind;
 use curlewlift_core::gateway;
-use curlewlift_core::gateway::Listing;
+use curlewlift_core::gateway::ServerList;
 use rand::RngExt;
 
 use super::log::Line;
@@ -26,7 +26,7 @@
 
 /// Fetches the list, with a pause between two calls.
 pub(crate) type Fetch =
-    Rc<dyn Fn(Duration) -> Pin<Box<dyn Future<Output = Result<Listing, Missed>>>>>;
+    Rc<dyn Fn(Duration) -> Pin<Box<dyn Future<Output = Result<ServerList, Missed>>>>>;
 
 /// Between two fetches for all: a sixth of the time in which a leaving server must be left alone.
 const FOR_ALL: Duration = Duration::from_millis(500);
@@ -55,7 +55,7 @@
         let apart = if beside || node.hub.borrow().fetches {
             Duration::ZERO
         } else {
-            gateway::apart(node.roll.borrow().gateways.len(), rate)
+            gateway::call_interval(node.roll.borrow().gateways.len(), rate)
         };
         // Those that hear no hub any more do not all begin at the same moment.
         tokio::time::sleep(apart.mul_f64(rand::rng().random())).await;
@@ -67,7 +67,7 @@
                 answered = true;
                 // Its first pages may be older than what the hub has told since.
                 if due(&node, beside).is_some() {
-                    node.adopt_list(|holding| holding.fetched(listing));
+                    node.adopt_list(|holding| holding.set_whole(listing));
                     node.changed.notify_one();
                 }
                 None
--- a/crates/curlewlift/src/gateway/run.rs
+++ b/crates/curlewlift/src/gateway/run.rs
@@ -10,8 +10,8 @@
 use bytes::Bytes;
 use curlewlift_core::event::Kind;
 use curlewlift_core::id;
-use curlewlift_core::pool::Ask;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool;
+use curlewlift_core::pool::AttemptOutcome;
 use http_body_util::Full;
 
 use super::admit::Admitted;
@@ -96,7 +96,7 @@
     pub(super) async fn drive(mut self) -> Answer {
         let now = self.node.now();
         self.node
-            .with_service(&self.service, |service| service.budget.first(now));
+            .with_service(&self.service, |service| service.budget.count_request(now));
         loop {
             if self.admitted.deadline.is_past() {
                 let refusal = self.past();
@@ -126,9 +126,9 @@
         }
         let now = self.node.now();
         let part = self.node.part.borrow().get(now);
-        let taken = self
-            .node
-            .with_service(&self.service, |service| service.budget.take(part, now));
+        let taken = self.node.with_service(&self.service, |service| {
+            service.budget.try_acquire(part, now)
+        });
         taken.unwrap_or(false)
     }
 
@@ -152,25 +152,25 @@
         let admitted = &self.admitted;
         let now = self.node.now();
         let patience = admitted.patience(&self.node);
-        let held = patience.held();
+        let held = patience.max_wait();
         // Who has lost its server goes before all others of its rank: it has cost something already.
         let in_time = if self.sendings() > 0 {
             held
         } else {
-            patience.in_time()
+            patience.send_within()
         };
-        let ask = Ask {
+        let ask = pool::Request {
             rule: None,
             rank: admitted.rank(),
             arrived: admitted.deadline.arrived,
-            wanted: now + in_time,
-            until: now + held,
+            send_by: now + in_time,
+            wait_until: now + held,
             prompt: admitted.prompt(),
             hall: Arc::clone(&self.node.gateway.hall),
             tried: self.tried.clone(),
             avoid: Vec::new(),
-            rests: Vec::new(),
-            halls: admitted.halls.clone(),
+            backoffs: Vec::new(),
+            allowed_halls: admitted.halls.clone(),
         };
         let charge = self.admitted.charge.as_ref();
         let wanted = Wanted {
@@ -246,8 +246,11 @@
             return Ok(Step::Answer(self.stream(coming)));
         }
         if !coming.is_small() {
-            let first = coming.first;
-            coming.place.end(End::Good { first, gap: None });
+            let first_byte = coming.first;
+            coming.place.end(AttemptOutcome::Answered {
+                first_byte,
+                gap: None,
+            });
             return Ok(Step::Answer(self.stream(coming)));
         }
         self.take_whole(coming).await
@@ -255,7 +258,8 @@
 
     /// Takes an answer that is read whole before any of it is passed on.
     async fn take_whole(&mut self, coming: Coming) -> Result<Step, Refused> {
-        let (head, body, mut place, first) = coming.whole(self.admitted.deadline.timer()).await;
+        let (head, body, mut place, first_byte) =
+            coming.whole(self.admitted.deadline.timer()).await;
         let body = match body {
             Ok(body) => body,
             Err(failure) => {
@@ -265,9 +269,12 @@
         };
         let failed = head.status.is_server_error();
         place.whole(if failed {
-            End::Failed
+            AttemptOutcome::Failed
         } else {
-            End::Good { first, gap: None }
+            AttemptOutcome::Answered {
+                first_byte,
+                gap: None,
+            }
         });
         if failed && self.may_run_again() {
             self.kept = Some((head, body));
--- a/crates/curlewlift/src/gateway/tables.rs
+++ b/crates/curlewlift/src/gateway/tables.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use curlewlift_core::code::Refusal;
-use curlewlift_core::gateway::Piece;
+use curlewlift_core::gateway::Chunk;
 use curlewlift_core::state::Document;
 use curlewlift_core::state::Publication;
 
@@ -80,12 +80,12 @@
             self.number = piece.number;
             self.text.clear();
         }
-        if piece.from != self.text.len() {
+        if piece.offset != self.text.len() {
             self.text.clear();
             return Progress::None;
         }
         self.text.push_str(&piece.text);
-        if self.text.len() < piece.whole {
+        if self.text.len() < piece.total_len {
             return Progress::Piece;
         }
         // Says that it has the whole: it is the next one's turn.
@@ -97,7 +97,7 @@
         })
     }
 
-    async fn ask(&self, node: &Node) -> Option<Piece> {
+    async fn ask(&self, node: &Node) -> Option<Chunk> {
         let address = node.hub.borrow().address?;
         let call = RenewCall::Hub(HubCall::Piece {
             host: node.host.clone(),
--- a/crates/curlewlift/src/rpc/call.rs
+++ b/crates/curlewlift/src/rpc/call.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use curlewlift_core::claim::Claim;
-use curlewlift_core::claim::Fate;
+use curlewlift_core::claim::Status;
 use curlewlift_core::evacuation;
 use curlewlift_core::fleet::Prefix;
 use curlewlift_core::gateway;
@@ -42,9 +42,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum HubCall {
     /// What is new; answered at once where something is, else after a while.
-    Ask(Box<gateway::Question>),
+    Ask(Box<gateway::Poll>),
     /// Wants a place at a backend server; answered once there is one, or not in time.
-    Want(Box<gateway::Want>),
+    Want(Box<gateway::SlotRequest>),
     /// Tells how sendings ended.
     Tell(gateway::Report),
     /// Wants the piece of table `number` that follows its first `from` bytes; with its whole length, says
@@ -88,7 +88,7 @@
     /// It was taken note of.
     Told,
     /// A piece of the table in force; none while it is the turn of others.
-    Piece(Option<gateway::Piece>),
+    Piece(Option<gateway::Chunk>),
     /// It is in force, or a higher number is.
     Published,
     /// The table in force; number 0 where there is none.
@@ -114,7 +114,7 @@
         key: id::Key,
         ticket: id::Ticket,
         holder: id::Host,
-        fate: Fate,
+        fate: Status,
     },
     /// Asks for a copy of a shard.
     Copy { shard: id::Shard, view: id::View },
@@ -128,9 +128,9 @@
 /// The answers to [`ClaimCall`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum ClaimReply {
-    Claimed(curlewlift_core::claim::Answer),
+    Claimed(curlewlift_core::claim::Response),
     Done,
-    Copy(curlewlift_core::claim::Copy),
+    Copy(curlewlift_core::claim::CopyResponse),
     Looked(Option<curlewlift_core::claim::Record>),
     Piece(Option<Piece>),
 }
@@ -143,7 +143,7 @@
     /// Its bytes from the place that was asked for.
     pub(crate) bytes: Vec<u8>,
     /// What became of it, once it has ended and `bytes` reach its end.
-    pub(crate) fate: Option<Fate>,
+    pub(crate) fate: Option<Status>,
 }
 
 /// `ask`: what concerns a service's queue.
--- a/crates/lab/examples/verdicts.rs
+++ b/crates/lab/examples/verdicts.rs
@@ -10,10 +10,10 @@
 
 use std::collections::VecDeque;
 
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
+use curlewlift_core::rollout::Baseline;
 use curlewlift_core::rollout::Judge;
 use curlewlift_core::rollout::Sample;
-use curlewlift_core::rollout::Yardstick;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -98,31 +98,31 @@
 }
 
 fn sample(server: usize, is_bad: bool) -> Sample {
-    let end = if is_bad {
-        End::Failed
+    let outcome = if is_bad {
+        AttemptOutcome::Failed
     } else {
-        End::Good {
-            first: std::time::Duration::from_millis(10),
+        AttemptOutcome::Answered {
+            first_byte: std::time::Duration::from_millis(10),
             gap: None,
         }
     };
     Sample {
         rule: "chat".into(),
         server: format!("s{server}").into(),
-        end,
+        outcome,
     }
 }
 
 fn odds(answers: &[bool], usual: f64, seed: u64) -> Option<usize> {
     let mut random = SmallRng::seed_from_u64(seed ^ 1);
-    let mut yardstick = Yardstick::default();
+    let mut baseline = Baseline::default();
     for server in 0..600 {
-        yardstick.take(&sample(server % 100, random.random_bool(usual)));
+        baseline.record(&sample(server % 100, random.random_bool(usual)));
     }
     let mut judge = Judge::default();
     answers.iter().enumerate().find_map(|(at, is_bad)| {
-        judge.take(&sample(at % SERVERS, *is_bad), &yardstick, SERVERS, true);
-        judge.against().map(|_| at + 1)
+        judge.record(&sample(at % SERVERS, *is_bad), &baseline, SERVERS, true);
+        judge.evidence_against().map(|_| at + 1)
     })
 }
 
