--- a/crates/core/src/log/bytes.rs
+++ b/crates/core/src/log/bytes.rs
@@ -1,14 +1,15 @@
-//! Bytes that are text nearly always: in JSON as text, not as a list of numbers.
+//! Serializes byte strings that are usually UTF-8 text: JSON gets a string instead of a list of
+//! numbers.
 //!
-//! A routing table of a few hundred rules would take four times its size on the disk otherwise.
-//! Lists of numbers, which earlier versions wrote, are still read.
+//! As a list of numbers, a routing table of a few hundred rules would take four times its size on
+//! disk. Such lists, which earlier versions wrote, are still read.
 
 use serde::Deserialize;
 use serde::Deserializer;
 use serde::Serialize;
 use serde::Serializer;
 
-/// Both forms.
+/// The two forms that JSON may have.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum JsonForm {
--- a/crates/core/src/log/entry.rs
+++ b/crates/core/src/log/entry.rs
@@ -1,4 +1,4 @@
-//! One entry of the log.
+//! Entries of the log.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,25 +8,25 @@
 
 use super::Members;
 
-/// What an entry carries.
+/// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Nothing: the first entry of a leader's term.
+    /// No content: the first entry of a leader's term.
     #[serde(rename = "Blank")]
     Noop,
-    /// A command of the machine above the log.
+    /// A command for the state machine.
     Data(#[serde(with = "super::bytes")] Vec<u8>),
-    /// A new set of replicas, in force as soon as it stands in the log.
+    /// A new set of replicas, in effect as soon as the entry is in the log, committed or not.
     Members(Members),
 }
 
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The term of the leader that wrote it.
+    /// The term of the leader that created it.
     pub term: Term,
-    /// Its place.
+    /// Its index in the log.
     pub index: Index,
-    /// What it carries.
+    /// Its content.
     pub body: Body,
 }
