--- a/crates/core/src/log/election.rs
+++ b/crates/core/src/log/election.rs
@@ -1,4 +1,5 @@
-//! Elections: a probe that changes nothing, then a vote that is synced.
+//! Elections in two phases: a pre-vote, which changes neither terms nor votes, then a vote, which
+//! each voter syncs to disk before it replies.
 
 use crate::clock::Instant;
 use crate::id::Disk;
@@ -11,12 +12,12 @@
 use super::Replica;
 use super::Role;
 
-/// Term and place of a log's last entry.
+/// Term and index of a log's last entry.
 type Position = (Term, Index);
 
 /// # Elections
 impl Replica {
-    /// Asks whether an election would succeed; the term stays as it is.
+    /// Asks the voters whether an election would succeed, without a new term.
     pub(super) fn start_pre_vote(&mut self, now: Instant) {
         self.reset_election_deadline(now);
         self.leader = None;
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Enters the next term and votes for itself.
+    /// Enters the next term, votes for itself and requests the votes of the others.
     fn start_election(&mut self, now: Instant) {
         self.reset_election_deadline(now);
         self.role = Role::Candidate;
@@ -80,13 +81,13 @@
         self.write_hard_state();
         self.votes.clear();
         let (last_term, last_index) = self.last_position();
-        let call = Payload::Vote {
+        let payload = Payload::Vote {
             last_term,
             last_index,
         };
         for member in self.other_members() {
             if member.voter {
-                self.send_after_sync(&member, call.clone());
+                self.send_after_sync(&member, payload.clone());
             }
         }
     }
@@ -102,7 +103,7 @@
         let Some(sender) = self.reply_target(from, disk) else {
             return;
         };
-        let free = self
+        let vote_available = self
             .hard_state
             .vote
             .as_ref()
@@ -110,7 +111,7 @@
         let granted = self.is_admitted()
             && term == self.hard_state.term
             && self.role == Role::Follower
-            && free
+            && vote_available
             && last >= self.last_position();
         if granted {
             if self.hard_state.vote.is_none() {
@@ -130,15 +131,15 @@
         granted: bool,
         now: Instant,
     ) {
-        let counts =
+        let is_valid =
             granted && term == self.hard_state.term && self.members().is_voter(&from, disk);
-        if self.role == Role::Candidate && counts {
+        if self.role == Role::Candidate && is_valid {
             self.votes.insert(from);
             self.count_votes(now);
         }
     }
 
-    /// Leads once a majority has voted; its own vote counts once it is synced.
+    /// Becomes leader once a majority has voted for this replica. Its own vote counts once it is synced.
     pub(super) fn count_votes(&mut self, now: Instant) {
         if self.unsynced.is_empty() && self.output.writes.is_empty() {
             self.votes.insert(self.host.clone());
@@ -148,10 +149,10 @@
         }
     }
 
-    fn send_to_voters(&mut self, call: &Payload) {
+    fn send_to_voters(&mut self, payload: &Payload) {
         for member in self.other_members() {
             if member.voter {
-                self.send(&member, call.clone());
+                self.send(&member, payload.clone());
             }
         }
     }
@@ -160,12 +161,15 @@
         (self.last_term(), self.last_index())
     }
 
-    /// Whether this replica's disk has been taken in: a blank one never votes.
+    /// Whether this replica, with this disk, is a member. A blank disk that has not been admitted never
+    /// votes.
     fn is_admitted(&self) -> bool {
         self.members().contains(&self.host, self.hard_state.disk)
     }
 
-    /// Where to answer a replica that may not be in this one's log yet.
+    /// The member to which a response to `from` goes; `None` if that host is known with another disk.
+    ///
+    /// The sender may not be in this replica's log yet.
     #[allow(clippy::unnecessary_wraps)]
     fn reply_target(&self, from: &Host, disk: Disk) -> Option<Member> {
         match self.members().get(from) {
