--- a/crates/core/src/log/membership.rs
+++ b/crates/core/src/log/membership.rs
@@ -1,4 +1,5 @@
-//! Changes of the replica set: one replica at a time, a new one counted once it is whole.
+//! Changes of the replica set: one replica at a time. A new replica starts as a learner and becomes
+//! a voter once it has caught up.
 
 use crate::clock::Instant;
 use crate::code::Code;
@@ -14,20 +15,21 @@
 
 /// # Changes of the replica set
 impl Replica {
-    /// Takes in the replica on `host` with `disk` as a learner.
+    /// Admits the replica on `host` with `disk` as a learner.
     ///
     /// # Errors
     ///
-    /// [`Code::NotLeader`]; [`Code::InUse`] while another change is under way or where the host
-    /// has a replica on another disk, which must be removed first.
+    /// [`Code::NotLeader`]; [`Code::InUse`] while another change is in progress, or if the host has a
+    /// replica on another disk, which must be removed first.
     pub fn admit(&mut self, host: &Host, disk: Disk, now: Instant) -> Result<(), Refusal> {
         self.ensure_change_allowed()?;
         if self.members().contains(host, disk) {
             return Ok(());
         }
         if self.members().get(host).is_some() {
-            let why = format!("`{host}` has a replica on another disk; remove that first");
-            return Err(Refusal::new(Code::InUse, why));
+            let message =
+                format!("`{host}` has a replica on another disk; remove that replica first");
+            return Err(Refusal::new(Code::InUse, message));
         }
         let member = Member {
             host: host.clone(),
@@ -39,12 +41,12 @@
         Ok(())
     }
 
-    /// Lets a learner count that has everything that is committed.
+    /// Makes the learner on `host` a voter, if it has every committed entry.
     ///
     /// # Errors
     ///
-    /// [`Code::NotLeader`]; [`Code::InUse`] while another change is under way or the learner is
-    /// not whole; [`Code::Unknown`] where there is none.
+    /// [`Code::NotLeader`]; [`Code::InUse`] while another change is in progress or the learner has
+    /// not caught up; [`Code::Unknown`] if the host has no replica.
     pub fn promote(&mut self, host: &Host, now: Instant) -> Result<(), Refusal> {
         self.ensure_change_allowed()?;
         let Some(member) = self.members().get(host).cloned() else {
@@ -59,7 +61,7 @@
         if self.match_index(host) < self.commit {
             return Err(Refusal::new(
                 Code::InUse,
-                format!("the replica on `{host}` is not whole"),
+                format!("the replica on `{host}` has not caught up"),
             ));
         }
         let next = self.members().with(Member {
@@ -70,21 +72,21 @@
         Ok(())
     }
 
-    /// Takes the replica on `host` out.
+    /// Removes the replica on `host`.
     ///
     /// # Errors
     ///
-    /// [`Code::NotLeader`]; [`Code::InUse`] while another change is under way; [`Code::Floor`]
-    /// where it is the only one or this leader itself.
+    /// [`Code::NotLeader`]; [`Code::InUse`] while another change is in progress; [`Code::Floor`] if
+    /// no voter would remain, or if the replica is this leader itself.
     pub fn remove(&mut self, host: &Host, now: Instant) -> Result<(), Refusal> {
         self.ensure_change_allowed()?;
         if host == &self.host {
-            let why = "a leader does not take itself out; stop it first".to_owned();
-            return Err(Refusal::new(Code::Floor, why));
+            let message = "a leader cannot remove itself; stop its process first".to_owned();
+            return Err(Refusal::new(Code::Floor, message));
         }
         let next = self.members().without(host);
         if next.voters().count() == 0 {
-            return Err(Refusal::new(Code::Floor, "no replica would be left"));
+            return Err(Refusal::new(Code::Floor, "no voter would remain"));
         }
         self.progress.remove(host);
         self.regressed.remove(host);
@@ -92,8 +94,8 @@
         Ok(())
     }
 
-    /// The replicas that have lost what they had acknowledged to this leader: their disks are older
-    /// copies of themselves, and must be taken out.
+    /// The replicas that have lost entries that they had acknowledged to this leader. Their disks are
+    /// older copies of themselves, so they must be removed.
     pub fn regressed(&self) -> impl Iterator<Item = &Host> {
         let members = self.members();
         self.regressed
@@ -101,27 +103,27 @@
             .filter(|host| members.get(host).is_some())
     }
 
-    /// The learners that are whole.
+    /// The learners that have every committed entry.
     #[must_use]
     pub fn caught_up_learners(&self) -> Vec<Host> {
         let learners = self.members().0.iter().filter(|member| !member.voter);
-        let whole = learners.filter(|member| {
-            let matched = self.match_index(&member.host);
-            matched > Index(0) && matched >= self.commit
+        let caught_up = learners.filter(|member| {
+            let match_index = self.match_index(&member.host);
+            match_index > Index(0) && match_index >= self.commit
         });
-        whole.map(|member| member.host.clone()).collect()
+        caught_up.map(|member| member.host.clone()).collect()
     }
 
     fn ensure_change_allowed(&self) -> Result<(), Refusal> {
         self.ensure_leader()?;
-        let newest = self.entries.iter().rev();
-        let mut changes = newest.filter(|entry| matches!(entry.body, Body::Members(_)));
-        let under_way = changes
+        let newest_first = self.entries.iter().rev();
+        let mut changes = newest_first.filter(|entry| matches!(entry.body, Body::Members(_)));
+        let in_progress = changes
             .next()
             .is_some_and(|entry| entry.index > self.commit);
-        if under_way || !self.has_committed_in_term() {
-            let why = "another change of the replicas is under way";
-            return Err(Refusal::new(Code::InUse, why));
+        if in_progress || !self.has_committed_in_term() {
+            let message = "another change of the replica set is in progress";
+            return Err(Refusal::new(Code::InUse, message));
         }
         Ok(())
     }
@@ -132,19 +134,17 @@
         self.broadcast(now);
     }
 
-    /// The replicas as they were at `index`.
+    /// The replica set as of `index`.
     pub(super) fn members_at(&self, index: Index) -> Members {
         let before = self
             .entries
             .iter()
             .rev()
             .filter(|entry| entry.index <= index);
-        let mut found = before.filter_map(|entry| match &entry.body {
+        let mut sets = before.filter_map(|entry| match &entry.body {
             Body::Members(members) => Some(members.clone()),
             _ => None,
         });
-        found
-            .next()
-            .unwrap_or_else(|| self.snapshot.members.clone())
+        sets.next().unwrap_or_else(|| self.snapshot.members.clone())
     }
 }
