--- a/crates/core/src/log/maintainer.rs
+++ b/crates/core/src/log/maintainer.rs
@@ -1,5 +1,5 @@
-//! Keeps the replica set whole where hosts are not configured by name: who asks is taken in, and
-//! who is gone gives its place to another.
+//! Maintains the replica set if control hosts are not configured by name: replicas are admitted on
+//! request, and a lost replica is removed when another one replaces it.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,27 +12,27 @@
 
 use super::Replica;
 
-/// How long a replica beyond the wanted number must be silent before it is taken out.
+/// How long a replica must be unreachable before it is removed from a set with surplus voters.
 ///
-/// Longer than a restart of its process takes, as a replica that is taken out must ask to be taken
-/// in again.
+/// Longer than a restart of its process takes, since a replica that was removed has to be admitted
+/// again.
 const REMOVAL_DELAY: Duration = Duration::from_millis(1_500);
 
-/// A change of the replica set that was begun.
+/// A change of the replica set that has been started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberChange {
-    /// A replica was taken in as a learner.
+    /// A replica was admitted as a learner.
     Admitted(Host),
-    /// A learner counts from now on.
+    /// A learner became a voter.
     Promoted(Host),
-    /// A replica was taken out.
+    /// A replica was removed.
     Removed(Host),
 }
 
-/// What a leader remembers to keep the replica set whole.
+/// Decides at the leader which learners to promote and which replicas to remove.
 ///
-/// A set that is larger than wanted is no safer: a replica in it that is gone for good still counts
-/// towards the majority that must agree.
+/// A set that is larger than the target is no safer: a replica that is lost for good still raises
+/// the number of voters that make a majority.
 #[derive(Clone, Debug, Default)]
 pub struct Maintainer {
     target_voters: usize,
@@ -41,17 +41,17 @@
 }
 
 impl Maintainer {
-    /// Upkeep of a set in which `wanted` replicas are to count at least.
+    /// Creates a maintainer for a set that is to have at least `target_voters` voters.
     #[must_use]
-    pub fn new(wanted: usize) -> Self {
+    pub fn new(target_voters: usize) -> Self {
         Self {
-            target_voters: wanted,
+            target_voters,
             ..Self::default()
         }
     }
 
-    /// Takes in the replica on `host` with `disk`, which asks for it; where the host had another
-    /// disk, that one goes first, and the host must ask again.
+    /// Admits the replica on `host` with `disk`, which has asked for it. If the host has a replica on
+    /// another disk, removes that one instead; the host then has to ask again.
     ///
     /// # Errors
     ///
@@ -75,15 +75,15 @@
         Ok(Some(MemberChange::Admitted(host.clone())))
     }
 
-    /// Lets whole learners count, and takes out who is to go; to be called at every tick of a
-    /// leader that surely leads.
+    /// Promotes the learners that have caught up, and removes replicas that are lost, replaced or
+    /// regressed. Call it at every tick of a replica that is certain to lead.
     pub fn maintain(&mut self, replica: &mut Replica, now: Instant) -> Vec<MemberChange> {
         self.update_unreachable(replica, now);
-        let mut kept = Vec::new();
+        let mut changes = Vec::new();
         for host in replica.caught_up_learners() {
             if replica.promote(&host, now).is_ok() {
-                kept.push(MemberChange::Promoted(host));
-                // The new one takes the place of one that is silent, if one is.
+                changes.push(MemberChange::Promoted(host));
+                // The new voter replaces an unreachable one, if there is one.
                 self.to_remove
                     .extend(self.longest_unreachable().map(|(host, _)| host));
             }
@@ -92,30 +92,31 @@
         let regressed: BTreeSet<_> = replica.regressed().cloned().collect();
         for host in self.to_remove.union(&regressed) {
             if replica.remove(host, now).is_ok() {
-                kept.push(MemberChange::Removed(host.clone()));
+                changes.push(MemberChange::Removed(host.clone()));
             }
         }
-        kept
+        changes
     }
 
-    /// Takes note of who is silent, and since when.
+    /// Records which voters are unreachable, and since when.
     fn update_unreachable(&mut self, replica: &Replica, now: Instant) {
         let members = replica.members();
-        let silent = members
+        let unreachable = members
             .voters()
             .filter(|member| !replica.is_reachable(&member.host, now));
-        let silent: BTreeSet<_> = silent.map(|member| member.host.clone()).collect();
+        let unreachable: BTreeSet<_> = unreachable.map(|member| member.host.clone()).collect();
         self.unreachable_since
-            .retain(|host, _| silent.contains(host));
-        for host in silent {
+            .retain(|host, _| unreachable.contains(host));
+        for host in unreachable {
             self.unreachable_since.entry(host).or_insert(now);
         }
-        // Who is heard again may stay.
+        // A replica that is reachable again stays.
         self.to_remove
             .retain(|host| self.unreachable_since.contains_key(host));
     }
 
-    /// Picks one to go where more count than are wanted and one has been silent for long.
+    /// Selects a replica to remove if there are more voters than the target and one has been
+    /// unreachable for [`REMOVAL_DELAY`].
     fn select_surplus(&mut self, replica: &Replica, now: Instant) {
         if replica.members().voters().count() <= self.target_voters {
             return;
@@ -128,8 +129,8 @@
     }
 
     fn longest_unreachable(&self) -> Option<(Host, Instant)> {
-        let silent = self.unreachable_since.iter();
-        let longest = silent.min_by_key(|(_, since)| **since);
+        let unreachable = self.unreachable_since.iter();
+        let longest = unreachable.min_by_key(|(_, since)| **since);
         longest.map(|(host, since)| (host.clone(), *since))
     }
 }
