--- a/crates/core/src/log/message.rs
+++ b/crates/core/src/log/message.rs
@@ -1,4 +1,4 @@
-//! What replicas say to each other.
+//! Messages between replicas.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -18,75 +18,76 @@
     pub from: Host,
     /// The sender's disk.
     pub disk: Disk,
-    /// How often the sender's disk was started: an older copy of it tells a smaller number.
+    /// How many times a replica has started on the sender's disk. An older copy of the disk has a
+    /// smaller number.
     pub boot: u64,
-    /// What the sender drew when it started.
+    /// The random number that the sender generated when it started.
     pub nonce: u64,
     /// The receiver's host.
     pub to: Host,
-    /// The receiver's disk; a replica with another disk is not meant.
+    /// The receiver's disk; a replica with another disk ignores the message.
     pub to_disk: Disk,
     /// The sender's term.
     pub term: Term,
-    /// What it says.
+    /// The content.
     pub payload: Payload,
 }
 
-/// What a message says.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Would you vote for me in the next term?
+    /// Asks whether the receiver would vote for the sender in the next term.
     PreVote {
         /// Term of the sender's last entry.
         last_term: Term,
-        /// Place of the sender's last entry.
+        /// Index of the sender's last entry.
         last_index: Index,
     },
-    /// Answer to a probe, in the sender's own term.
+    /// Response to a pre-vote, in the sender's own term.
     PreVoteReply {
-        /// Whether it would.
+        /// Whether the sender would vote for the receiver.
         granted: bool,
     },
-    /// Vote for me in this term.
+    /// Requests a vote for the sender in this term.
     Vote {
         /// Term of the sender's last entry.
         last_term: Term,
-        /// Place of the sender's last entry.
+        /// Index of the sender's last entry.
         last_index: Index,
     },
-    /// Answer to a request for a vote.
+    /// Response to a request for a vote.
     VoteReply {
-        /// Whether it has.
+        /// Whether the sender has voted for the receiver.
         granted: bool,
     },
-    /// Entries from the leader; none is a heartbeat.
+    /// Entries from the leader; without entries it is a heartbeat.
     Append {
-        /// Place before the first entry.
+        /// Index before the first entry.
         prev_index: Index,
-        /// Term at that place.
+        /// Term at that index.
         prev_term: Term,
         /// The entries.
         entries: Vec<Entry>,
-        /// How far the leader has committed.
+        /// The highest index that the leader has committed.
         commit: Index,
         /// The leader's heartbeat round.
         round: u64,
     },
-    /// What the leader has dropped from its log, as a snapshot.
+    /// A snapshot that replaces entries which the leader has dropped from its log.
     InstallSnapshot {
         /// The snapshot.
         snapshot: Snapshot,
         /// The leader's heartbeat round.
         round: u64,
     },
-    /// Answer to entries or a snapshot.
+    /// Response to entries or a snapshot.
     AppendReply {
-        /// Whether the place before the first entry was there.
+        /// Whether the receiver of the entries had the entry before the first one.
         matched: bool,
-        /// Up to where the sender's synced log equals the leader's; where `matched` is false, the
-        /// place of the sender's last entry.
+        /// The index up to which the sender's synced log equals the leader's. If `matched` is false,
+        /// the index of the sender's last entry, or the one before `prev_index` if that is lower.
         index: Index,
-        /// The round that is answered.
+        /// The heartbeat round of the message that this responds to.
         round: u64,
     },
 }
--- a/crates/core/src/log/output.rs
+++ b/crates/core/src/log/output.rs
@@ -1,4 +1,4 @@
-//! What the machine asks of its caller.
+//! What a replica asks its caller to do, and the state that it stores on disk.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,18 +12,18 @@
 use super::Members;
 use super::Message;
 
-/// What must be on disk before a vote or a term counts.
+/// The state that must be on disk before a vote or a term takes effect.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// The disk's identity.
     pub disk: Disk,
-    /// How often the disk was started.
+    /// How many times a replica has started on this disk.
     pub boot: u64,
     /// The newest term seen.
     pub term: Term,
-    /// Whom it voted for in that term.
+    /// The candidate that it voted for in that term.
     pub vote: Option<Host>,
-    /// The newest boot seen of each other disk.
+    /// The newest start seen of each other disk.
     #[serde(rename = "seen")]
     pub seen_boots: Vec<Boot>,
 }
@@ -33,48 +33,48 @@
 pub struct Boot {
     /// The disk.
     pub disk: Disk,
-    /// How often that disk was started.
+    /// How many times a replica had started on that disk.
     pub number: u64,
-    /// Drawn at the start: a copy of the disk that was started as often draws another.
+    /// A random number generated at the start. It tells the disk from a copy of it that was started
+    /// the same number of times.
     #[serde(rename = "mark")]
     pub nonce: u64,
 }
 
-/// The state of the machine above the log, up to a place.
+/// The content of the state machine up to an index of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The place of the last entry in it.
+    /// The index of the last entry in it.
     pub index: Index,
     /// The term of that entry.
     pub term: Term,
-    /// The replicas at that place.
+    /// The replica set at that index.
     pub members: Members,
-    /// The state, as the machine above the log encodes it.
+    /// The state, as the state machine encodes it.
     #[serde(with = "super::bytes")]
     pub state: Vec<u8>,
 }
 
-/// Something to write, in order.
+/// One write to disk; writes are carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Write {
     /// Replaces the hard state.
     #[serde(rename = "Hard")]
     HardState(HardState),
-    /// Drops every entry after this place.
+    /// Drops every entry after this index.
     #[serde(rename = "Cut")]
     Truncate(Index),
-    /// Adds an entry at the end.
+    /// Appends an entry.
     Entry(Entry),
     /// Replaces the snapshot, and drops the entries that it covers.
     Snapshot(Snapshot),
 }
 
-/// The number of a batch of writes; give it back to [`super::Replica::on_synced`] once they are on
-/// disk.
+/// The number of a batch of writes; pass it to [`super::Replica::on_synced`] once they are on disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SyncId(pub u64);
 
-/// What was read back from a disk.
+/// The state of a replica as its disk has it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SavedState {
     /// The hard state.
@@ -86,7 +86,7 @@
 }
 
 impl SavedState {
-    /// Takes in one write, as the disk does.
+    /// Applies one write to this state.
     pub fn apply(&mut self, write: Write) {
         match write {
             Write::HardState(hard) => self.hard_state = hard,
@@ -100,17 +100,17 @@
     }
 }
 
-/// What to do after an event, in the order of the fields.
+/// What the caller must do after an event, in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Output {
-    /// Write these.
+    /// Writes to carry out.
     pub writes: Vec<Write>,
-    /// Sync, then call [`super::Replica::on_synced`] with this.
+    /// If set, sync the writes, then call [`super::Replica::on_synced`] with this.
     pub sync: Option<SyncId>,
-    /// Send these now.
+    /// Messages to send now, without waiting for the sync.
     pub sends: Vec<Message>,
-    /// Replace the state above the log by this one, before applying `commits`.
+    /// A snapshot to replace the state machine with, before `commits` are applied.
     pub install: Option<Snapshot>,
-    /// Apply these, in order.
+    /// Committed entries to apply, in order.
     pub commits: Vec<Entry>,
 }
