--- a/crates/core/src/log/getters.rs
+++ b/crates/core/src/log/getters.rs
@@ -1,4 +1,4 @@
-//! What a replica knows.
+//! Read access to the state of a replica.
 
 use crate::id::Disk;
 use crate::id::Host;
@@ -12,15 +12,15 @@
 use super::Role;
 use super::Snapshot;
 
-/// # What it knows
+/// # Read access
 impl Replica {
-    /// What it does at present.
+    /// Its current role.
     #[must_use]
     pub fn get_role(&self) -> Role {
         self.role
     }
 
-    /// The leader that it follows, itself where it leads.
+    /// The leader that it follows; itself if it leads.
     #[must_use]
     pub fn get_leader(&self) -> Option<&Host> {
         self.leader.as_ref()
@@ -32,7 +32,7 @@
         self.hard_state.term
     }
 
-    /// How far it knows the log to be committed.
+    /// The highest index that it knows to be committed.
     #[must_use]
     pub fn get_commit(&self) -> Index {
         self.commit
@@ -56,7 +56,7 @@
         self.hard_state.disk
     }
 
-    /// The replicas as its log has them.
+    /// The replica set according to the newest entry of its log that changes it.
     #[must_use]
     pub fn members(&self) -> &Members {
         let newest = self
@@ -76,7 +76,7 @@
         &self.entries
     }
 
-    /// The place of its last entry.
+    /// The index of its last entry.
     #[must_use]
     pub fn last_index(&self) -> Index {
         self.entries
@@ -90,7 +90,7 @@
             .map_or(self.snapshot.term, |entry| entry.term)
     }
 
-    /// The term at `index`; none where the log does not reach, or no longer does.
+    /// The term at `index`; `None` if that is beyond the end of the log or before the snapshot.
     pub(super) fn term_at(&self, index: Index) -> Option<Term> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
--- a/crates/core/src/log/mod.rs
+++ b/crates/core/src/log/mod.rs
@@ -1,8 +1,9 @@
-//! The replicated log of the control hosts, as a pure state machine.
+//! The replicated log of the control hosts: a consensus protocol like Raft, as a state machine
+//! without I/O.
 //!
-//! Leader election with a prior round of asking, commit by a majority that has synced, learners,
-//! changes of the replica set one at a time, snapshots. [`Replica`] is the machine; its caller
-//! owns the socket, the disk and the clock, and gives back what each [`Output`] asks for.
+//! It has leader election with a pre-vote, commit by a majority that has synced, learners, changes
+//! of the replica set one at a time, and snapshots. [`Replica`] is the state machine. Its caller
+//! owns the network, the disk and the clock, and carries out each [`Output`].
 
 mod bytes;
 mod election;
--- a/crates/core/src/log/replica.rs
+++ b/crates/core/src/log/replica.rs
@@ -1,4 +1,4 @@
-//! The replica: its state, and what is common to every event.
+//! The replica: its state, its events, and what the events share.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -29,25 +29,25 @@
 use super::SyncId;
 use super::Write;
 
-/// What a replica does at present.
+/// The role of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Listens to a leader.
+    /// Follows a leader, or waits for one.
     Follower,
-    /// Asks whether an election would succeed.
+    /// Asks the voters whether an election would succeed.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Leads.
+    /// Leads the term.
     Leader,
 }
 
-/// How long a replica waits for what.
+/// Timing of heartbeats and elections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// Between two heartbeats of a leader.
+    /// Time between two heartbeats of a leader.
     pub heartbeat: Duration,
-    /// Without a leader before an election, at least; at most twice this.
+    /// Minimum time without a leader before an election; the maximum is twice this.
     pub election: Duration,
 }
 
@@ -60,24 +60,25 @@
     }
 }
 
-/// The part of an election's time after which a replica that starts asks for one, at least; at most
-/// twice this.
+/// A replica that has just started waits this fraction of the election timeout before its first
+/// pre-vote; the maximum is twice that.
 const STARTUP_ELECTION_DIVISOR: u32 = 4;
 
-/// How far a follower has come, as its leader knows.
+/// The progress of a follower, as its leader knows it.
 #[derive(Clone, Debug)]
 pub(super) struct Progress {
     pub(super) match_index: Index,
     pub(super) next_index: Index,
-    /// When the newest round that it answered was sent.
+    /// When the newest heartbeat round that it responded to was sent.
     pub(super) last_seen: Instant,
-    /// Answers in a row that say that it lacks what it had acknowledged.
+    /// How many responses without an acknowledgement in between have reported that it lacks entries
+    /// which it had acknowledged.
     pub(super) regressed_replies: u32,
 }
 
 /// One replica of the log.
 ///
-/// Memory is linear in the entries after the snapshot; an event costs time linear in the members
+/// Memory is linear in the entries after the snapshot; an event takes time linear in the members
 /// and in the entries that it carries.
 #[derive(Debug)]
 pub struct Replica {
@@ -108,11 +109,12 @@
     pub(super) output: Output,
 }
 
-/// # Life
+/// # Creation and events
 impl Replica {
-    /// A replica on `host` with what its disk kept.
+    /// Creates the replica on `host` from what its disk has stored.
     ///
-    /// The first output raises the boot number; nothing counts before that is synced.
+    /// Its first output increments the boot number; no vote or acknowledgement is sent before that is
+    /// synced.
     #[must_use]
     pub fn new(host: Host, saved: SavedState, timing: Timing, seed: u64, now: Instant) -> Self {
         let last = saved
@@ -151,14 +153,15 @@
         replica.hard_state.boot += 1;
         replica.write_hard_state();
         replica.reset_election_deadline(now);
-        // One that starts asks soon whether an election would succeed: after all have lost power
-        // nobody leads, and where somebody does, the others say no and nothing changes.
-        let first = replica.timing.election / STARTUP_ELECTION_DIVISOR;
-        replica.election_deadline = now + first + first.mul_f64(replica.random.random());
+        // The first pre-vote comes early, because after a power failure of all hosts nobody leads.
+        // If there is a leader, the others decline and nothing changes.
+        let startup_delay = replica.timing.election / STARTUP_ELECTION_DIVISOR;
+        replica.election_deadline =
+            now + startup_delay + startup_delay.mul_f64(replica.random.random());
         replica
     }
 
-    /// What a disk holds on which `host` founds a log of its own.
+    /// The initial state of the disk on which `host` founds a new log.
     #[must_use]
     pub fn founding_state(host: &Host, disk: Disk) -> SavedState {
         let member = Member {
@@ -166,7 +169,7 @@
             disk,
             voter: true,
         };
-        let first = Entry {
+        let first_entry = Entry {
             term: Term(0),
             index: Index(1),
             body: Body::Members(Members(vec![member])),
@@ -177,11 +180,11 @@
                 ..HardState::default()
             },
             snapshot: Snapshot::default(),
-            entries: vec![first],
+            entries: vec![first_entry],
         }
     }
 
-    /// What a blank disk holds, before a leader takes it in.
+    /// The initial state of a blank disk, before a leader admits its replica.
     #[must_use]
     pub fn blank_state(disk: Disk) -> SavedState {
         SavedState {
@@ -193,7 +196,7 @@
         }
     }
 
-    /// Takes what there is to do since the last call.
+    /// Takes what the caller must do since the last call.
     #[must_use = "writes and messages that are dropped are lost"]
     pub fn take_output(&mut self) -> Output {
         let mut output = std::mem::take(&mut self.output);
@@ -206,20 +209,20 @@
         output
     }
 
-    /// The writes up to `sync` are on disk.
+    /// Reports that the writes up to `sync` are on disk.
     pub fn on_synced(&mut self, sync: SyncId, now: Instant) {
-        let done: Vec<_> = self
+        let finished: Vec<_> = self
             .unsynced
             .iter()
             .filter(|pair| pair.0 <= sync)
             .copied()
             .collect();
         self.unsynced.retain(|pair| pair.0 > sync);
-        if let Some((_, index)) = done.last() {
-            // A cut may have come after that write: what it cut is not ours any more.
-            let later_low = self.unsynced.iter().map(|pair| pair.1).min();
+        if let Some((_, index)) = finished.last() {
+            // A later write may have truncated the log: the entries that it dropped do not count.
+            let lowest_later = self.unsynced.iter().map(|pair| pair.1).min();
             self.synced = (*index)
-                .min(later_low.unwrap_or(*index))
+                .min(lowest_later.unwrap_or(*index))
                 .min(self.last_index());
         }
         let (ready, waiting): (Vec<_>, Vec<_>) = self
@@ -240,7 +243,7 @@
         }
     }
 
-    /// Time has passed.
+    /// Reports that time has passed: sends heartbeats, or starts an election if one is due.
     pub fn tick(&mut self, now: Instant) {
         if self.role == Role::Leader {
             self.tick_leader(now);
@@ -249,7 +252,7 @@
         }
     }
 
-    /// A message has come.
+    /// Handles a message from another replica.
     pub fn receive(&mut self, message: Message, now: Instant) {
         if message.to != self.host || message.to_disk != self.hard_state.disk {
             return;
@@ -262,10 +265,10 @@
             from,
             disk,
             term,
-            payload: call,
+            payload,
             ..
         } = message;
-        match call {
+        match payload {
             Payload::PreVote {
                 last_term,
                 last_index,
@@ -312,7 +315,7 @@
     }
 }
 
-/// # What events share
+/// # Helpers of the events
 impl Replica {
     pub(super) fn write_hard_state(&mut self) {
         self.output
@@ -320,14 +323,14 @@
             .push(Write::HardState(self.hard_state.clone()));
     }
 
-    pub(super) fn send(&mut self, to: &Member, call: Payload) {
-        let message = self.message(to, call);
+    pub(super) fn send(&mut self, to: &Member, payload: Payload) {
+        let message = self.message(to, payload);
         self.output.sends.push(message);
     }
 
-    /// Sends once everything that is written up to now is on disk.
-    pub(super) fn send_after_sync(&mut self, to: &Member, call: Payload) {
-        let message = self.message(to, call);
+    /// Sends the message once everything written up to now is on disk.
+    pub(super) fn send_after_sync(&mut self, to: &Member, payload: Payload) {
+        let message = self.message(to, payload);
         if self.output.writes.is_empty() && self.unsynced.is_empty() {
             self.output.sends.push(message);
         } else {
@@ -335,7 +338,7 @@
         }
     }
 
-    /// The number that the newest write has or will have.
+    /// The number of the batch that has, or will have, the newest write.
     fn newest_sync(&self) -> SyncId {
         if self.output.writes.is_empty() {
             SyncId(self.next_sync.0.saturating_sub(1))
@@ -344,7 +347,7 @@
         }
     }
 
-    fn message(&self, to: &Member, call: Payload) -> Message {
+    fn message(&self, to: &Member, payload: Payload) -> Message {
         Message {
             from: self.host.clone(),
             disk: self.hard_state.disk,
@@ -353,7 +356,7 @@
             to: to.host.clone(),
             to_disk: to.disk,
             term: self.hard_state.term,
-            payload: call,
+            payload,
         }
     }
 
@@ -366,13 +369,14 @@
         others.cloned().collect()
     }
 
-    /// Draws the moment of the next election.
+    /// Sets the election deadline to a random time between one and two election timeouts from `now`.
     pub(super) fn reset_election_deadline(&mut self, now: Instant) {
         let spread = self.random.random_range(0.0..1.0);
         self.election_deadline = now + self.timing.election + self.timing.election.mul_f64(spread);
     }
 
-    /// Whether the sender's disk is not an older copy of itself.
+    /// Records the start that `message` was sent from; returns false if the sender's disk is an older
+    /// copy of one that was seen before.
     fn accept_boot(&mut self, message: &Message) -> bool {
         let seen = self
             .hard_state
@@ -394,7 +398,10 @@
         true
     }
 
-    /// Follows a newer term; a probe names no term that anyone has entered.
+    /// Moves to the term of `message` if that is newer.
+    ///
+    /// A pre-vote is no reason, since its sender has not entered a new term. Neither is a request for
+    /// a vote while there is a leader.
     fn observe_term(&mut self, message: &Message, now: Instant) {
         if message.term <= self.hard_state.term
             || matches!(message.payload, Payload::PreVote { .. })
@@ -421,13 +428,14 @@
         self.votes.clear();
     }
 
-    /// Whether a leader was heard so lately that an election would only disturb it.
+    /// Whether a leader exists, or has sent a message within the election timeout, so that an election
+    /// would only disturb it.
     pub(super) fn has_recent_leader(&self, now: Instant) -> bool {
         match self.role {
             Role::Leader => true,
             _ => self
                 .leader_seen
-                .is_some_and(|heard| now.since(heard) < self.timing.election),
+                .is_some_and(|seen| now.since(seen) < self.timing.election),
         }
     }
 
