--- a/crates/core/src/log/replicate.rs
+++ b/crates/core/src/log/replicate.rs
@@ -1,4 +1,4 @@
-//! Replication: from the leader's log to the followers', and the commit.
+//! Replication of the leader's log to the followers, and the commit of entries.
 
 use crate::clock::Instant;
 use crate::code::Code;
@@ -18,13 +18,14 @@
 use super::Write;
 use super::replica::Progress;
 
-/// The most entries in one message.
+/// Maximum number of entries in one message.
 const MAX_ENTRIES_PER_MESSAGE: usize = 256;
 
-/// After how many answers in a row that it lacks what it acknowledged a replica counts as regressed.
-const MAX_REGRESSED_REPLIES: u32 = 5;
+/// A replica counts as regressed after this many responses, without an acknowledgement in between,
+/// that it lacks entries which it had acknowledged. A single one may only be late.
+const REGRESSED_REPLIES_THRESHOLD: u32 = 5;
 
-/// How many rounds of heartbeats are remembered with the moment when they were sent.
+/// Maximum number of heartbeat rounds whose send time is stored.
 const MAX_RECENT_ROUNDS: usize = 64;
 
 /// # Leading
@@ -36,11 +37,11 @@
         self.progress.clear();
         self.regressed.clear();
         self.recent_rounds.clear();
-        let next = self.last_index().next();
+        let next_index = self.last_index().next();
         for member in self.other_members() {
             let progress = Progress {
                 match_index: Index(0),
-                next_index: next,
+                next_index,
                 last_seen: now,
                 regressed_replies: 0,
             };
@@ -50,7 +51,7 @@
         self.broadcast(now);
     }
 
-    /// Sends heartbeats, and steps down where no majority answers any more.
+    /// Sends heartbeats when due, and steps down if no majority responds any more.
     pub(super) fn tick_leader(&mut self, now: Instant) {
         if !self.reaches_majority(now) {
             let term = self.hard_state.term;
@@ -62,10 +63,11 @@
         }
     }
 
-    /// Whether a majority has answered what was sent within an election's time.
+    /// Whether a majority has responded to a heartbeat sent within the last election timeout.
     ///
-    /// While it holds no other replica can lead: each of that majority refuses its vote for as
-    /// long after it heard this leader, and it heard it no earlier than this leader sent.
+    /// While this holds, no other replica can become leader: each replica of that majority declines to
+    /// vote for an election timeout after it received a message of this leader, and it cannot have
+    /// received that before it was sent.
     #[must_use]
     pub fn reaches_majority(&self, now: Instant) -> bool {
         let voters = self.members().voters();
@@ -75,33 +77,35 @@
         count >= self.members().majority()
     }
 
-    /// Whether a majority has answered a round that this leader sent at `at` or later.
+    /// Whether a majority has responded to a heartbeat round that this leader sent at `at` or later.
     ///
-    /// Unlike [`Replica::reaches_majority`] it needs no faith in how long others keep from electing
-    /// another leader: one that had been elected before `at` would have been heard of.
+    /// Unlike [`Replica::reaches_majority`], it doesn't rely on others waiting for an election timeout:
+    /// if another leader had been elected before `at`, some replica of the majority would have reported
+    /// the newer term.
     #[must_use]
     pub fn is_confirmed_since(&self, at: Instant) -> bool {
         let voters = self.members().voters();
-        let heard = |host: &Host| {
+        let responded = |host: &Host| {
             let progress = self.progress.get(host);
             host == &self.host || progress.is_some_and(|progress| progress.last_seen >= at)
         };
-        let count = voters.filter(|member| heard(&member.host)).count();
+        let count = voters.filter(|member| responded(&member.host)).count();
         self.has_committed_in_term() && count >= self.members().majority()
     }
 
-    /// Whether the replica on `host` has answered this leader within an election's time.
+    /// Whether the replica on `host` has responded to a heartbeat sent within the last election timeout.
     #[must_use]
     pub fn is_reachable(&self, host: &Host, now: Instant) -> bool {
-        let heard = self.progress.get(host).map(|progress| progress.last_seen);
-        host == &self.host || heard.is_some_and(|heard| now.since(heard) < self.timing.election)
+        let last_seen = self.progress.get(host).map(|progress| progress.last_seen);
+        host == &self.host
+            || last_seen.is_some_and(|last_seen| now.since(last_seen) < self.timing.election)
     }
 
-    /// Adds a command to the log.
+    /// Appends a command to the log and sends it to the followers.
     ///
     /// # Errors
     ///
-    /// [`Code::NotLeader`] with the leader's name, where it is known.
+    /// [`Code::NotLeader`], with the leader's name if it is known.
     pub fn propose(&mut self, data: Vec<u8>, now: Instant) -> Result<Index, Refusal> {
         self.ensure_leader()?;
         let index = self.append(Body::Data(data));
@@ -113,14 +117,15 @@
         if self.role == Role::Leader {
             return Ok(());
         }
-        let leader = self
-            .leader
-            .as_ref()
-            .map_or("nobody that is known", Host::as_str);
-        Err(Refusal::new(Code::NotLeader, format!("`{leader}` leads")))
+        let leader = self.leader.as_ref().map_or("unknown", Host::as_str);
+        Err(Refusal::new(
+            Code::NotLeader,
+            format!("this replica does not lead; leader: `{leader}`"),
+        ))
     }
 
-    /// Whether an entry of this leader's own term is committed, so that all before it is known.
+    /// Whether this replica leads and has committed an entry of its own term, so that it knows every
+    /// entry that earlier leaders committed.
     #[must_use]
     pub fn has_committed_in_term(&self) -> bool {
         self.role == Role::Leader && self.term_at(self.commit) == Some(self.hard_state.term)
@@ -151,27 +156,30 @@
     }
 
     fn send_entries(&mut self, member: &Member, now: Instant) {
-        let next = self.last_index().next();
-        let fresh = Progress {
+        let next_index = self.last_index().next();
+        let initial = Progress {
             match_index: Index(0),
-            next_index: next,
+            next_index,
             last_seen: now,
             regressed_replies: 0,
         };
-        let next = self
+        let next_index = self
             .progress
             .entry(member.host.clone())
-            .or_insert(fresh)
+            .or_insert(initial)
             .next_index;
         let round = self.round;
-        let prev_index = Index(next.0 - 1);
+        let prev_index = Index(next_index.0 - 1);
         let Some(prev_term) = self.term_at(prev_index) else {
             let snapshot = self.snapshot.clone();
             self.mark_sent(&member.host, snapshot.index);
             self.send(member, Payload::InstallSnapshot { snapshot, round });
             return;
         };
-        let after = self.entries.iter().filter(|entry| entry.index >= next);
+        let after = self
+            .entries
+            .iter()
+            .filter(|entry| entry.index >= next_index);
         let entries: Vec<_> = after.take(MAX_ENTRIES_PER_MESSAGE).cloned().collect();
         if let Some(last) = entries.last() {
             self.mark_sent(&member.host, last.index);
@@ -189,7 +197,8 @@
         );
     }
 
-    /// Counts on what was sent to arrive; a follower that lacks it says so, and it is sent again.
+    /// Assumes that everything up to `index` arrives at `host`. If the follower lacks it, it reports so
+    /// and the entries are sent again.
     fn mark_sent(&mut self, host: &Host, index: Index) {
         if let Some(progress) = self.progress.get_mut(host) {
             progress.next_index = index.next();
@@ -225,34 +234,35 @@
             progress.next_index = progress.next_index.max(progress.match_index.next());
             progress.regressed_replies = 0;
         } else {
-            // Never before what it has acknowledged: a disk that lost that is not the same disk. One
-            // such answer may only be late; several without an acknowledgement between are not.
+            // `next_index` never goes back below what the replica has acknowledged: a disk that lost
+            // that is not the same disk. One such response may only be late; several without an
+            // acknowledgement in between are not.
             progress.regressed_replies += u32::from(index < progress.match_index);
-            if progress.regressed_replies >= MAX_REGRESSED_REPLIES {
+            if progress.regressed_replies >= REGRESSED_REPLIES_THRESHOLD {
                 self.regressed.insert(from.clone());
             }
-            let back = Index(progress.next_index.0.saturating_sub(1)).min(index.next());
-            progress.next_index = back.max(progress.match_index.next());
+            let fallback = Index(progress.next_index.0.saturating_sub(1)).min(index.next());
+            progress.next_index = fallback.max(progress.match_index.next());
         }
-        let behind = progress.next_index <= last;
+        let is_behind = progress.next_index <= last;
         self.advance_commit();
-        if behind && let Some(member) = self.members().get(from).cloned() {
+        if is_behind && let Some(member) = self.members().get(from).cloned() {
             self.send_entries(&member, now);
         }
     }
 
-    /// Commits what a majority has synced, if it is of this term.
+    /// Commits up to the highest index that a majority has synced, if that entry is of this term.
     pub(super) fn advance_commit(&mut self) {
         let members = self.members();
-        let mut matched: Vec<_> = members
+        let mut match_indexes: Vec<_> = members
             .voters()
             .map(|member| self.match_index(&member.host))
             .collect();
-        matched.sort_unstable();
-        let Some(place) = matched.len().checked_sub(members.majority()) else {
+        match_indexes.sort_unstable();
+        let Some(position) = match_indexes.len().checked_sub(members.majority()) else {
             return;
         };
-        let index = matched[place];
+        let index = match_indexes[position];
         if index > self.commit && self.term_at(index) == Some(self.hard_state.term) {
             self.commit = index;
         }
@@ -301,8 +311,9 @@
         }
         self.follow_leader(from, term, now);
         let (prev_index, prev_term) = prev;
-        let known = prev_index < self.snapshot.index || self.term_at(prev_index) == Some(prev_term);
-        if !known {
+        let has_prev =
+            prev_index < self.snapshot.index || self.term_at(prev_index) == Some(prev_term);
+        if !has_prev {
             let index = self.last_index().min(Index(prev_index.0.saturating_sub(1)));
             self.send(
                 &leader,
@@ -335,15 +346,18 @@
         self.reset_election_deadline(now);
     }
 
-    /// Puts one entry where the leader has it; what contradicts it goes.
+    /// Stores one entry of the leader at its index, and drops any entries that conflict with it.
     fn store_entry(&mut self, entry: Entry) {
         if entry.index <= self.snapshot.index || self.term_at(entry.index) == Some(entry.term) {
             return;
         }
         if self.term_at(entry.index).is_some() {
-            debug_assert!(entry.index > self.commit, "what is committed is never cut");
+            debug_assert!(
+                entry.index > self.commit,
+                "a committed entry is never dropped"
+            );
             let before = Index(entry.index.0 - 1);
-            self.entries.retain(|kept| kept.index <= before);
+            self.entries.retain(|stored| stored.index <= before);
             self.synced = self.synced.min(before);
             for pair in &mut self.unsynced {
                 pair.1 = pair.1.min(before);
@@ -394,7 +408,7 @@
         );
     }
 
-    /// Drops the entries that `state` covers, up to what is applied.
+    /// Replaces the entries up to the last applied one by a snapshot with `state`.
     pub fn compact(&mut self, state: Vec<u8>) {
         let index = self.applied;
         let Some(term) = self.term_at(index) else {
