--- a/crates/core/src/view/grantor.rs
+++ b/crates/core/src/view/grantor.rs
@@ -1,4 +1,4 @@
-//! The leader's side of the leases.
+//! Lease handling at the leader of the control hosts.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,13 +19,13 @@
 use super::Roster;
 use super::Update;
 
-/// After how many leases an entry that is not heard any more is forgotten.
+/// The status of an entry that no longer renews is dropped after this many lease durations.
 const FORGET_AFTER_LEASES: u32 = 10;
 
-/// One run of an entry: a host and its incarnation.
+/// Identifies one process of an entry: its host and incarnation.
 type ProcessId = (id::Host, u64);
 
-/// What the leader knows of one entry.
+/// What an entry reported in its last renewal, and when that arrived.
 #[derive(Clone, Debug)]
 struct MemberStatus {
     member: Member,
@@ -37,11 +37,11 @@
     stopped: bool,
 }
 
-/// The leader's side: grants leases, and says when the view must change and when it is active.
+/// Grants leases at the leader, proposes new views, and decides when a view becomes active.
 ///
-/// It begins empty with each leader; a new leader counts every member of the views that it finds
-/// as holding a lease that was granted in the moment before. Memory and each round are linear in
-/// the entries.
+/// Each new leader starts with an empty grantor. It assumes that every member of the views that
+/// it finds was granted a lease just before it took over. Memory, and the time of each call, are
+/// linear in the number of entries.
 #[derive(Clone, Debug)]
 pub struct Grantor {
     lease: Lease,
@@ -51,7 +51,7 @@
 }
 
 impl Grantor {
-    /// A grantor for a leader that began to lead at `now`.
+    /// Creates the grantor of a leader that was elected at `now`.
     #[must_use]
     pub fn new(lease: Lease, now: Instant) -> Self {
         Self {
@@ -62,77 +62,84 @@
         }
     }
 
-    /// Answers a renewal.
+    /// Grants or declines the lease that `renewal` asks for.
     ///
-    /// The caller must be sure that it leads at `now`; see [`crate::log::Replica::reaches_majority`].
+    /// Call it only on a replica that is certain to lead at `now`; see
+    /// [`crate::log::Replica::reaches_majority`].
     ///
     /// # Errors
     ///
-    /// [`Code::Unknown`] where the configuration has no such entry.
+    /// [`Code::Unknown`] if the configuration has no such entry.
     pub fn renew(
         &mut self,
-        asked: &Renewal,
+        renewal: &Renewal,
         machine: &Machine,
         now: Instant,
     ) -> Result<Grant, Refusal> {
         let snapshot = machine.get_snapshot();
-        let host = snapshot.hosts.get(&asked.member.host);
+        let host = snapshot.hosts.get(&renewal.member.host);
         if host.is_none_or(|host| host.role != Role::Entry) {
-            let why = format!("the configuration has no entry `{}`", asked.member.host);
-            return Err(Refusal::new(Code::Unknown, why));
+            let message = format!("the configuration has no entry `{}`", renewal.member.host);
+            return Err(Refusal::new(Code::Unknown, message));
         }
         let roster = machine.get_roster();
-        let seen = MemberStatus {
-            member: asked.member.clone(),
-            held_view: asked.held_view,
-            active_view: asked.active_view,
-            shards_complete: asked.shards_complete,
-            revision: asked.revision,
+        let status = MemberStatus {
+            member: renewal.member.clone(),
+            held_view: renewal.held_view,
+            active_view: renewal.active_view,
+            shards_complete: renewal.shards_complete,
+            revision: renewal.revision,
             last_renewal: now,
-            stopped: asked.stopped,
+            stopped: renewal.stopped,
         };
         let lease = self.lease;
-        self.statuses.retain(|_, seen| {
-            now.since(seen.last_renewal) < (lease.duration + lease.max_drift) * FORGET_AFTER_LEASES
+        self.statuses.retain(|_, status| {
+            now.since(status.last_renewal)
+                < (lease.duration + lease.max_drift) * FORGET_AFTER_LEASES
         });
-        self.statuses.insert(process_id(&asked.member), seen);
-        let newer = roster.number > asked.held_view;
+        self.statuses.insert(process_id(&renewal.member), status);
+        let is_newer = roster.number > renewal.held_view;
         Ok(Grant {
-            roster: newer.then(|| roster.clone()),
-            previous: newer.then(|| machine.get_previous_roster().clone()),
+            roster: is_newer.then(|| roster.clone()),
+            previous: is_newer.then(|| machine.get_previous_roster().clone()),
             view: roster.number,
             active: self.is_active(machine, now),
-            lease: (roster.has(&asked.member) && !asked.stopped).then_some(self.lease.duration),
-            update: config_update(machine, asked.revision),
+            lease: (roster.has(&renewal.member) && !renewal.stopped).then_some(self.lease.duration),
+            update: config_update(machine, renewal.revision),
         })
     }
 
-    /// Whether no member of the former view can act under it any more.
+    /// Whether the newest view is active: no member of the previous view can act under that one any
+    /// more.
     #[must_use]
     pub fn is_active(&self, machine: &Machine, now: Instant) -> bool {
         let number = machine.get_roster().number;
-        let former = machine.get_previous_roster().members.iter();
-        let mut former = former.map(|member| self.has_left_previous_view(member, number, now));
-        former.all(|gone| gone)
+        let previous_members = machine.get_previous_roster().members.iter();
+        let mut have_left =
+            previous_members.map(|member| self.has_left_previous_view(member, number, now));
+        have_left.all(|left| left)
     }
 
+    /// Whether `member` can no longer act under a view before `number`.
     fn has_left_previous_view(&self, member: &Member, number: id::View, now: Instant) -> bool {
         match self.statuses.get(&process_id(member)) {
-            Some(seen) if seen.held_view >= number || seen.stopped => true,
-            Some(seen) => self.is_lease_expired(seen.last_renewal, now),
+            Some(status) if status.held_view >= number || status.stopped => true,
+            Some(status) => self.is_lease_expired(status.last_renewal, now),
             None => self.is_lease_expired(self.leader_since, now),
         }
     }
 
+    /// Whether a lease that was granted at `granted` has expired, clock drift included.
     fn is_lease_expired(&self, granted: Instant, now: Instant) -> bool {
         now.since(granted) > self.lease.duration + self.lease.max_drift
     }
 
-    /// The next view, where the present one is active and no longer fits, or has lasted so long
-    /// that its number tells no age any more.
+    /// Proposes the next view, if the current one is active and either its members have changed or
+    /// it has reached [`Lease::max_view_age`].
     ///
-    /// A view stays until each of its members that lives has taken it up: a copy of a shard's claims
-    /// is never passed over. And while a copy is not whole only a death makes the next view.
+    /// No view is proposed before each live member has activated the current one, so that no copy of
+    /// a shard's claims is skipped. While some member's copies are incomplete, only the loss of
+    /// another member leads to a new view.
     #[must_use]
     pub fn propose_roster(&mut self, machine: &Machine, now: Instant) -> Option<Roster> {
         let roster = machine.get_roster();
@@ -147,77 +154,87 @@
             }
         };
         let members = roster.members.iter();
-        let live: Vec<_> = members
+        let live_members: Vec<_> = members
             .filter(|member| !self.has_stopped(member, now))
             .collect();
-        if !live.iter().all(|member| self.has_activated(member, roster)) {
+        if !live_members
+            .iter()
+            .all(|member| self.has_activated(member, roster))
+        {
             return None;
         }
-        let death = live.len() < roster.members.len();
-        if !death && !live.iter().all(|member| self.has_complete_shards(member)) {
+        let member_lost = live_members.len() < roster.members.len();
+        if !member_lost
+            && !live_members
+                .iter()
+                .all(|member| self.has_complete_shards(member))
+        {
             return None;
         }
-        let aged = !roster.members.is_empty() && now.since(since) >= self.lease.max_view_age;
-        let mut members: Vec<_> = live
+        let too_old = !roster.members.is_empty() && now.since(since) >= self.lease.max_view_age;
+        let mut members: Vec<_> = live_members
             .iter()
             .map(|member| self.latest_member(member))
             .collect();
-        for seen in self.statuses.values() {
+        for status in self.statuses.values() {
             let is_new = members
                 .iter()
-                .all(|member: &Member| member.host != seen.member.host);
-            if is_new && !seen.stopped && !self.is_lease_expired(seen.last_renewal, now) {
-                members.push(seen.member.clone());
+                .all(|member: &Member| member.host != status.member.host);
+            if is_new && !status.stopped && !self.is_lease_expired(status.last_renewal, now) {
+                members.push(status.member.clone());
             }
         }
         apply_operator_state(&mut members, machine.get_snapshot());
         members.sort_by(|a, b| a.host.cmp(&b.host));
         let number = roster.number.next();
-        (aged || members != roster.members).then_some(Roster { number, members })
+        (too_old || members != roster.members).then_some(Roster { number, members })
     }
 
-    /// Whether `member` acts no more: it has said so, or its lease has run out.
+    /// Whether `member` no longer acts: it has reported that it stopped, or its lease has expired.
     fn has_stopped(&self, member: &Member, now: Instant) -> bool {
         match self.statuses.get(&process_id(member)) {
-            Some(seen) => seen.stopped || self.is_lease_expired(seen.last_renewal, now),
+            Some(status) => status.stopped || self.is_lease_expired(status.last_renewal, now),
             None => self.is_lease_expired(self.leader_since, now),
         }
     }
 
     fn has_activated(&self, member: &Member, roster: &Roster) -> bool {
-        let seen = self.statuses.get(&process_id(member));
-        seen.is_some_and(|seen| seen.active_view >= roster.number)
+        let status = self.statuses.get(&process_id(member));
+        status.is_some_and(|status| status.active_view >= roster.number)
     }
 
     fn has_complete_shards(&self, member: &Member) -> bool {
         self.statuses
             .get(&process_id(member))
-            .is_some_and(|seen| seen.shards_complete)
+            .is_some_and(|status| status.shards_complete)
     }
 
-    /// What `member` has last said of itself.
+    /// `member` as its last renewal described it.
     fn latest_member(&self, member: &Member) -> Member {
-        let seen = self.statuses.get(&process_id(member));
-        seen.map_or(member, |seen| &seen.member).clone()
+        let status = self.statuses.get(&process_id(member));
+        status.map_or(member, |status| &status.member).clone()
     }
 
-    /// The revision that was last told to be in force at each entry, and how long ago.
+    /// For each entry: its host, the revision and the view that it last reported, and the time of
+    /// that renewal.
     pub fn reported_revisions(
         &self,
     ) -> impl Iterator<Item = (&id::Host, id::Revision, id::View, Instant)> {
-        let seen = self.statuses.values();
-        seen.map(|seen| {
+        let statuses = self.statuses.values();
+        statuses.map(|status| {
             (
-                &seen.member.host,
-                seen.revision,
-                seen.held_view,
-                seen.last_renewal,
+                &status.member.host,
+                status.revision,
+                status.held_view,
+                status.last_renewal,
             )
         })
     }
 }
 
-/// The steps where they are known, else the whole: a change costs a line an entry.
+/// Returns the steps since revision `held` if all are still stored, otherwise the whole snapshot.
+///
+/// With steps, a change sends a single line to each entry instead of the whole configuration.
 fn config_update(machine: &Machine, held: id::Revision) -> Update {
     let snapshot = machine.get_snapshot();
     if snapshot.revision <= held {
@@ -231,8 +248,8 @@
     (member.host.clone(), member.incarnation)
 }
 
-/// Marks what the operators drain or set aside; a member that says itself that it is leaving stays
-/// marked.
+/// Sets `owns` and `leaving` as the operators configured them for each host. A member that itself
+/// reports that it is leaving stays so.
 fn apply_operator_state(members: &mut [Member], snapshot: &Snapshot) {
     for member in members {
         let host = snapshot.hosts.get(&member.host);
