--- a/crates/core/src/view/holder.rs
+++ b/crates/core/src/view/holder.rs
@@ -1,4 +1,4 @@
-//! An entry's side of the leases.
+//! Lease handling at an entry.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 use super::Roster;
 use super::Update;
 
-/// An entry's side: which view and which revision it holds, and whether it may act.
+/// The view and configuration that an entry holds, and whether its lease allows it to act.
 #[derive(Clone, Debug)]
 pub struct Holder {
     member: Member,
@@ -29,7 +29,7 @@
 }
 
 impl Holder {
-    /// An entry that holds nothing yet.
+    /// Creates the holder of an entry that has neither a view nor a configuration yet.
     #[must_use]
     pub fn new(member: Member) -> Self {
         Self {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// What to ask the leader now.
+    /// The renewal to send to the leader now.
     #[must_use]
     pub fn renewal(&self) -> Renewal {
         Renewal {
@@ -61,11 +61,11 @@
         }
     }
 
-    /// Takes in the answer to what was asked at `asked`.
+    /// Applies the leader's response to a renewal that was sent at `asked`.
     ///
-    /// Answers may come in any order: an older view or revision never replaces a newer one, and
-    /// the lease counts from the moment of asking.
-    pub fn on_grant(&mut self, grant: Grant, asked: Instant) {
+    /// Responses may arrive in any order: an older view or revision never replaces a newer one, and
+    /// the lease runs from the moment when the renewal was sent.
+    pub fn on_grant(&mut self, grant: Grant, sent_at: Instant) {
         match grant.update {
             Update::Snapshot(snapshot) if snapshot.revision > self.snapshot.revision => {
                 self.snapshot = snapshot;
@@ -84,12 +84,12 @@
             return;
         }
         self.active |= grant.active;
-        if let Some(length) = grant.lease {
-            self.lease_until = self.lease_until.max(asked + length);
+        if let Some(duration) = grant.lease {
+            self.lease_until = self.lease_until.max(sent_at + duration);
         }
     }
 
-    /// Takes the next step of the configuration; any other is passed over.
+    /// Applies the step that directly follows the revision held; ignores any other.
     fn apply_step(&mut self, step: &Step) {
         if step.revision != self.snapshot.revision.next() {
             return;
@@ -97,46 +97,48 @@
         let next = match lang::parse(&step.line) {
             Ok(Statement::Change(change)) => self.snapshot.apply(&change),
             Ok(_) => return,
-            Err(why) => Err(why),
+            Err(error) => Err(error),
         };
-        // What was accepted at control is accepted here: both apply the same to the same.
+        // The control host accepted this change on the same snapshot, so it applies here as well.
         debug_assert!(next.is_ok(), "an accepted change applies: {next:?}");
         if let Ok(next) = next {
             self.snapshot = Arc::new(next);
         }
     }
 
-    /// The view to act under, if there is one at `now`.
+    /// The view that this entry may act under at `now`, if there is one.
     #[must_use]
     pub fn usable_roster(&self, now: Instant) -> Option<&Arc<Roster>> {
-        let holds =
+        let may_act =
             self.active && !self.stopped && now < self.lease_until && self.roster.has(&self.member);
-        holds.then_some(&self.roster)
+        may_act.then_some(&self.roster)
     }
 
-    /// Whether the newest view is held but not active yet.
+    /// Whether the newest view is not active yet.
     #[must_use]
     pub fn is_changing(&self) -> bool {
         !self.active
     }
 
-    /// Whether a view to act under may come soon: the view is changing and the lease runs.
+    /// Whether this entry may be able to act soon: its lease is valid and only the activation of the
+    /// newest view is missing.
     #[must_use]
     pub fn awaits_activation(&self, now: Instant) -> bool {
         !self.active && now < self.lease_until
     }
 
-    /// Whether every shard that this entry keeps is whole; the leader is told with each renewal.
-    pub fn set_shards_complete(&mut self, whole: bool) {
-        self.shards_complete = whole;
+    /// Sets whether every shard stored at this entry is complete; each renewal reports it.
+    pub fn set_shards_complete(&mut self, complete: bool) {
+        self.shards_complete = complete;
     }
 
-    /// Tells the leader from now on that this entry is stopping.
+    /// Reports in each following renewal that this entry is leaving.
     pub fn start_leaving(&mut self) {
         self.member.leaving = true;
     }
 
-    /// Acts no more, and tells the leader so: its lease need not be waited out.
+    /// Stops acting and reports that in each following renewal, so that the leader need not wait for
+    /// the lease to expire.
     pub fn stop(&mut self) {
         self.stopped = true;
     }
@@ -153,13 +155,13 @@
         &self.roster
     }
 
-    /// The view before the newest.
+    /// The view before the newest one.
     #[must_use]
     pub fn get_previous_roster(&self) -> &Arc<Roster> {
         &self.previous_roster
     }
 
-    /// The configuration in force here.
+    /// The configuration in effect at this entry.
     #[must_use]
     pub fn get_snapshot(&self) -> &Arc<Snapshot> {
         &self.snapshot
