--- a/crates/core/src/view/lease.rs
+++ b/crates/core/src/view/lease.rs
@@ -1,4 +1,4 @@
-//! What an entry and the leader say to each other about the lease.
+//! Messages between entries and the leader about leases, and the timing of leases.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,17 +13,18 @@
 use super::Member;
 use super::Roster;
 
-/// How long leases last.
+/// Timing of leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// From the moment when the entry asked.
+    /// How long a lease is valid, from the moment when the entry sent its renewal.
     pub duration: Duration,
-    /// What the leader waits beyond that: the most that two clocks may drift over it.
+    /// How long the leader waits beyond that: the maximum drift between two clocks over the duration
+    /// of a lease.
     pub max_drift: Duration,
-    /// Between two renewals.
+    /// Time between two renewals.
     pub renew_interval: Duration,
-    /// After which a view is followed by another even if nothing changed: its number tells the
-    /// age of the keys that were drawn under it.
+    /// The age at which a view is replaced even if its members stay the same: the number of the view
+    /// under which a request key was generated indicates the age of the key.
     pub max_view_age: Duration,
 }
 
@@ -38,35 +39,35 @@
     }
 }
 
-/// An entry asks for its lease.
+/// An entry's request for a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Renewal {
-    /// Who asks.
+    /// The entry.
     pub member: Member,
-    /// The newest view that it has adopted: it acts under no older one any more.
+    /// The newest view that it has received; it no longer acts under any older one.
     pub held_view: id::View,
-    /// The newest view that it has taken up as active.
+    /// The newest view that it has activated.
     pub active_view: id::View,
-    /// Whether every shard that it keeps is whole there.
+    /// Whether every shard that it stores is complete.
     pub shards_complete: bool,
-    /// The revision that is in force there.
+    /// The revision that is in effect there.
     pub revision: id::Revision,
-    /// Whether it has ended its work and acts no more.
+    /// Whether it has finished its work and no longer acts.
     pub stopped: bool,
 }
 
-/// What an entry must do to have the newest configuration.
+/// How an entry gets to the newest configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Update {
-    /// Nothing.
+    /// It has the newest one.
     None,
-    /// Apply these, in order.
+    /// Apply these steps in order.
     Steps(Vec<Step>),
-    /// Take this.
+    /// Replace the configuration by this one.
     Snapshot(Arc<Snapshot>),
 }
 
-/// The leader's answer.
+/// The leader's response to a renewal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// The newest view, if it is newer than the one held.
@@ -77,8 +78,9 @@
     pub view: id::View,
     /// Whether the newest view is active.
     pub active: bool,
-    /// How long the lease lasts from the moment of asking; none is no lease.
+    /// How long the lease is valid, from the moment when the renewal was sent; `None` if there is no
+    /// lease.
     pub lease: Option<Duration>,
-    /// What is newer in the configuration than what is in force there.
+    /// What the entry lacks of the newest configuration.
     pub update: Update,
 }
--- a/crates/core/src/view/mod.rs
+++ b/crates/core/src/view/mod.rs
@@ -1,10 +1,11 @@
-//! The view: which entries share the work, and who may act under it.
+//! Views: the set of entries that share the work, and the leases that allow an entry to act.
 //!
 //! A [`Roster`] is a numbered, immutable list of entries from which every process computes the
 //! same owner of a service and the same replicas of a shard. [`Grantor`] runs at the leader of the
-//! control hosts and grants leases; [`Holder`] runs at each entry and acts only under one. A new
-//! roster becomes active once each member of the former one has adopted it or its lease, drift
-//! included, has run out: no two entries ever act under two rosters at once.
+//! control hosts and grants leases. [`Holder`] runs at each entry, which acts only while it has a
+//! lease. A new roster becomes active once each member of the previous one has received it or has
+//! lost its lease, clock drift included. So no two entries ever act under different rosters at the
+//! same time.
 
 mod grantor;
 mod holder;
--- a/crates/core/src/view/roster.rs
+++ b/crates/core/src/view/roster.rs
@@ -1,4 +1,4 @@
-//! A numbered list of entries, and the maps that follow from it.
+//! Numbered lists of entries, and how services and shards are assigned to them.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 
 use crate::id;
 
-/// How many entries keep each shard.
+/// How many entries store each shard.
 pub const REPLICAS_PER_SHARD: usize = 3;
 
 /// An entry of a view.
@@ -16,21 +16,21 @@
 pub struct Member {
     /// Its host.
     pub host: id::Host,
-    /// The data hall that it stands in.
+    /// The data hall of the host.
     pub hall: id::Hall,
-    /// Where the other processes reach it.
+    /// The address for other processes.
     pub rpc: SocketAddr,
-    /// Where callers reach it.
+    /// The address for callers.
     pub http: SocketAddr,
-    /// Drawn at its start: after a restart it is another member.
+    /// A random number generated at its start: after a restart it counts as another member.
     pub incarnation: u64,
-    /// Whether it is stopping: then it owns nothing and keeps nothing.
+    /// Whether it is stopping; then it owns no queue and stores no shard.
     pub leaving: bool,
-    /// Whether it may own services' queues.
+    /// Whether the operators prefer it as an owner of services' queues.
     pub owns: bool,
 }
 
-/// A view.
+/// A view: the entries that share the work, under a number.
 ///
 /// # Examples
 ///
@@ -43,7 +43,7 @@
 pub struct Roster {
     /// Its number; 0 is the empty view.
     pub number: id::View,
-    /// Its members, by host.
+    /// Its members, sorted by host.
     pub members: Vec<Member>,
 }
 
@@ -54,17 +54,17 @@
         self.members.iter().find(|member| &member.host == host)
     }
 
-    /// Whether the very process that is `member` is in it.
+    /// Whether the process of `member` is in this view, by host and incarnation.
     #[must_use]
     pub fn has(&self, member: &Member) -> bool {
         self.get(&member.host)
             .is_some_and(|known| known.incarnation == member.incarnation)
     }
 
-    /// The entry that orders the waiting work of `service`.
+    /// The entry that owns the queue of `service`.
     ///
-    /// By rendezvous hashing: where a member goes, only what it owned moves. Members that the
-    /// operators set aside for it go before all others. Linear in members.
+    /// Rendezvous hashing picks it: when a member leaves, only the services that it owned move.
+    /// Members with `owns` take precedence over all others. Linear in the members.
     #[must_use]
     pub fn owner(&self, service: &id::Service) -> Option<&Member> {
         let rank = |member: &&Member| weight(member, service.as_str().as_bytes());
@@ -73,10 +73,10 @@
         owners.or_else(|| staying().max_by_key(rank))
     }
 
-    /// The entries that keep `shard`, the deciding one first, in different data halls where there
-    /// are enough.
+    /// The entries that store `shard`, in different data halls if there are enough. The first one
+    /// decides between competing claims.
     ///
-    /// Linear in members: one look for each replica.
+    /// Linear in the members: one pass for each replica.
     #[must_use]
     pub fn replicas(&self, shard: id::Shard) -> Vec<&Member> {
         let staying = self.members.iter().filter(|member| !member.leaving);
@@ -99,7 +99,7 @@
     }
 }
 
-/// The rank of `member` for `what`; the highest wins.
+/// The rendezvous hash of `member` for the key `what`; the member with the highest one wins.
 fn weight(member: &Member, what: &[u8]) -> u64 {
     let seed = XxHash64::oneshot(0, member.host.as_str().as_bytes());
     XxHash64::oneshot(seed, what)
