--- a/crates/core/src/claim/message.rs
+++ b/crates/core/src/claim/message.rs
@@ -1,4 +1,4 @@
-//! What is asked of a table, and what it answers.
+//! Messages between entries about claims.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,38 +7,40 @@
 
 use super::Record;
 
-/// A claim of a key.
+/// A request to claim a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The view under which the shard's replicas were chosen.
+    /// The view from which the shard's replicas were determined.
     pub view: id::View,
     /// The key.
     pub key: id::Key,
-    /// Who claims it and for what.
+    /// The record to store if the claim is granted.
     pub record: Record,
-    /// When the caller drew the key, by a stamp of an address answer; none where it has none.
+    /// The view when the caller generated the key, from the stamp of an address response; `None` if
+    /// the caller sent none.
     pub stamp: Option<id::View>,
-    /// Whether the request may never be repeated.
+    /// Whether the request must never be executed twice.
     pub sole: bool,
 }
 
-/// The answer to a claim.
+/// A replica's response to a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Response {
-    /// The key is the claimer's, at this replica.
+    /// The key belongs to the claimer at this replica.
     Granted,
     /// The key was claimed before.
     AlreadyClaimed(Record),
-    /// The key was claimed before with another body.
+    /// The key was claimed before for a request with another body, path or method.
     BodyMismatch,
-    /// The replica holds another view; ask again under it.
+    /// The replica has another view; claim again under that view.
     ViewMismatch(id::View),
-    /// The replica is being filled; ask again soon.
+    /// The replica is still waiting for a copy of the shard; claim again soon.
     Filling,
-    /// Records of this shard were lost while this key may have been in use: it may have run.
+    /// Records of this shard were lost after the key may have been generated: its request may have
+    /// run already.
     RecordsLost,
-    /// The key was drawn so long ago that its record may have been dropped.
+    /// The key is so old that its record may have expired.
     KeyTooOld,
-    /// The replica keeps as many keys as it may.
+    /// The replica has reached its maximum number of records.
     TableFull,
 }
--- a/crates/core/src/claim/mod.rs
+++ b/crates/core/src/claim/mod.rs
@@ -1,8 +1,9 @@
-//! Claims of request keys: at most one dispatch for a key.
+//! Claims of request keys, which make sure that a key is dispatched at most once.
 //!
-//! A key belongs to a shard, a shard to three entries of the view. A claim is written to all three
-//! before the first byte of a request goes out; the first of the three decides between rivals. A
-//! claim is never undone: where its holder is lost, the key's fate is unknown.
+//! A key belongs to a shard, and a shard is stored at three entries of the view. A claim is written
+//! to all three before the first byte of the request is sent to a server; the first of the three
+//! decides between competing claims. A claim is never undone: if its holder is lost, the outcome of
+//! the request is unknown.
 
 mod message;
 mod record;
--- a/crates/core/src/claim/record.rs
+++ b/crates/core/src/claim/record.rs
@@ -1,4 +1,4 @@
-//! What is kept of a key.
+//! The record of a claimed key.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,12 +7,12 @@
 use crate::code::Outcome;
 use crate::id;
 
-/// What became of a request.
+/// The status of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Status {
-    /// Its holder is at it.
+    /// Its holder is still processing it.
     Open,
-    /// It has ended.
+    /// It has finished.
     Ended {
         /// Whether it ran.
         outcome: Outcome,
@@ -21,30 +21,29 @@
     },
 }
 
-/// What is kept of a key.
+/// The record of a claimed key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// A hash of the request's body, path and method.
     pub digest: u64,
-    /// The entry that holds the request, and its answer once there is one.
+    /// The entry that processes the request and stores its response.
     pub holder: id::Host,
     /// The holder's incarnation.
     pub incarnation: u64,
-    /// The holder's number for the request: the same claim sent again is the same claim.
+    /// The holder's number for the request; it tells a resent claim from a competing one.
     pub ticket: id::Ticket,
-    /// What became of it.
+    /// The status of the request.
     pub status: Status,
-    /// When it was written here, by this entry's clock.
+    /// When this entry stored the record, by its own clock.
     #[serde(skip)]
     pub written: Instant,
 }
 
 impl Record {
-    /// Whether the request surely did not run, so that the key may be claimed anew.
+    /// Whether the request is known not to have run, so that the key may be claimed again.
     #[must_use]
     pub fn is_reclaimable(&self) -> bool {
-        let ended =
-            |outcome| matches!(self.status, Status::Ended { outcome: o, .. } if o == outcome);
-        ended(Outcome::NotRun)
+        let ended_with = |outcome| matches!(self.status, Status::Ended { outcome: actual, .. } if actual == outcome);
+        ended_with(Outcome::NotRun)
     }
 }
