--- a/crates/core/src/claim/table.rs
+++ b/crates/core/src/claim/table.rs
@@ -1,4 +1,4 @@
-//! The claims that one entry keeps.
+//! The table of claims that one entry stores.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -20,49 +20,49 @@
 use super::Response;
 use super::Status;
 
-/// How many shards there are; it never changes.
+/// The number of shards; it must never change.
 pub const SHARD_COUNT: u64 = 256;
 
-/// One shard's records and how far they can be trusted.
+/// The records of one shard, and from which keys on they are complete.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardRecords {
     /// The records.
     pub records: HashMap<Key, Record>,
-    /// The newest view at whose beginning every copy of this shard was gone; a key drawn before it
-    /// may have been used.
+    /// The newest view at whose start every copy of this shard was lost. A key generated under an
+    /// earlier view may have been used.
     pub lost_at: Option<id::View>,
-    /// The newest view under which a record was written that has been dropped for its age; a key
-    /// drawn under it or before may have been used.
+    /// The newest view under which a record was stored that has expired since. A key generated
+    /// under this view or an earlier one may have been used.
     pub expired_up_to: Option<id::View>,
-    /// When the loss was noticed, by this entry's clock.
+    /// When this entry noticed the loss, by its own clock.
     #[serde(skip)]
     pub loss_noticed: Instant,
 }
 
-/// The answer to a request for a copy.
+/// The response to a request for a copy of a shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CopyResponse {
     /// The copy.
     Complete(ShardRecords),
-    /// The two entries hold different views; ask again.
+    /// The two entries have different views; ask again.
     ViewMismatch,
-    /// There is no whole copy here; ask the next source.
+    /// This entry has no complete copy; ask the next source.
     Incomplete,
 }
 
-/// A shard kept here.
+/// The state of a shard that is stored at this entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum ShardState {
-    /// Whole: it may answer.
+    /// All records are here, so that claims can be decided.
     Complete(ShardRecords),
-    /// Waiting for a copy from one of these, in turn.
+    /// Waiting for a copy from one of these members; the first one is asked first.
     Filling(Vec<Member>),
 }
 
-/// The claims that one entry keeps, by shard.
+/// The claims that one entry stores, by shard.
 ///
-/// A claim costs constant time; a view change costs time linear in shards and members. Memory is
-/// bounded by `limit` records. Records go after `keep`, oldest first.
+/// A claim takes constant time; a view change takes time linear in shards and members. There are at
+/// most `max_records` records. A record expires after `retention`.
 #[derive(Clone, Debug)]
 pub struct Table {
     member: Member,
@@ -70,19 +70,20 @@
     max_records: usize,
     view: id::View,
     shards: BTreeMap<Shard, ShardState>,
-    /// Whole copies of the former view that are kept elsewhere now, for those who fill theirs.
+    /// Complete shards of the previous view that are stored at other entries now, for those to copy.
     previous_shards: BTreeMap<Shard, ShardRecords>,
     expiry_queue: VecDeque<(Instant, id::View, Key)>,
 }
 
 impl Table {
-    /// An empty table of the entry `own`, which keeps at most `limit` records, each for `keep`.
+    /// Creates an empty table of the entry `member`, which stores at most `max_records` records, each
+    /// for `retention`.
     #[must_use]
-    pub fn new(own: Member, keep: Duration, limit: usize) -> Self {
+    pub fn new(member: Member, retention: Duration, max_records: usize) -> Self {
         Self {
-            member: own,
-            retention: keep,
-            max_records: limit,
+            member,
+            retention,
+            max_records,
             view: id::View::default(),
             shards: BTreeMap::new(),
             previous_shards: BTreeMap::new(),
@@ -90,53 +91,59 @@
         }
     }
 
-    /// Takes up a view that has become active: `previous` tells who may have copies.
+    /// Applies a view that has become active; `previous` determines which entries may have copies.
     ///
-    /// A shard that was kept here and still is stays whole; one that was kept here and is not any more
-    /// stays for one view, for those who fill theirs. A new one waits for a copy; where no
-    /// replica of the former view is left there is none, and the loss is remembered. The first view
-    /// of all has nothing to lose.
+    /// A shard that stays at this entry stays complete. One that moves away is stored for one more
+    /// view, so that its new replicas can copy it. A new one waits for a copy; if no replica of the
+    /// previous view is left to copy from, the shard starts empty and the loss is recorded. In the
+    /// first view, every shard starts empty and nothing is lost.
     pub fn apply_view(&mut self, roster: &Roster, previous: &Roster, now: Instant) {
         if roster.number <= self.view {
             return;
         }
-        let former_view = self.view;
+        let old_view = self.view;
         self.view = roster.number;
-        let mut former = std::mem::take(&mut self.shards);
+        let mut old_shards = std::mem::take(&mut self.shards);
         for shard in (0..SHARD_COUNT).map(Shard) {
-            let keeps = roster
+            let is_replica = roster
                 .replicas(shard)
                 .iter()
-                .any(|m| m.host == self.member.host);
-            if !keeps {
+                .any(|replica| replica.host == self.member.host);
+            if !is_replica {
                 continue;
             }
-            let valid = former_view == previous.number
-                || (former_view.next() == previous.number && self.was_replica(previous, shard));
-            let kept = former
+            let may_retain = old_view == previous.number
+                || (old_view.next() == previous.number && self.was_replica(previous, shard));
+            let retained = old_shards
                 .remove(&shard)
-                .filter(|held| valid && matches!(held, ShardState::Complete(_)));
-            let held = kept.unwrap_or_else(|| self.initial_state(shard, roster, previous, now));
-            self.shards.insert(shard, held);
+                .filter(|state| may_retain && matches!(state, ShardState::Complete(_)));
+            let state =
+                retained.unwrap_or_else(|| self.initial_state(shard, roster, previous, now));
+            self.shards.insert(shard, state);
         }
-        let fresh = former_view == previous.number;
-        let whole = former.into_iter().filter_map(|(shard, held)| match held {
-            ShardState::Complete(slot) if fresh => Some((shard, slot)),
-            _ => None,
-        });
-        self.previous_shards = whole.collect();
+        let was_up_to_date = old_view == previous.number;
+        let complete = old_shards
+            .into_iter()
+            .filter_map(|(shard, state)| match state {
+                ShardState::Complete(stored) if was_up_to_date => Some((shard, stored)),
+                _ => None,
+            });
+        self.previous_shards = complete.collect();
     }
 
-    /// Whether this entry had to agree to every claim of `shard` under `previous`.
+    /// Whether this entry was a replica of `shard` under `previous`, so that no claim could be granted
+    /// without it.
     ///
-    /// If it had, and never took that view up, no claim was granted meanwhile: its copy is whole.
+    /// If so and it never activated that view, no claim was granted under it, and its copy is complete.
     fn was_replica(&self, previous: &Roster, shard: Shard) -> bool {
         let replicas = previous.replicas(shard);
-        replicas
-            .iter()
-            .any(|m| m.host == self.member.host && m.incarnation == self.member.incarnation)
+        replicas.iter().any(|replica| {
+            replica.host == self.member.host && replica.incarnation == self.member.incarnation
+        })
     }
 
+    /// The state of a shard that this entry did not have complete before: it waits for a copy, or is
+    /// empty if there is none.
     fn initial_state(
         &self,
         shard: Shard,
@@ -147,9 +154,9 @@
         if previous.number == id::View(0) {
             return ShardState::Complete(ShardRecords::default());
         }
-        let former = previous.replicas(shard).into_iter();
-        let sources: Vec<_> = former
-            .filter(|m| roster.has(m) && m.host != self.member.host)
+        let previous_replicas = previous.replicas(shard).into_iter();
+        let sources: Vec<_> = previous_replicas
+            .filter(|replica| roster.has(replica) && replica.host != self.member.host)
             .cloned()
             .collect();
         if sources.is_empty() {
@@ -159,6 +166,7 @@
         }
     }
 
+    /// The state of a shard whose records are lost as of the current view.
     fn lost_state(&self, now: Instant) -> ShardState {
         ShardState::Complete(ShardRecords {
             lost_at: Some(self.view),
@@ -167,33 +175,33 @@
         })
     }
 
-    /// Answers a claim, and keeps it where it is granted.
+    /// Decides a claim, and stores its record if it is granted.
     pub fn claim(&mut self, claim: &Claim, now: Instant) -> Response {
         self.expire_records(now);
         if claim.view != self.view {
             return Response::ViewMismatch(self.view);
         }
         let full = self.expiry_queue.len() >= self.max_records;
-        let Some(held) = self.shards.get_mut(&claim.key.shard(SHARD_COUNT)) else {
+        let Some(state) = self.shards.get_mut(&claim.key.shard(SHARD_COUNT)) else {
             return Response::ViewMismatch(self.view);
         };
-        let ShardState::Complete(slot) = held else {
+        let ShardState::Complete(stored) = state else {
             return Response::Filling;
         };
-        let earlier = slot.records.get(&claim.key);
+        let earlier = stored.records.get(&claim.key);
         if let Some(earlier) = earlier.filter(|earlier| !earlier.is_reclaimable()) {
             return conflict_response(earlier, &claim.record);
         }
-        if slot.lost_at.is_some() && now.since(slot.loss_noticed) > self.retention {
-            slot.lost_at = None;
+        if stored.lost_at.is_some() && now.since(stored.loss_noticed) > self.retention {
+            stored.lost_at = None;
         }
-        let drawn_after = |lost: id::View| claim.stamp.is_some_and(|stamp| stamp >= lost);
-        if claim.sole && slot.lost_at.is_some_and(|lost| !drawn_after(lost)) {
+        let generated_after = |lost: id::View| claim.stamp.is_some_and(|stamp| stamp >= lost);
+        if claim.sole && stored.lost_at.is_some_and(|lost| !generated_after(lost)) {
             return Response::RecordsLost;
         }
         if claim
             .stamp
-            .is_some_and(|stamp| slot.expired_up_to.is_some_and(|dropped| stamp <= dropped))
+            .is_some_and(|stamp| stored.expired_up_to.is_some_and(|expired| stamp <= expired))
         {
             return Response::KeyTooOld;
         }
@@ -202,32 +210,35 @@
         }
         let mut record = claim.record.clone();
         record.written = now;
-        slot.records.insert(claim.key, record);
+        stored.records.insert(claim.key, record);
         self.expiry_queue.push_back((now, self.view, claim.key));
         Response::Granted
     }
 
-    /// What is kept of `key` here.
+    /// The record of `key`, if it is stored here and its shard is complete.
     #[must_use]
     pub fn get(&self, key: Key) -> Option<&Record> {
         match self.shards.get(&key.shard(SHARD_COUNT)) {
-            Some(ShardState::Complete(slot)) => slot.records.get(&key),
+            Some(ShardState::Complete(stored)) => stored.records.get(&key),
             _ => None,
         }
     }
 
-    /// Keeps what became of `key`, if its holder says so.
-    pub fn record_end(&mut self, key: Key, ticket: id::Ticket, holder: &id::Host, fate: Status) {
-        let Some(ShardState::Complete(slot)) = self.shards.get_mut(&key.shard(SHARD_COUNT)) else {
+    /// Records the final status of `key`, if the report comes from the holder of the claim.
+    pub fn record_end(&mut self, key: Key, ticket: id::Ticket, holder: &id::Host, status: Status) {
+        let Some(ShardState::Complete(stored)) = self.shards.get_mut(&key.shard(SHARD_COUNT))
+        else {
             return;
         };
-        let record = slot.records.get_mut(&key);
-        let own = record.filter(|record| record.ticket == ticket && &record.holder == holder);
-        if let Some(record) = own {
-            record.status = fate;
+        let record = stored.records.get_mut(&key);
+        let own_record =
+            record.filter(|record| record.ticket == ticket && &record.holder == holder);
+        if let Some(record) = own_record {
+            record.status = status;
         }
     }
 
+    /// Drops the records that are older than the retention.
     fn expire_records(&mut self, now: Instant) {
         while self
             .expiry_queue
@@ -237,94 +248,94 @@
             let Some((written, view, key)) = self.expiry_queue.pop_front() else {
                 return;
             };
-            let Some(ShardState::Complete(slot)) = self.shards.get_mut(&key.shard(SHARD_COUNT))
+            let Some(ShardState::Complete(stored)) = self.shards.get_mut(&key.shard(SHARD_COUNT))
             else {
                 continue;
             };
-            let same = slot
+            let is_same_record = stored
                 .records
                 .get(&key)
                 .is_some_and(|record| record.written == written);
-            if same && slot.records.remove(&key).is_some() {
-                slot.expired_up_to = slot.expired_up_to.max(Some(view));
+            if is_same_record && stored.records.remove(&key).is_some() {
+                stored.expired_up_to = stored.expired_up_to.max(Some(view));
             }
         }
     }
 
-    /// How many records are kept.
+    /// The number of stored records.
     #[must_use]
     pub fn record_count(&self) -> usize {
         self.expiry_queue.len()
     }
 }
 
-/// # Copies
+/// # Copies of shards
 impl Table {
-    /// The shards that wait for a copy, with the member to ask for each.
+    /// The shards that wait for a copy, each with the member to ask for it.
     #[must_use]
     pub fn pending_copies(&self) -> Vec<(Shard, Member)> {
-        let filling = self.shards.iter().filter_map(|(shard, held)| match held {
+        let filling = self.shards.iter().filter_map(|(shard, state)| match state {
             ShardState::Filling(sources) => sources.first().map(|member| (*shard, member.clone())),
             ShardState::Complete(_) => None,
         });
         filling.collect()
     }
 
-    /// The copy of `shard` for another entry that holds `view`.
+    /// The copy of `shard` for another entry, which has `view`.
     #[must_use]
     pub fn copy_shard(&self, shard: Shard, view: id::View) -> CopyResponse {
         if view != self.view {
             return CopyResponse::ViewMismatch;
         }
         match self.shards.get(&shard) {
-            Some(ShardState::Complete(slot)) => CopyResponse::Complete(slot.clone()),
+            Some(ShardState::Complete(stored)) => CopyResponse::Complete(stored.clone()),
             Some(ShardState::Filling(_)) => CopyResponse::Incomplete,
             None => {
-                let former = self.previous_shards.get(&shard);
-                former.map_or(CopyResponse::Incomplete, |slot| {
-                    CopyResponse::Complete(slot.clone())
+                let previous = self.previous_shards.get(&shard);
+                previous.map_or(CopyResponse::Incomplete, |stored| {
+                    CopyResponse::Complete(stored.clone())
                 })
             }
         }
     }
 
-    /// Takes in the copy of `shard` that `source` gave under `view`.
+    /// Installs a copy of `shard` that another entry sent under `view`.
     pub fn install_copy(
         &mut self,
         shard: Shard,
         view: id::View,
-        mut slot: ShardRecords,
+        mut copy: ShardRecords,
         now: Instant,
     ) {
         let filling = matches!(self.shards.get(&shard), Some(ShardState::Filling(_)));
         if view != self.view || !filling {
             return;
         }
-        slot.loss_noticed = now;
-        for (key, record) in &mut slot.records {
+        copy.loss_noticed = now;
+        for (key, record) in &mut copy.records {
             record.written = now;
             self.expiry_queue.push_back((now, view, *key));
         }
-        self.shards.insert(shard, ShardState::Complete(slot));
+        self.shards.insert(shard, ShardState::Complete(copy));
     }
 
-    /// Passes to the next source of `shard`; where none is left, its records are lost.
+    /// Moves on from `source` to the next source of `shard`; if none is left, records the loss.
     pub fn skip_source(&mut self, shard: Shard, source: &id::Host, now: Instant) {
         let lost = self.lost_state(now);
-        let Some(held) = self.shards.get_mut(&shard) else {
+        let Some(state) = self.shards.get_mut(&shard) else {
             return;
         };
-        let ShardState::Filling(sources) = held else {
+        let ShardState::Filling(sources) = state else {
             return;
         };
         sources.retain(|member| &member.host != source);
         if sources.is_empty() {
-            *held = lost;
+            *state = lost;
         }
     }
 }
 
-/// The answer where `earlier` stands in the way of `claimed`.
+/// The response to a claim with the record `claimed` for a key that has the record `earlier`.
 fn conflict_response(earlier: &Record, claimed: &Record) -> Response {
     let same_claim = earlier.holder == claimed.holder
         && earlier.incarnation == claimed.incarnation
