--- a/crates/core/src/fleet/index.rs
+++ b/crates/core/src/fleet/index.rs
@@ -1,4 +1,4 @@
-//! The servers in an order that finds the best without looking at all.
+//! The backend servers of a service, indexed so that the best one is found without a scan of all.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -20,38 +20,40 @@
 use super::speed::Speed;
 use super::speed::step_to_rate;
 
-/// Servers that are alike: same hall and speed.
+/// A class of equivalent servers: same data hall and speed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ServerClass {
     hall: id::Hall,
     speed: Speed,
 }
 
-/// The servers of a class that have a free slot, by the time until they could begin.
+/// The available servers of a class, as pairs of backlog in microseconds and server index.
 type ReadyOrder = BTreeSet<(u64, usize)>;
 
 /// The backend servers of one service.
 ///
-/// A choice costs time linear in the classes (halls times speeds), not in the servers, and does
-/// not allocate but for the name's reference count; a change of one server is logarithmic.
+/// Picking takes time linear in the classes (halls times speeds), not in the servers, and does not
+/// allocate: the name of the picked server is reference-counted. A change of one server takes
+/// logarithmic time.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     tuning: Tuning,
     servers: Vec<Server>,
     index_by_name: HashMap<id::Server, usize>,
+    /// For each server, its class and its key in `available`; `None` if it is not available.
     order_keys: Vec<Option<(ServerClass, u64)>>,
-    /// Servers with a free slot.
+    /// Live servers with a free slot and a short backlog, by class.
     available: BTreeMap<ServerClass, ReadyOrder>,
     cached_prefixes: CachedPrefixes,
-    /// Live servers by speed.
+    /// Number of live servers by speed.
     live_by_speed: BTreeMap<Speed, usize>,
-    /// Live servers.
+    /// Number of live servers.
     live: usize,
 }
 
-/// # Members
+/// # Servers
 impl Fleet {
-    /// A fleet without servers.
+    /// Creates a fleet without servers.
     #[must_use]
     pub fn new(tuning: Tuning) -> Self {
         Self {
@@ -60,58 +62,59 @@
         }
     }
 
-    /// The numbers behind its choices.
+    /// The parameters of its choices.
     #[must_use]
     pub fn get_tuning(&self) -> &Tuning {
         &self.tuning
     }
 
-    /// Sets which servers take new work; the others keep what runs on them.
+    /// Sets which servers accept new requests. Requests that run on other servers continue there.
     ///
-    /// A server that comes back under its name keeps its rates but not its cache.
+    /// A server that returns under the same name keeps its measured rates, but its cache is assumed to
+    /// be empty.
     pub fn set_servers(&mut self, specs: Vec<Spec>, now: Instant) {
-        let mut stays = vec![false; self.servers.len()];
+        let mut retained = vec![false; self.servers.len()];
         for spec in specs {
-            if let Some(&place) = self.index_by_name.get(&spec.name) {
-                let server = &mut self.servers[place];
+            if let Some(&index) = self.index_by_name.get(&spec.name) {
+                let server = &mut self.servers[index];
                 if !server.live {
-                    self.cached_prefixes.remove_server(place);
+                    self.cached_prefixes.remove_server(index);
                     server.live = true;
                 }
                 server.spec = spec;
-                stays[place] = true;
-                self.reindex(place);
+                retained[index] = true;
+                self.reindex(index);
             } else {
-                let place = self.servers.len();
-                self.index_by_name.insert(spec.name.clone(), place);
+                let index = self.servers.len();
+                self.index_by_name.insert(spec.name.clone(), index);
                 self.servers.push(Server::new(spec, now));
                 self.order_keys.push(None);
-                stays.push(true);
-                self.reindex(place);
+                retained.push(true);
+                self.reindex(index);
             }
         }
-        self.live = stays.iter().filter(|stays| **stays).count();
-        for (place, stays) in stays.into_iter().enumerate() {
-            if !stays {
-                self.servers[place].live = false;
-                self.reindex(place);
+        self.live = retained.iter().filter(|retained| **retained).count();
+        for (index, retained) in retained.into_iter().enumerate() {
+            if !retained {
+                self.servers[index].live = false;
+                self.reindex(index);
             }
         }
     }
 
-    /// The place of the server `name`.
+    /// The index of the server `name`.
     #[must_use]
     pub fn index_of(&self, name: &id::Server) -> Option<usize> {
         self.index_by_name.get(name).copied()
     }
 
-    /// How many servers take new work.
+    /// The number of servers that accept new requests.
     #[must_use]
     pub fn live_count(&self) -> usize {
         self.live
     }
 
-    /// Requests that run on all servers.
+    /// The number of requests that run on all servers together.
     #[must_use]
     pub fn running_count(&self) -> u32 {
         self.servers
@@ -120,19 +123,20 @@
             .sum()
     }
 
-    /// Puts a server where its state says, after any change of it.
-    fn reindex(&mut self, place: usize) {
-        self.update_speed_count(place);
-        if let Some((class, key)) = self.order_keys[place].take()
+    /// Updates the position of a server in the index after a change of its state.
+    fn reindex(&mut self, index: usize) {
+        self.update_speed_count(index);
+        if let Some((class, key)) = self.order_keys[index].take()
             && let Some(order) = self.available.get_mut(&class)
         {
-            order.remove(&(key, place));
+            order.remove(&(key, index));
             if order.is_empty() {
                 self.available.remove(&class);
             }
         }
-        let server = &self.servers[place];
-        // What waits in the queue is still in its order; what waits inside a server is not.
+        let server = &self.servers[index];
+        // Requests in our queue can still be reordered, those waiting inside a server can't: so a
+        // server with a long backlog gets no more of them.
         let full = server.running_requests >= server.spec.slots
             || server.backlog_seconds() > self.tuning.max_backlog_seconds;
         if !server.live || full {
@@ -144,36 +148,36 @@
         };
         let key = micros(server.backlog_seconds());
         let order = self.available.entry(class.clone()).or_default();
-        order.insert((key, place));
-        self.order_keys[place] = Some((class, key));
+        order.insert((key, index));
+        self.order_keys[index] = Some((class, key));
     }
 }
 
 /// # Speeds
 impl Fleet {
-    /// Counts a server under the speed that it has now.
-    fn update_speed_count(&mut self, place: usize) {
-        let server = &mut self.servers[place];
+    /// Counts a server under its current speed.
+    fn update_speed_count(&mut self, index: usize) {
+        let server = &mut self.servers[index];
         let speed = server.live.then(|| server.speed());
-        let former = std::mem::replace(&mut server.counted_speed, speed);
-        if former == speed {
+        let previous = std::mem::replace(&mut server.counted_speed, speed);
+        if previous == speed {
             return;
         }
         if let Some(speed) = speed {
             *self.live_by_speed.entry(speed).or_insert(0) += 1;
         }
-        let Some(former) = former else { return };
-        let left = self.live_by_speed.entry(former).or_insert(1);
-        *left -= 1;
-        if *left == 0 {
-            self.live_by_speed.remove(&former);
+        let Some(previous) = previous else { return };
+        let remaining = self.live_by_speed.entry(previous).or_insert(1);
+        *remaining -= 1;
+        if *remaining == 0 {
+            self.live_by_speed.remove(&previous);
         }
     }
 }
 
-/// # Choice
+/// # Picking a server
 impl Fleet {
-    /// The server on which `work` would end first, if any has a slot for it.
+    /// The available server on which `work` is expected to finish first, if there is one.
     #[must_use]
     pub fn pick(&self, work: &Work) -> Option<Pick> {
         let mut best: Option<(f64, Pick)> = None;
@@ -181,43 +185,46 @@
             self.consider_first(order, work, &mut best);
         }
         for prefix in &work.prefixes {
-            for &place in self.cached_prefixes.holders(*prefix) {
-                if self.order_keys[place].is_some() {
-                    self.consider(place, prefix.length, work, &mut best);
+            for &index in self.cached_prefixes.holders(*prefix) {
+                if self.order_keys[index].is_some() {
+                    self.consider(index, prefix.length, work, &mut best);
                 }
             }
         }
         best.map(|pair| pair.1)
     }
 
+    /// Replaces `best` by the first server of `order` if that is expected to finish earlier.
     fn consider_first(&self, order: &ReadyOrder, work: &Work, best: &mut Option<(f64, Pick)>) {
-        if let Some(&(_, place)) = order.first() {
-            self.consider(place, Tokens(0), work, best);
+        if let Some(&(_, index)) = order.first() {
+            self.consider(index, Tokens(0), work, best);
         }
     }
 
-    fn consider(&self, place: usize, cached: Tokens, work: &Work, best: &mut Option<(f64, Pick)>) {
-        let server = &self.servers[place];
+    /// Replaces `best` by the server at `index`, with `cached` prompt tokens cached there, if that is
+    /// expected to finish earlier.
+    fn consider(&self, index: usize, cached: Tokens, work: &Work, best: &mut Option<(f64, Pick)>) {
+        let server = &self.servers[index];
         let first = server.first_token_seconds(work.prompt.less(cached));
-        let whole = first + server.decode_seconds(work.output);
-        if best.as_ref().is_some_and(|known| known.0 <= whole) {
+        let total = first + server.decode_seconds(work.output);
+        if best.as_ref().is_some_and(|current| current.0 <= total) {
             return;
         }
         let pick = Pick {
-            server_index: place,
+            server_index: index,
             name: server.spec.name.clone(),
             cached,
             estimate: TimeEstimate {
                 first_token: seconds(first),
-                total: seconds(whole),
+                total: seconds(total),
             },
         };
-        *best = Some((whole, pick));
+        *best = Some((total, pick));
     }
 
-    /// The least time in which any live server could answer `work`, if it had nothing else.
+    /// The time in which the fastest live server would respond to `work` if it were idle.
     ///
-    /// Linear in the speeds that there are; right to a tenth.
+    /// Linear in the number of distinct speeds; accurate to a tenth.
     #[must_use]
     pub fn fastest_estimate(&self, work: &Work) -> Option<TimeEstimate> {
         let longest = work
@@ -231,16 +238,16 @@
             (first + output / step_to_rate(speed.decode), first)
         });
         let best = times.min_by(|a, b| a.0.total_cmp(&b.0));
-        best.map(|(whole, first)| TimeEstimate {
+        best.map(|(total, first)| TimeEstimate {
             first_token: seconds(first),
-            total: seconds(whole),
+            total: seconds(total),
         })
     }
 }
 
-/// # Evidence
+/// # Observations
 impl Fleet {
-    /// A request was sent to `pick`.
+    /// Reports that a request was sent to the server of `pick`.
     pub fn on_sent(&mut self, pick: &Pick, work: &Work, now: Instant) {
         let server = &mut self.servers[pick.server_index];
         if server.backlog == Tokens(0) {
@@ -258,7 +265,8 @@
         self.reindex(pick.server_index);
     }
 
-    /// Its first token came `took` after it was sent, or it ended without one (`None`).
+    /// Reports that the first token of a request came `took` after it was sent, or that the request
+    /// ended without one (`None`).
     pub fn on_first_token(
         &mut self,
         pick: &Pick,
@@ -274,15 +282,16 @@
         self.reindex(pick.server_index);
     }
 
-    /// It generated `tokens` in `took`.
-    pub fn on_tokens(&mut self, place: usize, tokens: Tokens, took: Duration) {
+    /// Reports that the server at `index` generated `tokens` for one request in `took`.
+    pub fn on_tokens(&mut self, index: usize, tokens: Tokens, took: Duration) {
         if self.tuning.learn_speed {
-            self.servers[place].on_tokens(tokens, took);
+            self.servers[index].on_tokens(tokens, took);
         }
-        self.reindex(place);
+        self.reindex(index);
     }
 
-    /// It has ended; `cached` is what the server said was cached, if it said so.
+    /// Reports that a request has ended; `cached` is how many prompt tokens the server reported as
+    /// cached, if it reported that.
     pub fn on_ended(&mut self, pick: &Pick, work: &Work, cached: Option<Tokens>) {
         let server = &mut self.servers[pick.server_index];
         server.running_requests = server.running_requests.saturating_sub(1);
@@ -292,7 +301,7 @@
                     self.cached_prefixes.remove(*prefix, pick.server_index);
                 }
             }
-            // What was just computed is there now, whatever was believed before.
+            // The server has just processed this prompt, so it has its prefix cached now.
             if let Some(longest) = work.prefixes.first() {
                 self.cached_prefixes.add(*longest, pick.server_index);
             }
@@ -300,28 +309,28 @@
         self.reindex(pick.server_index);
     }
 
-    /// The server's cache events say that it holds `prefix`, or that it dropped it.
-    pub fn on_cache_event(&mut self, name: &id::Server, prefix: Prefix, holds: bool) {
-        let Some(place) = self.index_of(name) else {
+    /// Reports a cache event of the server `name`: it has stored `prefix`, or dropped it.
+    pub fn on_cache_event(&mut self, name: &id::Server, prefix: Prefix, stored: bool) {
+        let Some(index) = self.index_of(name) else {
             return;
         };
-        if holds {
-            self.cached_prefixes.add(prefix, place);
+        if stored {
+            self.cached_prefixes.add(prefix, index);
         } else {
-            self.cached_prefixes.remove(prefix, place);
+            self.cached_prefixes.remove(prefix, index);
         }
     }
 
-    /// Looks for servers whose first tokens are overdue; linear in the servers.
+    /// Checks all servers for overdue first tokens; linear in the servers.
     pub fn check_overdue(&mut self, now: Instant) {
         if !self.tuning.learn_speed {
             return;
         }
-        for place in 0..self.servers.len() {
-            let before = self.servers[place].slowdown;
-            self.servers[place].check_overdue(now);
-            if (self.servers[place].slowdown - before).abs() > f64::EPSILON {
-                self.reindex(place);
+        for index in 0..self.servers.len() {
+            let before = self.servers[index].slowdown;
+            self.servers[index].check_overdue(now);
+            if (self.servers[index].slowdown - before).abs() > f64::EPSILON {
+                self.reindex(index);
             }
         }
     }
@@ -332,7 +341,7 @@
     (seconds * 1e6) as u64
 }
 
-/// A duration of at most a day.
+/// Converts seconds to a duration, limited to one day.
 fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds.clamp(0.0, 86_400.0))
 }
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! The backend servers of one service, as the owner of its queue knows them: what runs on each,
-//! how fast each is, which prompts each may have cached, and which to choose.
+//! The backend servers of one service, as the owner of its queue sees them: what runs on each, how
+//! fast each is, which prompts each may have cached, and which one to pick for a request.
 
 mod index;
 mod pick;
