--- a/crates/core/src/fleet/pick.rs
+++ b/crates/core/src/fleet/pick.rs
@@ -1,4 +1,4 @@
-//! What is to be placed, and where it was placed.
+//! The request to pick a server for, and the server picked.
 
 use std::time::Duration;
 
@@ -7,35 +7,35 @@
 
 use super::Prefix;
 
-/// A request as the choice of a server sees it.
+/// The properties of a request that the choice of a server depends on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Work {
-    /// Tokens of its prompt.
+    /// Number of tokens of its prompt.
     pub prompt: Tokens,
-    /// Tokens of its answer, expected.
+    /// Expected number of tokens of its response.
     pub output: Tokens,
-    /// Beginnings of its prompt, the longest first.
+    /// Prefixes of its prompt, the longest first.
     pub prefixes: Vec<Prefix>,
 }
 
-/// A server and what to expect of it.
+/// The picked server, with the expected time of the response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pick {
-    /// Its place in the fleet.
+    /// Index of the server in the fleet.
     pub server_index: usize,
-    /// Its name.
+    /// Name of the server.
     pub name: id::Server,
-    /// Prompt tokens believed to be cached there.
+    /// Number of prompt tokens that are expected to be cached there.
     pub cached: Tokens,
-    /// How long it should take.
+    /// Expected time of the response.
     pub estimate: TimeEstimate,
 }
 
-/// How long an answer should take from the moment of sending.
+/// Expected time of a response, counted from when the request is sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TimeEstimate {
-    /// To the first token.
+    /// Time to the first token.
     pub first_token: Duration,
-    /// To the end.
+    /// Time to the end of the response.
     pub total: Duration,
 }
--- a/crates/core/src/fleet/prefix.rs
+++ b/crates/core/src/fleet/prefix.rs
@@ -1,4 +1,4 @@
-//! Which prompts a server may have cached.
+//! Estimates of which prompt prefixes each server has cached.
 
 use std::collections::HashMap;
 
@@ -7,32 +7,32 @@
 
 use crate::unit::Tokens;
 
-/// Servers remembered for one prefix.
+/// Maximum number of servers stored for one prefix.
 const MAX_SERVERS_PER_PREFIX: usize = 4;
 
-/// Prefixes remembered in all.
+/// Maximum number of prefixes stored in total.
 const MAX_PREFIXES: usize = 65_536;
 
-/// The beginning of a prompt.
+/// A prefix of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Prefix {
     /// A hash of its text, and of the customer's name unless the customer shares prefixes.
     pub hash: u64,
-    /// Its length.
+    /// Its length in tokens.
     pub length: Tokens,
 }
 
-/// What is believed of the servers' caches.
+/// The servers that are expected to have each prefix cached.
 ///
-/// A wrong belief costs time only. It is set when a prompt is sent, and taken back when an answer
-/// tells that less was cached than was believed.
+/// A wrong estimate only costs time. An estimate is added when a prompt is sent, and removed when a
+/// response reports fewer cached tokens than expected.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CachedPrefixes {
     holders: HashMap<u64, Vec<usize>>,
 }
 
 impl CachedPrefixes {
-    /// The servers that may hold `prefix`.
+    /// The indexes of the servers that may have `prefix` cached.
     pub(super) fn holders(&self, prefix: Prefix) -> &[usize] {
         self.holders.get(&prefix.hash).map_or(&[], Vec::as_slice)
     }
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Forgets all that is believed of `server`.
+    /// Removes all estimates for `server`.
     pub(super) fn remove_server(&mut self, server: usize) {
         for holders in self.holders.values_mut() {
             holders.retain(|holder| *holder != server);
--- a/crates/core/src/fleet/server.rs
+++ b/crates/core/src/fleet/server.rs
@@ -1,4 +1,4 @@
-//! One backend server: what is set, and what its answers have shown.
+//! One backend server: its configuration, and the rates measured from its responses.
 
 use std::time::Duration;
 
@@ -9,50 +9,50 @@
 
 use super::speed::Speed;
 
-/// How much one observation weighs against those before.
+/// Weight of a new observation in the moving averages of the rates.
 const SMOOTHING_FACTOR: f64 = 0.2;
 
-/// The slowest rate that is believed, in tokens a second.
+/// Lower bound of the measured rates.
 const MIN_TOKENS_PER_SECOND: f64 = 0.5;
 
-/// A multiple of the expected time after which a missing first token counts as evidence.
+/// A server counts as slow if no first token has come for this multiple of the expected time.
 const OVERDUE_FACTOR: f64 = 2.0;
 
-/// Added to the expected time before a first token is overdue: scheduling noise.
+/// Additional time before a first token is overdue, to allow for scheduling noise.
 const OVERDUE_SLACK: Duration = Duration::from_millis(200);
 
-/// What is set for a server.
+/// The configuration of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Spec {
     /// Its name.
     pub name: id::Server,
-    /// The data hall that it stands in.
+    /// Its data hall.
     pub hall: id::Hall,
-    /// Requests that it runs at once.
+    /// How many requests it runs at the same time.
     pub slots: u32,
-    /// Prompt tokens a second, expected.
+    /// Expected number of prompt tokens processed per second.
     pub prefill: Rate,
-    /// Tokens a second for one request, expected.
+    /// Expected number of tokens generated per second for one request.
     pub decode: Rate,
 }
 
-/// A server's state at the owner.
+/// The state of a server, as the owner of the queue sees it.
 #[derive(Clone, Debug)]
 pub(super) struct Server {
     pub(super) spec: Spec,
     pub(super) live: bool,
     pub(super) running_requests: u32,
-    /// Prompt tokens that were sent and whose first token has not come.
+    /// Uncached prompt tokens of the requests that were sent and have no first token yet.
     pub(super) backlog: Tokens,
-    /// Prompt tokens a second, from evidence.
+    /// Measured number of prompt tokens processed per second.
     pub(super) prefill_rate: f64,
-    /// Tokens a second for one request, from evidence.
+    /// Measured number of tokens generated per second for one request.
     pub(super) decode_rate: f64,
-    /// By how much it is slower than its rates say, from first tokens that are overdue.
+    /// Factor by which it is slower than the measured rates, because first tokens are overdue.
     pub(super) slowdown: f64,
-    /// When the backlog was last drained by the first token of something.
+    /// When the last first token of any request came, or the backlog was last empty.
     pub(super) last_progress: Instant,
-    /// Under which speed the fleet has counted it.
+    /// The speed under which the fleet counts it; `None` if it is not live.
     pub(super) counted_speed: Option<Speed>,
 }
 
@@ -71,22 +71,22 @@
         }
     }
 
-    /// Seconds until it could begin another prompt.
+    /// Seconds until it can start to process another prompt.
     pub(super) fn backlog_seconds(&self) -> f64 {
         self.backlog.as_f64() / self.prefill_rate * self.slowdown
     }
 
-    /// Seconds to the first token of `prompt` uncached tokens.
+    /// Seconds to the first token for a prompt of `prompt` uncached tokens.
     pub(super) fn first_token_seconds(&self, prompt: Tokens) -> f64 {
         self.backlog_seconds() + prompt.as_f64() / self.prefill_rate * self.slowdown
     }
 
-    /// Seconds from the first token to the end of `output` tokens.
+    /// Seconds from the first token to the end of a response of `output` tokens.
     pub(super) fn decode_seconds(&self, output: Tokens) -> f64 {
         output.as_f64() / self.decode_rate * self.slowdown
     }
 
-    /// How fast it is now.
+    /// Its current speed, slowdown included.
     pub(super) fn speed(&self) -> Speed {
         Speed::new(
             self.prefill_rate / self.slowdown,
@@ -94,10 +94,11 @@
         )
     }
 
-    /// A first token came `took` after the dispatch, for which `expected` was said.
+    /// Updates the prefill rate from a first token that came `took` after the dispatch instead of the
+    /// `expected` time.
     pub(super) fn on_first_token(&mut self, took: Duration, expected: Duration, now: Instant) {
         let ratio = (took.as_secs_f64() + 0.001) / (expected.as_secs_f64() + 0.001);
-        // Within noise the rate stays; a burst of short prompts says little of the rate.
+        // Differences up to 20 ms are noise: a burst of short prompts says little about the rate.
         if took.abs_diff(expected) > Duration::from_millis(20) {
             let target = self.prefill_rate / ratio.clamp(0.2, 5.0);
             self.prefill_rate += SMOOTHING_FACTOR * (target - self.prefill_rate);
@@ -107,7 +108,7 @@
         self.last_progress = now;
     }
 
-    /// `tokens` came in `took` for one request.
+    /// Updates the decode rate after `tokens` came for one request in `took`.
     pub(super) fn on_tokens(&mut self, tokens: Tokens, took: Duration) {
         if took.is_zero() {
             return;
@@ -117,7 +118,7 @@
         self.decode_rate = self.decode_rate.max(MIN_TOKENS_PER_SECOND);
     }
 
-    /// Looks whether first tokens are overdue.
+    /// Updates the slowdown if first tokens are overdue at `now`.
     pub(super) fn check_overdue(&mut self, now: Instant) {
         if self.backlog == Tokens(0) {
             self.slowdown = 1.0;
@@ -125,11 +126,11 @@
             return;
         }
         let expected = self.backlog.as_f64() / self.prefill_rate;
-        let silent = now
+        let waited = now
             .since(self.last_progress)
             .saturating_sub(OVERDUE_SLACK)
             .as_secs_f64();
-        let ratio = silent / (expected + 0.01);
+        let ratio = waited / (expected + 0.01);
         self.slowdown = if ratio > OVERDUE_FACTOR {
             ratio
         } else {
--- a/crates/core/src/fleet/tuning.rs
+++ b/crates/core/src/fleet/tuning.rs
@@ -1,17 +1,18 @@
-//! The numbers behind the choice of a server, so that each can be measured by itself.
+//! Parameters of the choice of a server.
 
-/// The numbers behind the choice of a server.
+/// Parameters of the choice of a server. Each can be changed by itself to measure its effect.
 ///
-/// The defaults are what docs/design/scheduling.md measured; the ablations there change one each.
+/// docs/design/scheduling.md has the measurements behind the defaults; its ablations change one
+/// parameter each.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tuning {
-    /// Seconds of prompts that may wait inside a server.
+    /// A server with a longer backlog of prompts than this, in seconds, gets no further request.
     pub max_backlog_seconds: f64,
-    /// Whether servers are preferred that may have a prompt cached.
+    /// Whether to track which prefixes each server has cached, and to take that into account.
     pub track_cached_prefixes: bool,
-    /// Whether the speed of a server is learnt from its answers.
+    /// Whether to adjust the speed of a server by its responses.
     pub learn_speed: bool,
-    /// What is added to an expected time before it is held against a limit, as a part of it.
+    /// Fraction by which an expected time is increased before it is compared with a limit.
     pub safety_margin: f64,
 }
 
