--- a/crates/core/src/state/document.rs
+++ b/crates/core/src/state/document.rs
@@ -1,4 +1,4 @@
-//! A document as it is kept and handed out.
+//! Documents, compressed for storage and distribution.
 
 use std::io::Read;
 use std::io::Write;
@@ -15,16 +15,16 @@
 use crate::code::Code;
 use crate::code::Refusal;
 
-/// What the packed form begins with.
+/// Prefix of a compressed document.
 const PACKED_PREFIX: &str = "deflate,base64:";
 
-/// The largest document, in bytes: some thirty thousand routes.
+/// Maximum size of a document: enough for about 30,000 routes.
 pub const MAX_DOCUMENT_BYTES: usize = 8 << 20;
 
-/// A document that is kept to the byte: as it is, or packed where that is shorter.
+/// A document whose text is preserved byte for byte, stored compressed if that is shorter.
 ///
-/// The log, the disks and the links carry it as it is here; a table of 1,400 rules (282,928 bytes) takes
-/// some 15 KB.
+/// The log, the disks and the network use this form: a routing table of 1,400 rules (282,928 bytes)
+/// takes about 15 KB.
 ///
 /// # Examples
 ///
@@ -40,7 +40,7 @@
 pub struct Document(Arc<str>);
 
 impl Document {
-    /// Packs `text`.
+    /// Creates a document from `text`, compressed if that is shorter.
     #[must_use]
     pub fn pack(text: &str) -> Self {
         match deflate(text) {
@@ -51,13 +51,13 @@
         }
     }
 
-    /// What [`Document::as_packed`] gave.
+    /// Creates a document from the stored form that [`Document::as_packed`] returned.
     #[must_use]
     pub fn from_packed(packed: &str) -> Self {
         Self(packed.into())
     }
 
-    /// The packed form.
+    /// The stored form.
     #[must_use]
     pub fn as_packed(&self) -> &str {
         &self.0
@@ -67,21 +67,29 @@
     ///
     /// # Errors
     ///
-    /// [`Code::Damaged`] where it was not packed by [`Document::pack`], or is larger than [`LARGEST`].
+    /// [`Code::Damaged`] if the stored form is invalid, or the text is larger than
+    /// [`MAX_DOCUMENT_BYTES`].
     pub fn unpack(&self) -> Result<String, Refusal> {
         let Some(packed) = self.0.strip_prefix(PACKED_PREFIX) else {
             return Ok(self.0.to_string());
         };
-        let damaged = |why: String| Refusal::new(Code::Damaged, format!("a document: {why}"));
+        let damaged = |error: String| {
+            Refusal::new(
+                Code::Damaged,
+                format!("cannot decompress a document: {error}"),
+            )
+        };
         let bytes = BASE64_STANDARD.decode(packed);
-        let bytes = bytes.map_err(|why| damaged(why.to_string()))?;
+        let bytes = bytes.map_err(|error| damaged(error.to_string()))?;
         let mut text = String::new();
         DeflateDecoder::new(&*bytes)
             .take(MAX_DOCUMENT_BYTES as u64 + 1)
             .read_to_string(&mut text)
-            .map_err(|why| damaged(why.to_string()))?;
+            .map_err(|error| damaged(error.to_string()))?;
         if text.len() > MAX_DOCUMENT_BYTES {
-            return Err(damaged(format!("it has over {MAX_DOCUMENT_BYTES} bytes")));
+            return Err(damaged(format!(
+                "it has more than {MAX_DOCUMENT_BYTES} bytes"
+            )));
         }
         Ok(text)
     }
