--- a/crates/core/src/state/results.rs
+++ b/crates/core/src/state/results.rs
@@ -1,4 +1,4 @@
-//! The numbers of operators' commands, and what was answered to each.
+//! The results of operators' commands, by command number.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -12,82 +12,86 @@
 
 use super::Command;
 
-/// How many answers are kept.
+/// Maximum number of stored results.
 const MAX_RESULTS: usize = 10_000;
 
-/// What was answered to a command.
+/// A command and its result.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommandResult {
-    /// Who gave it.
+    /// The operator who sent it.
     pub operator: id::Operator,
-    /// Its line.
+    /// The text of the command.
     pub line: String,
-    /// The revision that it made, or the reason why it was refused.
+    /// The revision that it created, or the reason why it was refused.
     #[serde(rename = "answer")]
     pub result: Result<id::Revision, Refusal>,
 }
 
-/// The answers to the commands, by number.
+/// The results of commands, by command number.
 ///
-/// A number is answered once: again from the same operator with the same line it gets the first
-/// answer; from another operator, or with another line, a conflict that names the first. Lookup is
-/// logarithmic; memory is bounded by ten thousand lines, the oldest of which go.
+/// A command is executed once per number. If the same operator sends the same line under that
+/// number again, it gets the first result; another operator or another line gets a conflict that
+/// names the first command. Lookup takes logarithmic time. Ten thousand results are stored; beyond
+/// that, the oldest are dropped.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommandResults {
     #[serde(rename = "done")]
     results: BTreeMap<u64, CommandResult>,
     #[serde(rename = "order")]
     insertion_order: VecDeque<u64>,
-    /// The highest number of each operator whose answer is not kept any more.
+    /// For each operator, the highest command number whose result has been dropped.
     #[serde(rename = "dropped")]
     highest_evicted: BTreeMap<id::Operator, u64>,
 }
 
 impl CommandResults {
-    /// The answer to `command`, if its number was used before.
+    /// The result of `command`, if its number was used before.
     #[must_use]
     pub fn get(&self, command: &Command) -> Option<Result<id::Revision, Refusal>> {
-        let Some(done) = self.results.get(&command.number) else {
+        let Some(stored) = self.results.get(&command.number) else {
             return self.reject_evicted(command).map(Err);
         };
-        if done.operator == command.operator && done.line == command.line {
-            return Some(done.result.clone());
+        if stored.operator == command.operator && stored.line == command.line {
+            return Some(stored.result.clone());
         }
-        let (operator, line) = (&done.operator, &done.line);
-        let why = format!(
+        let (operator, line) = (&stored.operator, &stored.line);
+        let message = format!(
             "number {} was used by `{operator}` for: {line}",
             command.number
         );
-        Some(Err(Refusal::new(Code::Conflict, why)))
+        Some(Err(Refusal::new(Code::Conflict, message)))
     }
 
     fn reject_evicted(&self, command: &Command) -> Option<Refusal> {
-        let dropped = self.highest_evicted.get(&command.operator)?;
-        let why = format!(
-            "number {} is too old: its answer is not kept",
+        let highest = self.highest_evicted.get(&command.operator)?;
+        let message = format!(
+            "number {} is too old: its result is no longer stored",
             command.number
         );
-        (command.number <= *dropped).then(|| Refusal::new(Code::Conflict, why))
+        (command.number <= *highest).then(|| Refusal::new(Code::Conflict, message))
     }
 
-    /// Keeps the answer to `command`.
-    pub fn put(&mut self, command: &Command, answer: Result<id::Revision, Refusal>) {
-        let done = CommandResult {
+    /// Stores the result of `command`.
+    pub fn put(&mut self, command: &Command, result: Result<id::Revision, Refusal>) {
+        let stored = CommandResult {
             operator: command.operator.clone(),
             line: command.line.clone(),
-            result: answer,
+            result,
         };
-        self.results.insert(command.number, done);
+        self.results.insert(command.number, stored);
         self.insertion_order.push_back(command.number);
         while self.insertion_order.len() > MAX_RESULTS {
             let Some(number) = self.insertion_order.pop_front() else {
                 return;
             };
-            let Some(done) = self.results.remove(&number) else {
+            let Some(stored) = self.results.remove(&number) else {
                 continue;
             };
-            let dropped = self.highest_evicted.entry(done.operator).or_insert(number);
-            *dropped = (*dropped).max(number);
+            let highest = self
+                .highest_evicted
+                .entry(stored.operator)
+                .or_insert(number);
+            *highest = (*highest).max(number);
         }
     }
 }
