--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -1,4 +1,4 @@
-//! The machine that applies what is committed.
+//! The state machine that applies committed records.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -25,22 +25,24 @@
 use super::Publication;
 use super::Record;
 
-/// How many lines of the audit trail are kept.
+/// Maximum number of entries in the audit trail.
 const MAX_AUDIT_ENTRIES: usize = 10_000;
 
-/// How many steps between revisions are kept, for those who are a little behind.
+/// Maximum number of stored steps between revisions; they update entries that are a few revisions
+/// behind.
 const MAX_RECENT_STEPS: usize = 256;
 
-/// The change that made a revision.
+/// The change that created a revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
-    /// The revision that it made.
+    /// The revision that it created.
     pub revision: id::Revision,
     /// The change, in the operators' language.
     pub line: String,
 }
 
-/// Configuration, ledger, audit trail and view, as one value that every replica computes alike.
+/// The replicated state: configuration, command results, audit trail, view, routing table and the
+/// records of the other features. Every replica computes the same state from the log.
 ///
 /// # Examples
 ///
@@ -93,7 +95,8 @@
     ///
     /// # Errors
     ///
-    /// The reason why a command is refused; the refusal is part of the state.
+    /// The reason why a command or a step of a roll-out is refused. The refusal of a command is part of
+    /// the state.
     pub fn apply(&mut self, record: &Record) -> Result<id::Revision, Refusal> {
         match record {
             Record::Command(command) => self.apply_command(command),
@@ -107,12 +110,12 @@
                 self.apply_publication(publication);
                 Ok(self.snapshot.revision)
             }
-            Record::Shares(parts) => {
-                self.shares = parts.clone();
+            Record::Shares(shares) => {
+                self.shares = shares.clone();
                 Ok(self.snapshot.revision)
             }
-            Record::Standbys(parts) => {
-                self.standbys = parts.clone();
+            Record::Standbys(standbys) => {
+                self.standbys = standbys.clone();
                 Ok(self.snapshot.revision)
             }
             Record::Rollout(step) => {
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Takes up a routing table; one whose number is not above the one in force changes nothing.
+    /// Replaces the routing table; ignores one whose number is not higher than the current one's.
     fn apply_publication(&mut self, publication: &Publication) {
         if publication.number > self.publication.number {
             self.publication = publication.clone();
@@ -140,29 +143,32 @@
     }
 
     fn apply_command(&mut self, command: &Command) -> Result<id::Revision, Refusal> {
-        if let Some(answer) = self.results.get(command) {
-            return answer;
+        if let Some(result) = self.results.get(command) {
+            return result;
         }
-        let answer = self.apply_change(&command.line);
-        self.results.put(command, answer.clone());
+        let result = self.apply_change(&command.line);
+        self.results.put(command, result.clone());
         self.audit.push_back(AuditEntry {
             operator: command.operator.clone(),
             number: command.number,
             revision: self.snapshot.revision,
-            code: answer
+            code: result
                 .as_ref()
-                .map_or_else(|why| why.get_code().number(), |_| 0),
+                .map_or_else(|error| error.get_code().number(), |_| 0),
             line: command.line.clone(),
         });
         if self.audit.len() > MAX_AUDIT_ENTRIES {
             self.audit.pop_front();
         }
-        answer
+        result
     }
 
     fn apply_change(&mut self, line: &str) -> Result<id::Revision, Refusal> {
         let Statement::Change(change) = lang::parse(line)? else {
-            return Err(Refusal::new(Code::Syntax, "only a change is numbered"));
+            return Err(Refusal::new(
+                Code::Syntax,
+                "the command is no change; only changes have a number",
+            ));
         };
         self.snapshot = Arc::new(self.snapshot.apply(&change)?);
         self.recent_steps.push_back(Step {
@@ -176,27 +182,27 @@
     }
 }
 
-/// # What it knows
+/// # Read access
 impl Machine {
-    /// The configuration in force.
+    /// The configuration in effect.
     #[must_use]
     pub fn get_snapshot(&self) -> &Arc<Snapshot> {
         &self.snapshot
     }
 
-    /// The routing table in force; number 0 where none was published.
+    /// The routing table in effect; its number is 0 if none was published.
     #[must_use]
     pub fn get_publication(&self) -> &Publication {
         &self.publication
     }
 
-    /// Which gateways hold a part of the sendings past the first that they may do by themselves.
+    /// The gateways that hold a share of the retries, which they may use without the hub.
     #[must_use]
     pub fn get_shares(&self) -> &Parts {
         &self.shares
     }
 
-    /// Which gateways hold a part of what may be let in without the hub's word.
+    /// The standby gateways: those that hold a share of what may be admitted without the hub.
     #[must_use]
     pub fn get_standbys(&self) -> &Parts {
         &self.standbys
@@ -208,7 +214,7 @@
         &self.rollouts
     }
 
-    /// The requests under which servers ended.
+    /// The quarantine list: requests under which servers crashed.
     #[must_use]
     pub fn get_quarantine(&self) -> &quarantine::List {
         &self.quarantine
@@ -226,17 +232,17 @@
         &self.roster
     }
 
-    /// The view before it.
+    /// The view before the newest one.
     #[must_use]
     pub fn get_previous_roster(&self) -> &Roster {
         &self.previous_roster
     }
 
-    /// The steps that lead from `revision` to the one in force; none where they are not kept.
+    /// The steps from `revision` to the one in effect; `None` if they are not all stored.
     #[must_use]
     pub fn steps_since(&self, revision: id::Revision) -> Option<Vec<Step>> {
-        let missing = usize::try_from(self.snapshot.revision.0.checked_sub(revision.0)?).ok()?;
-        let first = self.recent_steps.len().checked_sub(missing)?;
+        let count = usize::try_from(self.snapshot.revision.0.checked_sub(revision.0)?).ok()?;
+        let first = self.recent_steps.len().checked_sub(count)?;
         Some(self.recent_steps.iter().skip(first).cloned().collect())
     }
 
@@ -245,19 +251,20 @@
         self.audit.iter()
     }
 
-    /// The answer to `command`, if its number was used before.
+    /// The result of `command`, if its number was used before.
     #[must_use]
     pub fn recorded_result(&self, command: &Command) -> Option<Result<id::Revision, Refusal>> {
         self.results.get(command)
     }
 
-    /// Whether `operator`, whose key has the hash `digest`, may ask or change.
+    /// Checks that `operator`, whose key has the hash `digest`, has `right`.
     ///
-    /// Before there is any operator, `root` may do all: the first command creates the first one.
+    /// While the configuration has no operators, `root` has every right, so that it can create the
+    /// first one.
     ///
     /// # Errors
     ///
-    /// [`Code::Forbidden`].
+    /// [`Code::Forbidden`] if the operator or the key is unknown, or the right is missing.
     pub fn authorize(
         &self,
         operator: &id::Operator,
@@ -273,17 +280,17 @@
             .get(operator)
             .filter(|known| bool::from(known.key_hash.as_bytes().ct_eq(digest.as_bytes())));
         let Some(known) = known else {
-            let why = format!("`{operator}` is no operator with that key");
-            return Err(Refusal::new(Code::Forbidden, why));
+            let message = format!("there is no operator `{operator}` with that key");
+            return Err(Refusal::new(Code::Forbidden, message));
         };
         if known.right == Right::Read && right == Right::Write {
-            let why = format!("`{operator}` may ask but not change");
-            return Err(Refusal::new(Code::Forbidden, why));
+            let message = format!("operator `{operator}` may read but not write");
+            return Err(Refusal::new(Code::Forbidden, message));
         }
         Ok(())
     }
 
-    /// The state as bytes, for a snapshot of the log.
+    /// Encodes the state, for a snapshot of the log.
     ///
     /// # Panics
     ///
@@ -293,15 +300,16 @@
         serde_json::to_vec(self).expect("the machine has a JSON form")
     }
 
-    /// Reads what [`Machine::encode`] wrote; no bytes are an empty machine.
+    /// Decodes the result of [`Machine::encode`]; no bytes give an empty machine.
     ///
     /// # Errors
     ///
-    /// [`Code::Damaged`] where the bytes are not a machine.
+    /// [`Code::Damaged`] if the bytes are not an encoded machine.
     pub fn decode(bytes: &[u8]) -> Result<Self, Refusal> {
         if bytes.is_empty() {
             return Ok(Self::default());
         }
-        serde_json::from_slice(bytes).map_err(|why| Refusal::new(Code::Damaged, why.to_string()))
+        serde_json::from_slice(bytes)
+            .map_err(|error| Refusal::new(Code::Damaged, error.to_string()))
     }
 }
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -1,4 +1,5 @@
-//! The machine above the replicated log: configuration, command numbers, audit, view.
+//! The state machine that the replicated log drives: configuration, results of commands, audit
+//! trail, view, routing table and records of the other features.
 
 mod audit;
 mod document;
--- a/crates/core/src/state/record.rs
+++ b/crates/core/src/state/record.rs
@@ -1,4 +1,4 @@
-//! What the log carries for the machine.
+//! The records of the log that the state machine applies.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -15,48 +15,48 @@
 /// An operator's command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
-    /// Who gives it.
+    /// The operator who sends it.
     pub operator: id::Operator,
-    /// Its number, chosen by the operator; the same number again is the same command.
+    /// Its number, chosen by the operator; a command that is sent again has the same number.
     pub number: u64,
-    /// The line, in the operators' language.
+    /// The text of the command, in the operators' language.
     pub line: String,
 }
 
-/// A routing table as it was published: one whole document under a rising number.
+/// A published routing table: one complete document under an increasing number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Publication {
-    /// Its number; the highest is in force.
+    /// Its number; the table with the highest one is in effect.
     pub number: u64,
-    /// The document as it was sent, kept to the byte.
+    /// The document as it was sent, byte for byte.
     pub document: Document,
 }
 
-/// What one entry of the log carries.
+/// The content of one entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// A command.
+    /// A command of an operator.
     Command(Command),
     /// A new view of the entries.
     Roster(Roster),
     /// A routing table.
     Publication(Publication),
-    /// Which gateways hold a part of the sendings past the first that they may do by themselves.
+    /// The gateways that hold a share of the retries, which they may use without the hub.
     #[serde(rename = "Parts")]
     Shares(Parts),
-    /// Which gateways hold a part of what may be let in without the hub's word.
+    /// The standby gateways: those that hold a share of what may be admitted without the hub.
     #[serde(rename = "Deputies")]
     Standbys(Parts),
     /// A step of a roll-out.
     Rollout(rollout::Step),
-    /// Steps of the list of requests under which servers ended.
+    /// Changes of the quarantine list: requests under which servers crashed.
     Quarantine(Vec<quarantine::Step>),
-    /// An order to evacuate a data hall, or to end that.
+    /// An order to start or to end the evacuation of a data hall.
     Evacuation(evacuation::Order),
 }
 
 impl Record {
-    /// The record as the log carries it.
+    /// Encodes the record for the log.
     ///
     /// # Panics
     ///
@@ -66,12 +66,12 @@
         serde_json::to_vec(self).expect("a record has a JSON form")
     }
 
-    /// Reads what [`Record::encode`] wrote.
+    /// Decodes the result of [`Record::encode`].
     ///
     /// # Errors
     ///
-    /// The reader's own words, where the bytes are not a record.
+    /// The message of the JSON parser, if the bytes are not an encoded record.
     pub fn decode(bytes: &[u8]) -> Result<Self, String> {
-        serde_json::from_slice(bytes).map_err(|why| why.to_string())
+        serde_json::from_slice(bytes).map_err(|error| error.to_string())
     }
 }
