--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -1,4 +1,4 @@
-//! Monotonic time as the state machines see it.
+//! Monotonic time for state machines that read no clock themselves.
 
 use std::fmt;
 use std::ops::Add;
@@ -8,9 +8,9 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A moment of one process's monotonic clock, in microseconds since the process began.
+/// A point in time on the monotonic clock of one process, in microseconds since its start.
 ///
-/// Moments of two processes cannot be compared.
+/// Instants of different processes can't be compared.
 ///
 /// # Examples
 ///
@@ -26,7 +26,7 @@
 pub struct Instant(pub u64);
 
 impl Instant {
-    /// How long after `earlier` this is, zero where it is before.
+    /// The time from `earlier` to this instant; zero if `earlier` is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
@@ -36,8 +36,8 @@
 impl Add<Duration> for Instant {
     type Output = Self;
 
-    fn add(self, length: Duration) -> Self {
-        let micros = u64::try_from(length.as_micros()).unwrap_or(u64::MAX);
+    fn add(self, duration: Duration) -> Self {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_add(micros))
     }
 }
@@ -45,9 +45,9 @@
 impl Sub<Duration> for Instant {
     type Output = Self;
 
-    /// The moment before by `length`; no earlier than the clock's beginning.
-    fn sub(self, length: Duration) -> Self {
-        let micros = u64::try_from(length.as_micros()).unwrap_or(u64::MAX);
+    /// The instant that is `duration` earlier, but not before the start of the clock.
+    fn sub(self, duration: Duration) -> Self {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_sub(micros))
     }
 }
--- a/crates/core/src/text.rs
+++ b/crates/core/src/text.rs
@@ -1,6 +1,6 @@
-//! What newtypes of numbers share.
+//! Text conversions of newtypes.
 
-/// Shows and reads a newtype of a `u64` as its number.
+/// Implements `Display` and `FromStr` for a newtype of a number, as that number.
 macro_rules! number_text {
     ($name:ident) => {
         impl std::fmt::Display for $name {
