--- a/crates/core/tests/log_histories.rs
+++ b/crates/core/tests/log_histories.rs
@@ -1,61 +1,72 @@
-//! Seeded histories of a few replicas with losses, cuts, kills and lost disks; the invariants are
-//! checked after every step.
+//! Seeded random histories of three replicas with lost messages, broken links, crashes and lost
+//! disks. The safety of the log is checked after every step: there is one leader in a term, and no
+//! committed entry is lost or replaced.
 //!
-//! `HISTORIES=20000 cargo test -p curlewlift-core --test log_histories` runs longer.
+//! The tests `finds_*` break one rule on purpose, to show that the checks notice it.
+//!
+//! `HISTORIES=20000 cargo test -p curlewlift-core --test log_histories` runs more histories.
 
 mod support;
 
 use support::history;
 use support::history::Flaw;
 
-/// Histories in CI.
-const COUNT: u64 = 4_000;
+/// Number of histories unless `HISTORIES` sets another.
+const DEFAULT_HISTORIES: u64 = 4_000;
 
-/// Steps of one history.
-const STEPS: usize = 2_500;
+/// Number of steps in one history.
+const STEPS_PER_HISTORY: usize = 2_500;
 
-fn count() -> u64 {
+fn history_count() -> u64 {
     let text = std::env::var("HISTORIES").ok();
-    text.and_then(|text| text.parse().ok()).unwrap_or(COUNT)
+    text.and_then(|text| text.parse().ok())
+        .unwrap_or(DEFAULT_HISTORIES)
 }
 
 #[test]
-fn keeps_promises() {
+fn log_is_safe() {
     let mut commits = 0;
-    for seed in 0..count() {
-        match history::run(seed, STEPS, Flaw::None) {
+    for seed in 0..history_count() {
+        match history::run(seed, STEPS_PER_HISTORY, Flaw::None) {
             Ok(history) => commits += history.committed(),
             Err(why) => panic!("seed {seed}: {why}"),
         }
     }
     assert!(
-        commits as u64 > 5 * count(),
-        "the histories do something: {commits} commits"
+        commits as u64 > 5 * history_count(),
+        "the histories committed too few entries: {commits}"
     );
 }
 
-/// The first seed that finds a deliberate breakage.
-fn finds(flaw: Flaw) -> u64 {
-    let found = (0..COUNT).find(|seed| history::run(*seed, STEPS, flaw).is_err());
-    found.unwrap_or_else(|| panic!("{flaw:?} was not found in {COUNT} histories"))
+/// The first seed whose history detects `flaw`.
+fn first_failing_seed(flaw: Flaw) -> u64 {
+    let seed =
+        (0..DEFAULT_HISTORIES).find(|seed| history::run(*seed, STEPS_PER_HISTORY, flaw).is_err());
+    seed.unwrap_or_else(|| panic!("{flaw:?} was not found in {DEFAULT_HISTORIES} histories"))
 }
 
 #[test]
 fn finds_double_vote() {
-    println!("double vote: seed {}", finds(Flaw::DoubleVote));
+    println!("double vote: seed {}", first_failing_seed(Flaw::DoubleVote));
 }
 
 #[test]
-fn finds_early_answer() {
-    println!("early answer: seed {}", finds(Flaw::EarlyAnswer));
+fn finds_early_sync_report() {
+    println!(
+        "early sync report: seed {}",
+        first_failing_seed(Flaw::EarlySyncReport)
+    );
 }
 
 #[test]
 fn finds_old_disk() {
-    println!("old disk: seed {}", finds(Flaw::OldDisk));
+    println!("old disk: seed {}", first_failing_seed(Flaw::OldDisk));
 }
 
 #[test]
 fn finds_early_learner() {
-    println!("early learner: seed {}", finds(Flaw::EarlyLearner));
+    println!(
+        "early learner: seed {}",
+        first_failing_seed(Flaw::EarlyLearner)
+    );
 }
--- a/crates/core/tests/support/history.rs
+++ b/crates/core/tests/support/history.rs
@@ -1,4 +1,4 @@
-//! A few replicas, their disks and a bag of messages, driven by seeded steps.
+//! Replicas, their disks and the messages in flight, driven by seeded random steps.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,42 +23,42 @@
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
 
-/// Hosts; the first founds, the others join.
+/// Number of hosts; the first founds the log, the others join.
 const HOSTS: usize = 3;
 
-/// A rule that is broken on purpose, to see that the checks find it.
+/// A rule that is broken on purpose, to show that the checks notice it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Flaw {
-    /// All rules are kept.
+    /// No rule is broken.
     None,
     /// A replica forgets its vote when it restarts.
     DoubleVote,
-    /// A disk says that it has synced before it has.
-    EarlyAnswer,
-    /// A blank disk comes back under the identity of the one that was lost.
+    /// A disk reports that it has synced before it has.
+    EarlySyncReport,
+    /// A lost disk is replaced by a blank one under the same identity.
     OldDisk,
-    /// A replica counts before it is whole.
+    /// A learner becomes a voter before it has caught up.
     EarlyLearner,
 }
 
-/// One step of a history; numbers pick among what there is.
+/// One step of a history. The numbers select a host, a message or a duration.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Deliver(usize),
     Drop(usize),
-    Double(usize),
+    Duplicate(usize),
     Tick(u64),
     Sync(usize),
     Crash(usize),
     Start(usize),
     Restart(usize),
-    Lose(usize),
-    Cut(usize, usize),
-    Heal,
+    LoseDisk(usize),
+    BreakLink(usize, usize),
+    HealLinks,
     Propose(usize),
     Join(usize),
     Promote,
-    Expel(usize),
+    Remove(usize),
     Compact(usize),
 }
 
@@ -69,128 +69,131 @@
         match u8::arbitrary(g) {
             0..=133 => Self::Deliver(pick),
             134..=136 => Self::Drop(pick),
-            137..=139 => Self::Double(pick),
+            137..=139 => Self::Duplicate(pick),
             140..=169 => Self::Tick(1 + pick as u64 % 60),
             170 => Self::Tick(600 + pick as u64 % 600),
             171..=215 => Self::Sync(pick),
             216 => Self::Crash(pick),
             217 => Self::Restart(pick),
             218..=224 => Self::Start(pick),
-            225 if pick % 4 == 0 => Self::Lose(pick / 4),
-            226..=227 => Self::Cut(pick, other),
-            228..=231 => Self::Heal,
+            225 if pick % 4 == 0 => Self::LoseDisk(pick / 4),
+            226..=227 => Self::BreakLink(pick, other),
+            228..=231 => Self::HealLinks,
             232..=241 => Self::Propose(pick),
             242..=247 => Self::Join(pick),
             248..=253 => Self::Promote,
-            254 if pick % 4 == 0 => Self::Expel(pick / 4),
+            254 if pick % 4 == 0 => Self::Remove(pick / 4),
             _ => Self::Compact(pick),
         }
     }
 }
 
 impl Step {
-    /// The step as the history's kind has it: one in three is rich in elections, one in cuts.
-    fn under(self, seed: u64) -> Self {
+    /// The step as it is run in the history of `seed`: a third of the histories has more elections,
+    /// and another third has more broken links.
+    fn adapted_to(self, seed: u64) -> Self {
         match (seed % 3, self) {
-            (1, Self::Double(pick)) => Self::Restart(pick),
-            (1, Self::Heal | Self::Drop(_)) => Self::Tick(1_300),
+            (1, Self::Duplicate(pick)) => Self::Restart(pick),
+            (1, Self::HealLinks | Self::Drop(_)) => Self::Tick(1_300),
             (1, Self::Propose(pick)) if pick % 2 == 0 => Self::Restart(pick / 2),
-            (1, Self::Cut(..)) => Self::Heal,
-            (2, Self::Double(pick)) => Self::Cut(pick, pick / HOSTS),
+            (1, Self::BreakLink(..)) => Self::HealLinks,
+            (2, Self::Duplicate(pick)) => Self::BreakLink(pick, pick / HOSTS),
             (_, step) => step,
         }
     }
 }
 
-/// A host: its disk, what was written but not synced, and the replica while it runs.
+/// A host: its disk, writes that are not synced yet, and the replica while it runs.
 struct Node {
     host: Host,
     disk: SavedState,
-    written: Vec<(SyncId, Vec<Write>)>,
+    unsynced: Vec<(SyncId, Vec<Write>)>,
     replica: Option<Replica>,
     applied: Index,
 }
 
-/// A history so far.
+/// The state of a history.
 pub(crate) struct History {
     nodes: Vec<Node>,
-    bag: Vec<Message>,
-    cuts: Vec<(usize, usize)>,
+    in_flight: Vec<Message>,
+    broken_links: Vec<(usize, usize)>,
     now: Instant,
     seed: u64,
-    draws: u64,
+    drawn_numbers: u64,
     flaw: Flaw,
     leaders: BTreeMap<Term, Host>,
     committed: BTreeMap<Index, Entry>,
 }
 
-/// Runs the history of `seed`; the error says which promise was broken.
+/// Runs the history of `seed`; the error says which property was violated.
 pub(crate) fn run(seed: u64, steps: usize, flaw: Flaw) -> Result<History, String> {
     let mut history = History::new(seed, flaw);
     let mut g = Gen::from_size_and_seed(100, seed);
     for number in 0..steps {
-        let step = Step::arbitrary(&mut g).under(seed);
-        let told = format!("step {number} {step:?}");
-        history.take(step).map_err(|why| format!("{told}: {why}"))?;
-        history.check().map_err(|why| format!("{told}: {why}"))?;
+        let step = Step::arbitrary(&mut g).adapted_to(seed);
+        let context = format!("step {number} {step:?}");
+        history
+            .run_step(step)
+            .map_err(|why| format!("{context}: {why}"))?;
+        history.check().map_err(|why| format!("{context}: {why}"))?;
     }
     Ok(history)
 }
 
 impl History {
     fn new(seed: u64, flaw: Flaw) -> Self {
-        let hosts = (0..HOSTS).map(|place| format!("c{place}").parse().expect("a name"));
+        let hosts = (0..HOSTS).map(|index| format!("c{index}").parse().expect("valid name"));
         let hosts: Vec<Host> = hosts.collect();
-        let node = |place: usize| Node {
-            host: hosts[place].clone(),
-            disk: first_disk(&hosts, place, seed % 3 == 1),
-            written: Vec::new(),
+        let node = |index: usize| Node {
+            host: hosts[index].clone(),
+            disk: first_disk(&hosts, index, seed % 3 == 1),
+            unsynced: Vec::new(),
             replica: None,
             applied: Index(0),
         };
         let mut history = Self {
             nodes: (0..HOSTS).map(node).collect(),
-            bag: Vec::new(),
-            cuts: Vec::new(),
+            in_flight: Vec::new(),
+            broken_links: Vec::new(),
             now: Instant::default(),
             seed,
-            draws: HOSTS as u64,
+            drawn_numbers: HOSTS as u64,
             flaw,
             leaders: BTreeMap::new(),
             committed: BTreeMap::new(),
         };
-        for place in 0..HOSTS {
+        for index in 0..HOSTS {
             history
-                .start(place)
+                .start(index)
                 .expect("a fresh replica breaks nothing");
         }
         history
     }
 
-    /// Entries that were committed.
+    /// Number of committed entries.
     pub(crate) fn committed(&self) -> usize {
         self.committed.len()
     }
 
-    fn draw(&mut self) -> u64 {
-        self.draws += 1;
-        self.draws
+    fn next_number(&mut self) -> u64 {
+        self.drawn_numbers += 1;
+        self.drawn_numbers
     }
 
-    fn take(&mut self, step: Step) -> Result<(), String> {
+    fn run_step(&mut self, step: Step) -> Result<(), String> {
         match step {
             Step::Deliver(pick) => self.deliver(pick, false),
-            Step::Double(pick) => self.deliver(pick, true),
+            Step::Duplicate(pick) => self.deliver(pick, true),
             Step::Drop(pick) => {
-                if !self.bag.is_empty() {
-                    self.bag.swap_remove(pick % self.bag.len());
+                if !self.in_flight.is_empty() {
+                    self.in_flight.swap_remove(pick % self.in_flight.len());
                 }
                 Ok(())
             }
             Step::Tick(millis) => {
                 self.now = self.now + Duration::from_millis(millis);
                 let now = self.now;
-                self.each(|replica| replica.tick(now))
+                self.at_each(|replica| replica.tick(now))
             }
             Step::Sync(pick) => self.sync(pick % HOSTS),
             Step::Crash(pick) => {
@@ -202,90 +205,90 @@
                 self.start(pick % HOSTS)
             }
             Step::Start(pick) => self.start(pick % HOSTS),
-            Step::Lose(pick) => {
-                self.lose(pick % HOSTS);
+            Step::LoseDisk(pick) => {
+                self.lose_disk(pick % HOSTS);
                 Ok(())
             }
-            Step::Cut(a, b) => {
-                self.cuts.push((a % HOSTS, b % HOSTS));
+            Step::BreakLink(a, b) => {
+                self.broken_links.push((a % HOSTS, b % HOSTS));
                 Ok(())
             }
-            Step::Heal => {
-                self.cuts.clear();
+            Step::HealLinks => {
+                self.broken_links.clear();
                 Ok(())
             }
             Step::Propose(pick) => {
-                let data = self.draw().to_be_bytes().to_vec();
+                let data = self.next_number().to_be_bytes().to_vec();
                 let now = self.now;
                 self.at(pick % HOSTS, |replica| drop(replica.propose(data, now)))
             }
             Step::Join(pick) => self.join(pick % HOSTS),
             Step::Promote => self.promote(),
-            Step::Expel(pick) => {
+            Step::Remove(pick) => {
                 let host = self.nodes[pick % HOSTS].host.clone();
                 let now = self.now;
-                self.each(|replica| drop(replica.remove(&host, now)))
+                self.at_each(|replica| drop(replica.remove(&host, now)))
             }
             Step::Compact(pick) => self.at(pick % HOSTS, |replica| replica.compact(vec![1])),
         }
     }
 
     fn deliver(&mut self, pick: usize, keep: bool) -> Result<(), String> {
-        if self.bag.is_empty() {
+        if self.in_flight.is_empty() {
             return Ok(());
         }
-        // Mostly the oldest, sometimes any.
-        let place = if pick.is_multiple_of(4) {
-            (pick / 4) % self.bag.len()
+        // Usually the oldest message, sometimes any.
+        let index = if pick.is_multiple_of(4) {
+            (pick / 4) % self.in_flight.len()
         } else {
             0
         };
         let message = if keep {
-            self.bag[place].clone()
+            self.in_flight[index].clone()
         } else {
-            self.bag.remove(place)
+            self.in_flight.remove(index)
         };
         let find = |host: &Host| self.nodes.iter().position(|node| &node.host == host);
         let (Some(from), Some(to)) = (find(&message.from), find(&message.to)) else {
             return Ok(());
         };
-        if self.cuts.contains(&(from, to)) {
+        if self.broken_links.contains(&(from, to)) {
             return Ok(());
         }
         let mut message = message;
         if self.flaw == Flaw::EarlyLearner {
-            self.lie(to, &mut message);
+            self.forge_reply(to, &mut message);
         }
         let now = self.now;
         self.at(to, |replica| replica.receive(message, now))
     }
 
-    fn sync(&mut self, place: usize) -> Result<(), String> {
-        let node = &mut self.nodes[place];
-        let Some((sync, _)) = node.written.last() else {
+    fn sync(&mut self, index: usize) -> Result<(), String> {
+        let node = &mut self.nodes[index];
+        let Some((sync, _)) = node.unsynced.last() else {
             return Ok(());
         };
         let sync = *sync;
-        for (_, writes) in std::mem::take(&mut node.written) {
+        for (_, writes) in std::mem::take(&mut node.unsynced) {
             for write in writes {
                 node.disk.apply(write);
             }
         }
         let now = self.now;
-        self.at(place, |replica| replica.on_synced(sync, now))
+        self.at(index, |replica| replica.on_synced(sync, now))
     }
 
-    /// What was written and not synced is gone.
-    fn crash(&mut self, place: usize) {
-        let node = &mut self.nodes[place];
+    /// Stops the replica; writes that are not synced are lost.
+    fn crash(&mut self, index: usize) {
+        let node = &mut self.nodes[index];
         node.replica = None;
-        node.written.clear();
+        node.unsynced.clear();
     }
 
-    fn start(&mut self, place: usize) -> Result<(), String> {
-        let seed = self.seed * 1_000 + self.draw();
+    fn start(&mut self, index: usize) -> Result<(), String> {
+        let seed = self.seed * 1_000 + self.next_number();
         let now = self.now;
-        let node = &mut self.nodes[place];
+        let node = &mut self.nodes[index];
         if node.replica.is_some() {
             return Ok(());
         }
@@ -296,37 +299,37 @@
         node.applied = saved.snapshot.index;
         let replica = Replica::new(node.host.clone(), saved, Timing::default(), seed, now);
         node.replica = Some(replica);
-        self.at(place, |_| {})
+        self.at(index, |_| {})
     }
 
-    /// The disk is lost; the host comes back with a blank one.
-    fn lose(&mut self, place: usize) {
-        let fresh = Disk(self.draw());
-        let node = &mut self.nodes[place];
+    /// Replaces the disk by a blank one; the replica stops.
+    fn lose_disk(&mut self, index: usize) {
+        let new_disk = Disk(self.next_number());
+        let node = &mut self.nodes[index];
         let old = node.disk.hard_state.disk;
         node.replica = None;
-        node.written.clear();
+        node.unsynced.clear();
         let disk = if self.flaw == Flaw::OldDisk {
             old
         } else {
-            fresh
+            new_disk
         };
         node.disk = Replica::blank_state(disk);
         if self.flaw == Flaw::OldDisk {
-            // Such a disk would claim its place: it knows the members as they were.
-            node.disk.hard_state.boot = 1_000 + fresh.0;
+            // Such a disk claims to be a member: it has the replica set as of the founding.
+            node.disk.hard_state.boot = 1_000 + new_disk.0;
             node.disk.entries = Replica::founding_state(&node.host, old).entries;
         }
     }
 
-    /// A replica that is no member asks every leader to be taken in; a leader first takes out the
-    /// replica that its host had on a lost disk.
-    fn join(&mut self, place: usize) -> Result<(), String> {
-        let node = &self.nodes[place];
+    /// A replica that is no member asks every leader to be admitted. A leader first removes the
+    /// replica that the same host had on a lost disk.
+    fn join(&mut self, index: usize) -> Result<(), String> {
+        let node = &self.nodes[index];
         let host = node.host.clone();
         let disk = node.disk.hard_state.disk;
         let now = self.now;
-        self.each(|replica| {
+        self.at_each(|replica| {
             let other = replica
                 .members()
                 .get(&host)
@@ -341,15 +344,15 @@
 
     fn promote(&mut self) -> Result<(), String> {
         let now = self.now;
-        self.each(|replica| {
+        self.at_each(|replica| {
             for host in replica.caught_up_learners() {
                 drop(replica.promote(&host, now));
             }
         })
     }
 
-    /// Makes a replica that is not whole say that it has everything.
-    fn lie(&self, to: usize, message: &mut Message) {
+    /// Makes a replica that lacks entries report that it has everything.
+    fn forge_reply(&self, to: usize, message: &mut Message) {
         let Some(leader) = &self.nodes[to].replica else {
             return;
         };
@@ -361,40 +364,46 @@
         }
     }
 
-    fn each(&mut self, mut event: impl FnMut(&mut Replica)) -> Result<(), String> {
-        (0..HOSTS).try_for_each(|place| self.at(place, &mut event))
+    fn at_each(&mut self, mut event: impl FnMut(&mut Replica)) -> Result<(), String> {
+        (0..HOSTS).try_for_each(|index| self.at(index, &mut event))
     }
 
-    /// One event at one replica, and what follows from it.
-    fn at(&mut self, place: usize, event: impl FnOnce(&mut Replica)) -> Result<(), String> {
+    /// Runs one event at one replica, and handles its output.
+    fn at(&mut self, index: usize, event: impl FnOnce(&mut Replica)) -> Result<(), String> {
         let now = self.now;
-        let node = &mut self.nodes[place];
+        let node = &mut self.nodes[index];
         let Some(replica) = &mut node.replica else {
             return Ok(());
         };
         event(replica);
         let output = replica.take_output();
         if let Some(sync) = output.sync {
-            node.written.push((sync, output.writes));
-            if self.flaw == Flaw::EarlyAnswer {
+            node.unsynced.push((sync, output.writes));
+            if self.flaw == Flaw::EarlySyncReport {
                 replica.on_synced(sync, now);
             }
         }
-        self.bag.extend(output.sends);
+        self.in_flight.extend(output.sends);
         if let Some(snapshot) = output.install {
             node.applied = snapshot.index;
         }
         for entry in output.commits {
             node.applied = node.applied.next();
             if entry.index != node.applied {
-                return Err(format!("{} applied {} out of turn", node.host, entry.index));
+                return Err(format!(
+                    "{} applied {} out of order",
+                    node.host, entry.index
+                ));
             }
             let first = self
                 .committed
                 .entry(entry.index)
                 .or_insert_with(|| entry.clone());
             if *first != entry {
-                return Err(format!("two entries were committed at {}", entry.index));
+                return Err(format!(
+                    "two different entries were committed at {}",
+                    entry.index
+                ));
             }
         }
         Ok(())
@@ -424,25 +433,26 @@
                 .last_key_value()
                 .is_some_and(|last| *last.0 == term);
             if newest {
-                has_all(replica, &self.committed)?;
+                has_all_committed(replica, &self.committed)?;
             }
         }
         Ok(())
     }
 }
 
-/// What a disk holds at first: one replica founds and the others join, or all are there already.
-fn first_disk(hosts: &[Host], place: usize, all: bool) -> SavedState {
-    let disk = |place: usize| Disk(place as u64 + 1);
-    if !all && place > 0 {
-        return Replica::blank_state(disk(place));
+/// The initial disk of a host. If `all`, every host is a member from the start; otherwise the first
+/// one founds the log and the others join.
+fn first_disk(hosts: &[Host], index: usize, all: bool) -> SavedState {
+    let disk = |index: usize| Disk(index as u64 + 1);
+    if !all && index > 0 {
+        return Replica::blank_state(disk(index));
     }
     let mut saved = Replica::founding_state(&hosts[0], disk(0));
-    saved.hard_state.disk = disk(place);
+    saved.hard_state.disk = disk(index);
     if all {
-        let member = |place: usize| Member {
-            host: hosts[place].clone(),
-            disk: disk(place),
+        let member = |index: usize| Member {
+            host: hosts[index].clone(),
+            disk: disk(index),
             voter: true,
         };
         let members = Members((0..hosts.len()).map(member).collect());
@@ -451,15 +461,15 @@
     saved
 }
 
-/// Whether the newest leader has everything that was committed.
-fn has_all(leader: &Replica, committed: &BTreeMap<Index, Entry>) -> Result<(), String> {
-    let kept = leader.entries();
+/// Checks that the newest leader has every committed entry.
+fn has_all_committed(leader: &Replica, committed: &BTreeMap<Index, Entry>) -> Result<(), String> {
+    let entries = leader.entries();
     let from = leader.snapshot().index;
     for (index, entry) in committed.range(from.next()..) {
         let offset = usize::try_from(index.0 - from.0 - 1).unwrap_or(usize::MAX);
-        if kept.get(offset) != Some(entry) {
+        if entries.get(offset) != Some(entry) {
             return Err(format!(
-                "the leader {} has lost what was committed at {index}",
+                "the leader {} has lost the entry committed at {index}",
                 leader.get_host()
             ));
         }
