--- a/crates/core/tests/replica_upkeep.rs
+++ b/crates/core/tests/replica_upkeep.rs
@@ -1,4 +1,5 @@
-//! The replica set where replicas are taken in as they ask: growth, lost disks, lost hosts.
+//! Maintenance of the replica set if replicas are admitted on request: growth, lost disks and
+//! replaced hosts.
 
 mod support;
 
@@ -13,34 +14,34 @@
 use curlewlift_core::log::SavedState;
 
 use support::replicas::Node;
-use support::replicas::go_on;
+use support::replicas::run_steps;
 
-/// How many replicas a deployment that bears one lost disk wants.
-const WANTED: usize = 3;
+/// The number of voters that tolerates one lost disk.
+const TARGET_VOTERS: usize = 3;
 
-/// Replicas, the leader's upkeep, and the time.
-struct Set {
+/// Replicas, the leader's maintainer, and the time.
+struct Cluster {
     nodes: Vec<Node>,
-    upkeep: Maintainer,
+    maintainer: Maintainer,
     leader: Option<Host>,
     now: Instant,
 }
 
-impl Set {
-    /// A founder; the others join it.
-    fn found() -> Self {
-        let host: Host = "c0".parse().expect("a name");
+impl Cluster {
+    /// A cluster with only the founder; others join it.
+    fn with_founder() -> Self {
+        let host: Host = "c0".parse().expect("valid name");
         let now = Instant::default();
         let founder = Node::new("c0", Replica::founding_state(&host, Disk(100)), 1, now);
         Self {
             nodes: vec![founder],
-            upkeep: Maintainer::new(WANTED),
+            maintainer: Maintainer::new(TARGET_VOTERS),
             leader: None,
             now,
         }
     }
 
-    /// A replica with a blank disk starts on `host`.
+    /// Starts a replica with a blank disk on `host`.
     fn join(&mut self, host: &str, disk: u64) {
         self.start(host, Replica::blank_state(Disk(disk)));
     }
@@ -50,129 +51,137 @@
         self.nodes.push(Node::new(host, disk, seed, self.now));
     }
 
-    /// A replica is gone; gives its disk.
+    /// Stops the replica on `host`; returns its disk.
     fn stop(&mut self, host: &str) -> SavedState {
-        let place = self
+        let index = self
             .nodes
             .iter()
             .position(|node| node.replica.get_host().as_str() == host);
-        self.nodes.remove(place.expect("it runs")).disk
+        self.nodes.remove(index.expect("a running replica")).disk
     }
 
-    /// Time passes; whoever is no member asks to be taken in, and the leader tends the set.
-    fn go_on(&mut self, time: Duration) {
+    /// Lets `time` pass. Replicas that are no members ask to be admitted, and the leader maintains
+    /// the set.
+    fn run_for(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
-            go_on(&mut self.nodes, &mut self.now, 1);
-            self.tend();
+            run_steps(&mut self.nodes, &mut self.now, 1);
+            self.run_maintainer();
         }
     }
 
-    fn tend(&mut self) {
+    fn run_maintainer(&mut self) {
         let now = self.now;
-        let leads = |node: &Node| {
+        let is_leader = |node: &Node| {
             node.replica.has_committed_in_term() && node.replica.reaches_majority(now)
         };
-        let Some(place) = self.nodes.iter().position(leads) else {
+        let Some(index) = self.nodes.iter().position(is_leader) else {
             return;
         };
-        let asking = self.nodes.iter().map(|node| &node.replica);
-        let asking: Vec<_> = asking
+        let candidates = self.nodes.iter().map(|node| &node.replica);
+        let candidates: Vec<_> = candidates
             .map(|replica| (replica.get_host().clone(), replica.get_disk()))
             .collect();
-        let replica = &mut self.nodes[place].replica;
+        let replica = &mut self.nodes[index].replica;
         if self.leader.as_ref() != Some(replica.get_host()) {
             self.leader = Some(replica.get_host().clone());
-            self.upkeep = Maintainer::new(WANTED);
+            self.maintainer = Maintainer::new(TARGET_VOTERS);
         }
-        for (host, disk) in asking {
-            // One change at a time: who is put off asks again.
-            let _ = self.upkeep.admit(replica, &host, disk, now);
+        for (host, disk) in candidates {
+            // There is one change at a time; a replica that is refused asks again.
+            let _ = self.maintainer.admit(replica, &host, disk, now);
         }
-        self.upkeep.maintain(replica, now);
+        self.maintainer.maintain(replica, now);
     }
 
-    /// The hosts that count, by the leader's word; none where nobody surely leads.
+    /// The hosts of the voters as the leader knows them; `None` if no replica is certain to lead.
     fn voters(&self) -> Option<Vec<String>> {
-        let leads = |node: &&Node| {
+        let is_leader = |node: &&Node| {
             node.replica.get_role() == Role::Leader && node.replica.reaches_majority(self.now)
         };
-        let leader = self.nodes.iter().find(leads)?;
+        let leader = self.nodes.iter().find(is_leader)?;
         let members = leader.replica.members();
-        let mut voters: Vec<_> = members.voters().map(|one| one.host.to_string()).collect();
+        let mut voters: Vec<_> = members
+            .voters()
+            .map(|member| member.host.to_string())
+            .collect();
         voters.sort();
         Some(voters)
     }
 }
 
-fn names(names: &[&str]) -> Vec<String> {
-    names.iter().map(|name| (*name).to_owned()).collect()
+fn host_names(host_names: &[&str]) -> Vec<String> {
+    host_names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-fn three() -> Set {
-    let mut set = Set::found();
-    set.join("c1", 101);
-    set.join("c2", 102);
-    set.go_on(Duration::from_secs(4));
-    assert_eq!(set.voters(), Some(names(&["c0", "c1", "c2"])));
-    set
+fn three_voters() -> Cluster {
+    let mut cluster = Cluster::with_founder();
+    cluster.join("c1", 101);
+    cluster.join("c2", 102);
+    cluster.run_for(Duration::from_secs(4));
+    assert_eq!(cluster.voters(), Some(host_names(&["c0", "c1", "c2"])));
+    cluster
 }
 
 #[test]
-fn three_grow() {
-    three();
+fn grows_to_three() {
+    three_voters();
 }
 
 #[test]
 fn lost_disk() {
-    let mut set = three();
-    set.stop("c2");
-    set.go_on(Duration::from_secs(2));
-    set.join("c2", 202);
-    set.go_on(Duration::from_secs(4));
-    assert_eq!(set.voters(), Some(names(&["c0", "c1", "c2"])));
+    let mut cluster = three_voters();
+    cluster.stop("c2");
+    cluster.run_for(Duration::from_secs(2));
+    cluster.join("c2", 202);
+    cluster.run_for(Duration::from_secs(4));
+    assert_eq!(cluster.voters(), Some(host_names(&["c0", "c1", "c2"])));
 }
 
 #[test]
 fn replaced_host() {
-    let mut set = three();
-    set.stop("c2");
-    set.go_on(Duration::from_secs(1));
-    set.join("c3", 103);
-    set.go_on(Duration::from_secs(4));
-    assert_eq!(set.voters(), Some(names(&["c0", "c1", "c3"])));
+    let mut cluster = three_voters();
+    cluster.stop("c2");
+    cluster.run_for(Duration::from_secs(1));
+    cluster.join("c3", 103);
+    cluster.run_for(Duration::from_secs(4));
+    assert_eq!(cluster.voters(), Some(host_names(&["c0", "c1", "c3"])));
 }
 
-/// The new host came before the old one went, so four counted; then the old one went for good, a
-/// second one lost its disk, and the rest lost power.
+/// A new host joins before the old one stops, so there are four voters. Then the old one stops for
+/// good, another one loses its disk, and the remaining two lose power. With four voters left in the
+/// set, those two would be no majority.
 #[test]
 fn planned_replacement() {
-    let mut set = three();
-    set.join("c3", 103);
-    set.go_on(Duration::from_secs(2));
-    assert_eq!(set.voters(), Some(names(&["c0", "c1", "c2", "c3"])));
-    set.stop("c2");
-    set.go_on(Duration::from_secs(4));
+    let mut cluster = three_voters();
+    cluster.join("c3", 103);
+    cluster.run_for(Duration::from_secs(2));
+    assert_eq!(
+        cluster.voters(),
+        Some(host_names(&["c0", "c1", "c2", "c3"]))
+    );
+    cluster.stop("c2");
+    cluster.run_for(Duration::from_secs(4));
     assert_eq!(
-        set.voters(),
-        Some(names(&["c0", "c1", "c3"])),
-        "three are wanted"
+        cluster.voters(),
+        Some(host_names(&["c0", "c1", "c3"])),
+        "the fourth voter was not removed"
     );
-    let kept: Vec<_> = ["c0", "c3"].map(|host| (host, set.stop(host))).into();
-    set.stop("c1");
-    for (host, disk) in kept {
-        set.start(host, disk);
+    let saved: Vec<_> = ["c0", "c3"].map(|host| (host, cluster.stop(host))).into();
+    cluster.stop("c1");
+    for (host, disk) in saved {
+        cluster.start(host, disk);
     }
-    set.join("c1", 201);
-    set.go_on(Duration::from_secs(8));
-    assert_eq!(set.voters(), Some(names(&["c0", "c1", "c3"])));
+    cluster.join("c1", 201);
+    cluster.run_for(Duration::from_secs(8));
+    assert_eq!(cluster.voters(), Some(host_names(&["c0", "c1", "c3"])));
 }
 
-/// Two of three are never fewer than wanted: a silent one stays a member until another comes.
+/// An unreachable replica stays a voter until another one replaces it, as the set has no surplus.
 #[test]
-fn silent_stays() {
-    let mut set = three();
-    set.stop("c2");
-    set.go_on(Duration::from_secs(10));
-    assert_eq!(set.voters(), Some(names(&["c0", "c1", "c2"])));
+fn unreachable_stays() {
+    let mut cluster = three_voters();
+    cluster.stop("c2");
+    cluster.run_for(Duration::from_secs(10));
+    assert_eq!(cluster.voters(), Some(host_names(&["c0", "c1", "c2"])));
 }
--- a/crates/core/tests/support/replicas.rs
+++ b/crates/core/tests/support/replicas.rs
@@ -1,4 +1,4 @@
-//! Replicas in one thread, with perfect disks and links.
+//! Replicas in one thread, with reliable disks and links.
 
 use std::time::Duration;
 
@@ -18,13 +18,13 @@
 
 impl Node {
     pub(crate) fn new(host: &str, disk: SavedState, seed: u64, now: Instant) -> Self {
-        let host: Host = host.parse().expect("a name");
+        let host: Host = host.parse().expect("valid name");
         let replica = Replica::new(host, disk.clone(), Timing::default(), seed, now);
         Self { replica, disk }
     }
 
-    /// Writes and syncs what there is to write; gives what there is to send.
-    pub(crate) fn settle(&mut self, now: Instant) -> Vec<Message> {
+    /// Writes and syncs all output; returns the messages to send.
+    pub(crate) fn drain_output(&mut self, now: Instant) -> Vec<Message> {
         let mut sends = Vec::new();
         loop {
             let output = self.replica.take_output();
@@ -42,23 +42,23 @@
     }
 }
 
-/// Lets time pass and delivers everything, in order.
-pub(crate) fn go_on(nodes: &mut [Node], now: &mut Instant, steps: u32) {
+/// Runs `steps` steps of 20 ms, and delivers all messages in order.
+pub(crate) fn run_steps(nodes: &mut [Node], now: &mut Instant, steps: u32) {
     for _ in 0..steps {
         *now = *now + Duration::from_millis(20);
-        let mut bag = Vec::new();
+        let mut in_flight = Vec::new();
         for node in nodes.iter_mut() {
             node.replica.tick(*now);
-            bag.extend(node.settle(*now));
+            in_flight.extend(node.drain_output(*now));
         }
-        while !bag.is_empty() {
-            let message = bag.remove(0);
+        while !in_flight.is_empty() {
+            let message = in_flight.remove(0);
             for node in nodes
                 .iter_mut()
                 .filter(|node| node.replica.get_host() == &message.to)
             {
                 node.replica.receive(message.clone(), *now);
-                bag.extend(node.settle(*now));
+                in_flight.extend(node.drain_output(*now));
             }
         }
     }
--- a/crates/core/tests/sure_reads.rs
+++ b/crates/core/tests/sure_reads.rs
@@ -1,4 +1,5 @@
-//! A leader that has been replaced without knowing must not answer as the newest.
+//! A leader that has been replaced without noticing must not confirm that it still leads, since a
+//! read from it would be stale.
 
 mod support;
 
@@ -11,77 +12,77 @@
 use curlewlift_core::log::Role;
 
 use support::replicas::Node;
-use support::replicas::go_on;
+use support::replicas::run_steps;
 
-/// Three that count; the first one leads.
-fn three() -> (Vec<Node>, Instant) {
+/// Three voters; the first one leads.
+fn three_voters() -> (Vec<Node>, Instant) {
     let mut now = Instant::default();
-    let founder: Host = "c0".parse().expect("a name");
+    let founder: Host = "c0".parse().expect("valid name");
     let mut nodes = vec![Node::new(
         "c0",
         Replica::founding_state(&founder, Disk(1)),
         1,
         now,
     )];
-    for place in 1..3_u64 {
-        let host: Host = format!("c{place}").parse().expect("a name");
-        let disk = Disk(place + 1);
+    for index in 1..3_u64 {
+        let host: Host = format!("c{index}").parse().expect("valid name");
+        let disk = Disk(index + 1);
         nodes.push(Node::new(
             host.as_str(),
             Replica::blank_state(disk),
-            place + 1,
+            index + 1,
             now,
         ));
-        go_on(&mut nodes, &mut now, 60);
+        run_steps(&mut nodes, &mut now, 60);
         nodes[0].replica.admit(&host, disk, now).expect("admitted");
-        go_on(&mut nodes, &mut now, 20);
+        run_steps(&mut nodes, &mut now, 20);
         nodes[0].replica.promote(&host, now).expect("whole");
-        go_on(&mut nodes, &mut now, 20);
+        run_steps(&mut nodes, &mut now, 20);
     }
     (nodes, now)
 }
 
 #[test]
 fn confirmed_by_round() {
-    let (mut nodes, mut now) = three();
-    let asked = now + Duration::from_millis(1);
-    assert!(!nodes[0].replica.is_confirmed_since(asked));
-    go_on(&mut nodes, &mut now, 20);
-    assert!(nodes[0].replica.is_confirmed_since(asked));
+    let (mut nodes, mut now) = three_voters();
+    let read_time = now + Duration::from_millis(1);
+    assert!(!nodes[0].replica.is_confirmed_since(read_time));
+    run_steps(&mut nodes, &mut now, 20);
+    assert!(nodes[0].replica.is_confirmed_since(read_time));
 }
 
-/// The leader hears one replica only. That one starts anew, has forgotten that it heard the leader,
-/// and elects the third, while the leader still counts on it.
+/// The leader reaches only one replica. That replica restarts, so it no longer knows that it had a
+/// leader, and elects the third one, while the former leader still relies on its responses.
 #[test]
-fn replaced_unheard() {
-    let (mut nodes, mut now) = three();
+fn replaced_unnoticed() {
+    let (mut nodes, mut now) = three_voters();
     let mut third = vec![nodes.remove(2)];
-    go_on(&mut third, &mut now, 1);
-    let mut old = vec![nodes.remove(0)];
-    // The leader and the second go on without the third, which hears nobody.
-    let mut pair = vec![old.remove(0), nodes.remove(0)];
-    go_on(&mut pair, &mut now, 100);
+    run_steps(&mut third, &mut now, 1);
+    let mut former = vec![nodes.remove(0)];
+    // The leader and the second replica continue without the third one, which is isolated.
+    let mut pair = vec![former.remove(0), nodes.remove(0)];
+    run_steps(&mut pair, &mut now, 100);
     let mut leader = pair.remove(0);
     let second = pair.remove(0);
     let restarted = Node::new("c1", second.disk, 77, now);
     let mut others = vec![restarted, third.remove(0)];
-    let cut = now;
-    let mut replaced = None;
-    while replaced.is_none() && now.since(cut) < Duration::from_secs(5) {
-        go_on(&mut others, &mut now, 1);
+    let partition_start = now;
+    let mut new_leader = None;
+    while new_leader.is_none() && now.since(partition_start) < Duration::from_secs(5) {
+        run_steps(&mut others, &mut now, 1);
         leader.replica.tick(now);
-        let _ = leader.settle(now);
-        replaced = others
+        let _ = leader.drain_output(now);
+        new_leader = others
             .iter()
             .position(|node| node.replica.get_role() == Role::Leader);
     }
-    assert!(replaced.is_some(), "another leads");
-    let asked = now;
-    assert!(!leader.replica.is_confirmed_since(asked));
+    assert!(new_leader.is_some(), "no other replica was elected");
+    let read_time = now;
+    assert!(!leader.replica.is_confirmed_since(read_time));
     for _ in 0..100 {
-        go_on(&mut others, &mut now, 1);
+        run_steps(&mut others, &mut now, 1);
         leader.replica.tick(now);
-        let _ = leader.settle(now);
-        assert!(!leader.replica.is_confirmed_since(asked));
+        let _ = leader.drain_output(now);
+        assert!(!leader.replica.is_confirmed_since(read_time));
     }
 }
