--- a/crates/core/tests/support/members.rs
+++ b/crates/core/tests/support/members.rs
@@ -1,14 +1,14 @@
-//! Members of views for tests.
+//! Members of views.
 
 use curlewlift_core::view::Member;
 
-/// The member on the host `e` and its place, in one of three halls.
-pub(crate) fn member(place: usize, incarnation: u64) -> Member {
-    let address = format!("127.0.0.1:{}", 7_000 + place);
+/// The member on the host `e` plus `index`, in one of three data halls.
+pub(crate) fn member(index: usize, incarnation: u64) -> Member {
+    let address = format!("127.0.0.1:{}", 7_000 + index);
     let address = address.parse().expect("an address");
     Member {
-        host: format!("e{place}").parse().expect("a name"),
-        hall: format!("h{}", place % 3).parse().expect("a name"),
+        host: format!("e{index}").parse().expect("valid name"),
+        hall: format!("h{}", index % 3).parse().expect("valid name"),
         rpc: address,
         http: address,
         incarnation,
--- a/crates/core/tests/view_histories.rs
+++ b/crates/core/tests/view_histories.rs
@@ -1,5 +1,5 @@
-//! Seeded histories of leases under late messages, deaths, drifting clocks and new leaders: no two
-//! entries ever act under two views at once (rows M3, M6, M7, S10).
+//! Leases and views under late messages, crashes, drifting clocks and new leaders, in seeded random
+//! histories: no two entries may ever act under different views at the same time.
 
 mod support;
 
@@ -24,23 +24,23 @@
 
 use support::members::member;
 
-const ENTRIES: usize = 5;
-const COUNT: u64 = 1_000;
-const STEPS: usize = 1_500;
+const ENTRY_COUNT: usize = 5;
+const HISTORY_COUNT: u64 = 1_000;
+const STEPS_PER_HISTORY: usize = 1_500;
 
-/// Whether a holder that acts after its lease is let through.
+/// A rule that is broken on purpose, to show that the checks notice it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Flaw {
     None,
     IgnoreLease,
 }
 
-/// A clock that runs a little fast or slow.
+/// A clock that runs slightly fast or slow.
 #[derive(Clone, Copy)]
-struct Drift(u64);
+struct DriftingClock(u64);
 
-impl Drift {
-    /// What it shows at `micros` of true time: 98 to 102 in a hundred.
+impl DriftingClock {
+    /// Its time after `micros` of real time: 98 to 102 percent of that.
     fn at(self, micros: u64) -> Instant {
         Instant(micros / 1_000 * (980 + self.0 % 41))
     }
@@ -48,11 +48,11 @@
 
 struct Entry {
     holder: Holder,
-    clock: Drift,
+    clock: DriftingClock,
     alive: bool,
 }
 
-enum Mail {
+enum Message {
     Renewal(usize, u64, Renewal, Instant),
     Grant(usize, u64, Grant, Instant),
 }
@@ -60,22 +60,22 @@
 struct History {
     machine: Machine,
     grantor: Grantor,
-    clock: Drift,
+    clock: DriftingClock,
     entries: Vec<Entry>,
-    mail: Vec<Mail>,
+    in_flight: Vec<Message>,
     time: u64,
     incarnations: u64,
     flaw: Flaw,
-    acted: u64,
+    acting_count: u64,
 }
 
 fn machine() -> Machine {
     let mut machine = Machine::default();
-    for place in 0..ENTRIES {
-        let line = format!("create host e{place} role=entry hall=a rpc=127.0.0.1:{place}");
+    for index in 0..ENTRY_COUNT {
+        let line = format!("create host e{index} role=entry hall=a rpc=127.0.0.1:{index}");
         let command = Command {
-            operator: "root".parse().expect("a name"),
-            number: place as u64,
+            operator: "root".parse().expect("valid name"),
+            number: index as u64,
             line,
         };
         machine.apply(&Record::Command(command)).expect("a host");
@@ -85,94 +85,94 @@
 
 impl History {
     fn new(flaw: Flaw) -> Self {
-        let entry = |place: usize| Entry {
-            holder: Holder::new(member(place, place as u64)),
-            clock: Drift(place as u64 * 10),
+        let entry = |index: usize| Entry {
+            holder: Holder::new(member(index, index as u64)),
+            clock: DriftingClock(index as u64 * 10),
             alive: true,
         };
         Self {
             machine: machine(),
             grantor: Grantor::new(Lease::default(), Instant::default()),
-            clock: Drift(20),
-            entries: (0..ENTRIES).map(entry).collect(),
-            mail: Vec::new(),
+            clock: DriftingClock(20),
+            entries: (0..ENTRY_COUNT).map(entry).collect(),
+            in_flight: Vec::new(),
             time: 1,
             incarnations: 100,
             flaw,
-            acted: 0,
+            acting_count: 0,
         }
     }
 
     fn step(&mut self, g: &mut Gen) {
         let pick = usize::arbitrary(g);
         match u8::arbitrary(g) {
-            0..=59 => self.ask(pick % ENTRIES),
+            0..=59 => self.send_renewal(pick % ENTRY_COUNT),
             60..=189 => self.deliver(pick),
             190..=229 => self.time += 1_000 * (pick as u64 % 200),
-            230..=231 => self.entries[pick % ENTRIES].alive = false,
-            232..=234 => self.restart(pick % ENTRIES),
+            230..=231 => self.entries[pick % ENTRY_COUNT].alive = false,
+            232..=234 => self.restart(pick % ENTRY_COUNT),
             235 => self.grantor = Grantor::new(Lease::default(), self.clock.at(self.time)),
             236 => {
-                let place = pick % self.mail.len().max(1);
-                if place < self.mail.len() {
-                    self.mail.remove(place);
+                let index = pick % self.in_flight.len().max(1);
+                if index < self.in_flight.len() {
+                    self.in_flight.remove(index);
                 }
             }
-            _ => self.tend(),
+            _ => self.propose_roster(),
         }
     }
 
-    fn ask(&mut self, place: usize) {
-        let entry = &self.entries[place];
+    fn send_renewal(&mut self, index: usize) {
+        let entry = &self.entries[index];
         if entry.alive {
-            let asked = entry.clock.at(self.time);
+            let sent_at = entry.clock.at(self.time);
             let incarnation = entry.holder.get_member().incarnation;
-            self.mail.push(Mail::Renewal(
-                place,
+            self.in_flight.push(Message::Renewal(
+                index,
                 incarnation,
                 entry.holder.renewal(),
-                asked,
+                sent_at,
             ));
         }
     }
 
     fn deliver(&mut self, pick: usize) {
-        if self.mail.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let place = if pick.is_multiple_of(8) {
-            pick / 8 % self.mail.len()
+        let index = if pick.is_multiple_of(8) {
+            pick / 8 % self.in_flight.len()
         } else {
             0
         };
-        match self.mail.remove(place) {
-            Mail::Renewal(entry, incarnation, renewal, asked) => {
+        match self.in_flight.remove(index) {
+            Message::Renewal(entry, incarnation, renewal, sent_at) => {
                 let now = self.clock.at(self.time);
                 let grant = self
                     .grantor
                     .renew(&renewal, &self.machine, now)
                     .expect("it is known");
-                self.mail
-                    .push(Mail::Grant(entry, incarnation, grant, asked));
+                self.in_flight
+                    .push(Message::Grant(entry, incarnation, grant, sent_at));
             }
-            Mail::Grant(entry, incarnation, grant, asked) => {
+            Message::Grant(entry, incarnation, grant, sent_at) => {
                 let entry = &mut self.entries[entry];
                 if entry.alive && entry.holder.get_member().incarnation == incarnation {
-                    entry.holder.on_grant(grant, asked);
+                    entry.holder.on_grant(grant, sent_at);
                 }
             }
         }
     }
 
-    /// The host's process starts anew, whether the former one had ended or not.
-    fn restart(&mut self, place: usize) {
+    /// Restarts the process of the host, whether the former one had ended or not.
+    fn restart(&mut self, index: usize) {
         self.incarnations += 1;
-        let entry = &mut self.entries[place];
-        entry.holder = Holder::new(member(place, self.incarnations));
+        let entry = &mut self.entries[index];
+        entry.holder = Holder::new(member(index, self.incarnations));
         entry.alive = true;
     }
 
-    fn tend(&mut self) {
+    fn propose_roster(&mut self) {
         let now = self.clock.at(self.time);
         if let Some(roster) = self.grantor.propose_roster(&self.machine, now) {
             self.machine
@@ -181,7 +181,7 @@
         }
     }
 
-    fn acting(&self, entry: &Entry) -> Option<Arc<Roster>> {
+    fn usable_roster_of(&self, entry: &Entry) -> Option<Arc<Roster>> {
         let now = match self.flaw {
             Flaw::None => entry.clock.at(self.time),
             Flaw::IgnoreLease => Instant::default(),
@@ -191,8 +191,10 @@
 
     fn check(&mut self) -> Result<(), String> {
         let alive = self.entries.iter().filter(|entry| entry.alive);
-        let views: Vec<_> = alive.filter_map(|entry| self.acting(entry)).collect();
-        self.acted += views.len() as u64;
+        let views: Vec<_> = alive
+            .filter_map(|entry| self.usable_roster_of(entry))
+            .collect();
+        self.acting_count += views.len() as u64;
         let same = views
             .windows(2)
             .all(|pair| pair[0].number == pair[1].number);
@@ -200,7 +202,7 @@
         if same {
             Ok(())
         } else {
-            Err(format!("entries act under the views {numbers:?}"))
+            Err(format!("entries act under different views: {numbers:?}"))
         }
     }
 }
@@ -208,31 +210,37 @@
 fn run(seed: u64, flaw: Flaw) -> Result<u64, String> {
     let mut g = Gen::from_size_and_seed(100, seed);
     let mut history = History::new(flaw);
-    for number in 0..STEPS {
+    for number in 0..STEPS_PER_HISTORY {
         history.step(&mut g);
         history
             .check()
             .map_err(|why| format!("step {number}: {why}"))?;
     }
-    Ok(history.acted)
+    Ok(history.acting_count)
 }
 
 #[test]
-fn one_view() {
-    let acted: u64 = (0..COUNT)
-        .map(|seed| run(seed, Flaw::None).expect("one view"))
+fn single_active_view() {
+    let acting_count: u64 = (0..HISTORY_COUNT)
+        .map(|seed| run(seed, Flaw::None).expect("a single active view"))
         .sum();
-    assert!(acted > COUNT * STEPS as u64 / 4, "the entries act: {acted}");
+    assert!(
+        acting_count > HISTORY_COUNT * STEPS_PER_HISTORY as u64 / 4,
+        "the entries acted too rarely: {acting_count}"
+    );
 }
 
 #[test]
 fn finds_ignored_lease() {
-    let found = (0..COUNT).find(|seed| run(*seed, Flaw::IgnoreLease).is_err());
-    println!("ignored lease: seed {}", found.expect("it is found"));
+    let found = (0..HISTORY_COUNT).find(|seed| run(*seed, Flaw::IgnoreLease).is_err());
+    println!(
+        "ignored lease: seed {}",
+        found.expect("a history that detects it")
+    );
 }
 
 #[test]
-fn cut_off() {
+fn lease_expires() {
     let mut holder = Holder::new(member(0, 1));
     let roster = Roster {
         number: curlewlift_core::id::View(1),
@@ -246,23 +254,23 @@
         lease: Some(Duration::from_secs(2)),
         update: Update::None,
     };
-    let asked = Instant(1_000_000);
-    holder.on_grant(grant, asked);
+    let sent_at = Instant(1_000_000);
+    holder.on_grant(grant, sent_at);
     assert!(
         holder
-            .usable_roster(asked + Duration::from_millis(1_999))
+            .usable_roster(sent_at + Duration::from_millis(1_999))
             .is_some()
     );
     assert!(
         holder
-            .usable_roster(asked + Duration::from_secs(2))
+            .usable_roster(sent_at + Duration::from_secs(2))
             .is_none(),
-        "it counts from the asking"
+        "the lease must run from the time of the request"
     );
 }
 
 #[test]
-fn never_older() {
+fn no_older_revision() {
     let Ok(Statement::Change(change)) = lang::parse("create tier a rank=0") else {
         panic!("a change");
     };
@@ -288,18 +296,18 @@
     assert_eq!(
         holder.get_snapshot().as_ref(),
         &second,
-        "a late answer does not turn it back"
+        "a late response replaced a newer configuration"
     );
 }
 
 #[test]
-fn by_steps() {
+fn update_by_steps() {
     let mut machine = machine();
     let mut grantor = Grantor::new(Lease::default(), Instant::default());
     let mut holder = Holder::new(member(0, 1));
     for number in 0..400 {
         let command = Command {
-            operator: "root".parse().expect("a name"),
+            operator: "root".parse().expect("valid name"),
             number: 1_000 + number,
             line: format!("create service s{number} model=m{number}"),
         };
@@ -309,51 +317,55 @@
             let grant = grantor
                 .renew(&holder.renewal(), &machine, now)
                 .expect("it is known");
-            let whole = matches!(grant.update, Update::Snapshot(_));
-            assert_eq!(whole, number == 0, "steps, but for the first time");
+            let is_snapshot = matches!(grant.update, Update::Snapshot(_));
+            assert_eq!(
+                is_snapshot,
+                number == 0,
+                "all but the first update must be steps"
+            );
             holder.on_grant(grant.clone(), now);
             holder.on_grant(grant, now);
             assert_eq!(holder.get_snapshot(), machine.get_snapshot());
         }
     }
-    let mut late = Holder::new(member(1, 2));
+    let mut late_holder = Holder::new(member(1, 2));
     let grant = grantor
-        .renew(&late.renewal(), &machine, Instant(500))
+        .renew(&late_holder.renewal(), &machine, Instant(500))
         .expect("it is known");
-    late.on_grant(grant, Instant(500));
-    assert_eq!(late.get_snapshot(), machine.get_snapshot());
+    late_holder.on_grant(grant, Instant(500));
+    assert_eq!(late_holder.get_snapshot(), machine.get_snapshot());
 }
 
 #[test]
-fn taken_up_first() {
+fn activated_before_next() {
     let mut machine = machine();
     let mut grantor = Grantor::new(Lease::default(), Instant::default());
-    let mut holders: Vec<_> = (0..3).map(|place| Holder::new(member(place, 1))).collect();
+    let mut holders: Vec<_> = (0..3).map(|index| Holder::new(member(index, 1))).collect();
     let renew = |grantor: &mut Grantor, holder: &mut Holder, machine: &Machine, now: u64| {
         let grant = grantor.renew(&holder.renewal(), machine, Instant(now));
         holder.on_grant(grant.expect("it is known"), Instant(now));
     };
     let propose = |grantor: &mut Grantor, machine: &mut Machine, now: u64| {
         let next = grantor.propose_roster(machine, Instant(now));
-        let some = next.is_some();
+        let proposed = next.is_some();
         if let Some(roster) = next {
             machine
                 .apply(&Record::Roster(roster))
                 .expect("a view is taken");
         }
-        some
+        proposed
     };
     renew(&mut grantor, &mut holders[0], &machine, 1);
     assert!(propose(&mut grantor, &mut machine, 2));
     renew(&mut grantor, &mut holders[1], &machine, 3);
     assert!(
         !propose(&mut grantor, &mut machine, 4),
-        "the first has not taken its view up"
+        "no new view before the first entry has activated its view"
     );
     renew(&mut grantor, &mut holders[0], &machine, 5);
     assert!(
         !propose(&mut grantor, &mut machine, 6),
-        "nor told that it has"
+        "no new view before the first entry has reported the activation"
     );
     renew(&mut grantor, &mut holders[0], &machine, 7);
     assert!(propose(&mut grantor, &mut machine, 8));
@@ -366,12 +378,12 @@
     renew(&mut grantor, &mut holders[2], &machine, 21);
     assert!(
         !propose(&mut grantor, &mut machine, 22),
-        "a copy is not whole"
+        "no new view while an entry has incomplete shards"
     );
-    let late = 2_200_000;
-    renew(&mut grantor, &mut holders[1], &machine, late);
+    let after_expiry = 2_200_000;
+    renew(&mut grantor, &mut holders[1], &machine, after_expiry);
     assert!(
-        propose(&mut grantor, &mut machine, late + 1),
-        "but a death does not wait"
+        propose(&mut grantor, &mut machine, after_expiry + 1),
+        "a lost member must be replaced although shards are incomplete"
     );
 }
--- a/crates/core/tests/view_maps.rs
+++ b/crates/core/tests/view_maps.rs
@@ -1,4 +1,4 @@
-//! The maps that follow from a view: owners of services and replicas of shards.
+//! Assignment of services to owners and of shards to replicas.
 
 mod support;
 
@@ -13,12 +13,12 @@
 fn roster(count: usize) -> Roster {
     Roster {
         number: id::View(1),
-        members: (0..count).map(|place| member(place, 1)).collect(),
+        members: (0..count).map(|index| member(index, 1)).collect(),
     }
 }
 
-fn service(place: usize) -> id::Service {
-    format!("s{place}").parse().expect("a name")
+fn service(index: usize) -> id::Service {
+    format!("s{index}").parse().expect("valid name")
 }
 
 #[test]
@@ -35,14 +35,14 @@
 }
 
 #[test]
-fn little_moves() {
+fn few_services_move() {
     let before = roster(12);
     let mut after = before.clone();
-    let gone = after.members.remove(5);
-    for place in 0..200 {
-        let owner = before.owner(&service(place)).expect("an owner");
-        let next = after.owner(&service(place)).expect("an owner");
-        assert!(owner.host == next.host || owner.host == gone.host);
+    let removed = after.members.remove(5);
+    for index in 0..200 {
+        let owner = before.owner(&service(index)).expect("an owner");
+        let new_owner = after.owner(&service(index)).expect("an owner");
+        assert!(owner.host == new_owner.host || owner.host == removed.host);
     }
 }
 
@@ -54,26 +54,31 @@
     one_hall
         .members
         .iter_mut()
-        .for_each(|m| m.hall = "h".parse().expect("a name"));
+        .for_each(|member| member.hall = "h".parse().expect("valid name"));
     assert_eq!(one_hall.replicas(id::Shard(1)).len(), REPLICAS_PER_SHARD);
 }
 
 #[test]
-fn set_aside() {
+fn preferred_owners() {
     let mut roster = roster(12);
     for member in &mut roster.members {
         member.owns = member.host.as_str() == "e3" || member.host.as_str() == "e4";
     }
-    let owner =
-        |roster: &Roster, place| roster.owner(&service(place)).expect("one").host.to_string();
-    let owners: BTreeSet<_> = (0..50).map(|place| owner(&roster, place)).collect();
+    let owner = |roster: &Roster, index| {
+        roster
+            .owner(&service(index))
+            .expect("an owner")
+            .host
+            .to_string()
+    };
+    let owners: BTreeSet<_> = (0..50).map(|index| owner(&roster, index)).collect();
     assert_eq!(owners, BTreeSet::from(["e3".to_owned(), "e4".to_owned()]));
-    for place in [3, 4] {
-        roster.members[place].leaving = true;
+    for index in [3, 4] {
+        roster.members[index].leaving = true;
     }
-    let owners: BTreeSet<_> = (0..50).map(|place| owner(&roster, place)).collect();
+    let owners: BTreeSet<_> = (0..50).map(|index| owner(&roster, index)).collect();
     assert!(
         owners.len() > 5,
-        "where no such entry is left all own: {owners:?}"
+        "without preferred owners, any entry may own a service: {owners:?}"
     );
 }
