--- a/crates/core/tests/claim_histories.rs
+++ b/crates/core/tests/claim_histories.rs
@@ -1,11 +1,11 @@
-//! Seeded histories of claims under deaths, restarts, late views and copies: a key that may never
-//! be repeated is dispatched at most once (rows D1, D2, D10).
+//! Claims under crashes, restarts, late views and copies of shards, in seeded random histories: a
+//! key whose request must never run twice is dispatched at most once.
 
 #![allow(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "figures for people, far below where it matters"
+    reason = "counts far below the precision of the target types"
 )]
 
 mod support;
@@ -30,31 +30,31 @@
 
 use support::members::member;
 
-const ENTRIES: usize = 5;
-const COUNT: u64 = 500;
-const STEPS: usize = 600;
+const ENTRY_COUNT: usize = 5;
+const HISTORY_COUNT: u64 = 500;
+const STEPS_PER_HISTORY: usize = 600;
 
-/// Rules that are broken on purpose.
+/// A rule that is broken on purpose, to show that the checks notice it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Flaw {
     None,
-    /// One replica is enough.
+    /// A request is dispatched with the grant of one replica only.
     OneReplica,
-    /// A replica that is being filled answers as if it were whole.
+    /// A replica that still waits for its copy grants claims.
     EarlyCopy,
 }
 
 struct Entry {
     member: Member,
     table: Table,
-    /// Under which view it acts.
-    acting: Option<id::View>,
+    /// The view under which it acts.
+    active_view: Option<id::View>,
     alive: bool,
 }
 
-/// A claim on its way.
+/// A claim that is being sent to the replicas one after the other.
 #[derive(Clone)]
-struct Flight {
+struct PendingClaim {
     holder: usize,
     incarnation: u64,
     ticket: id::Ticket,
@@ -68,7 +68,7 @@
     roster: Roster,
     previous: Roster,
     active: bool,
-    flights: Vec<Flight>,
+    pending_claims: Vec<PendingClaim>,
     dispatched: BTreeMap<id::Key, u32>,
     incarnations: u64,
     tickets: u64,
@@ -81,12 +81,12 @@
 
 impl History {
     fn new(flaw: Flaw) -> Self {
-        let entries = (0..ENTRIES).map(|place| {
-            let member = member(place, place as u64);
+        let entries = (0..ENTRY_COUNT).map(|index| {
+            let member = member(index, index as u64);
             Entry {
                 table: table(&member),
                 member,
-                acting: None,
+                active_view: None,
                 alive: true,
             }
         });
@@ -95,7 +95,7 @@
             roster: Roster::default(),
             previous: Roster::default(),
             active: true,
-            flights: Vec::new(),
+            pending_claims: Vec::new(),
             dispatched: BTreeMap::new(),
             incarnations: 100,
             tickets: 0,
@@ -107,26 +107,26 @@
 
     fn step(&mut self, g: &mut Gen) {
         let pick = usize::arbitrary(g);
-        let entry = pick % ENTRIES;
+        let entry = pick % ENTRY_COUNT;
         match u8::arbitrary(g) {
-            0..=39 => self.begin(entry, id::Key((pick / ENTRIES % 6) as u128)),
-            40..=139 => self.fly(pick),
-            140..=141 => self.kill(entry),
+            0..=39 => self.start_claim(entry, id::Key((pick / ENTRY_COUNT % 6) as u128)),
+            40..=139 => self.advance_claim(pick),
+            140..=141 => self.stop_entry(entry),
             142..=144 => self.restart(entry),
             145..=164 => self.propose(),
-            165..=209 => self.take_up(entry),
-            _ => self.copy(entry, pick),
+            165..=209 => self.activate_view(entry),
+            _ => self.copy_shard(entry, pick),
         }
     }
 
-    /// A caller sends a key to an entry.
-    fn begin(&mut self, holder: usize, key: id::Key) {
+    /// A caller sends a request with `key` to an entry, which starts a claim.
+    fn start_claim(&mut self, holder: usize, key: id::Key) {
         let entry = &self.entries[holder];
-        let Some(view) = entry.acting.filter(|_| entry.alive) else {
+        let Some(view) = entry.active_view.filter(|_| entry.alive) else {
             return;
         };
         self.tickets += 1;
-        self.flights.push(Flight {
+        self.pending_claims.push(PendingClaim {
             holder,
             incarnation: entry.member.incarnation,
             ticket: id::Ticket(self.tickets),
@@ -136,54 +136,54 @@
         });
     }
 
-    /// One more replica is asked, or the request goes out.
-    fn fly(&mut self, pick: usize) {
-        if self.flights.is_empty() {
+    /// Sends a claim to its next replica, or dispatches the request if all have granted it.
+    fn advance_claim(&mut self, pick: usize) {
+        if self.pending_claims.is_empty() {
             return;
         }
-        let place = pick % self.flights.len();
-        let flight = self.flights.swap_remove(place);
-        let holder = &self.entries[flight.holder];
-        let lives = holder.alive && holder.member.incarnation == flight.incarnation;
-        if !lives || holder.acting != Some(flight.view) {
+        let index = pick % self.pending_claims.len();
+        let pending = self.pending_claims.swap_remove(index);
+        let holder = &self.entries[pending.holder];
+        let holder_runs = holder.alive && holder.member.incarnation == pending.incarnation;
+        if !holder_runs || holder.active_view != Some(pending.view) {
             return;
         }
-        let replicas = self.roster.replicas(flight.key.shard(SHARD_COUNT));
-        let wanted = if self.flaw == Flaw::OneReplica {
+        let replicas = self.roster.replicas(pending.key.shard(SHARD_COUNT));
+        let replicas_needed = if self.flaw == Flaw::OneReplica {
             1
         } else {
             replicas.len()
         };
-        if flight.granted == wanted {
-            *self.dispatched.entry(flight.key).or_default() += 1;
+        if pending.granted == replicas_needed {
+            *self.dispatched.entry(pending.key).or_default() += 1;
             return;
         }
-        let host = replicas[flight.granted].host.clone();
-        if self.ask(&host, &flight) {
-            self.flights.push(Flight {
-                granted: flight.granted + 1,
-                ..flight
+        let host = replicas[pending.granted].host.clone();
+        if self.send_claim(&host, &pending) {
+            self.pending_claims.push(PendingClaim {
+                granted: pending.granted + 1,
+                ..pending
             });
         }
     }
 
-    fn ask(&mut self, host: &id::Host, flight: &Flight) -> bool {
-        let holder = self.entries[flight.holder].member.host.clone();
+    fn send_claim(&mut self, host: &id::Host, pending: &PendingClaim) -> bool {
+        let holder = self.entries[pending.holder].member.host.clone();
         let entry = self
             .entries
             .iter_mut()
             .find(|entry| &entry.member.host == host);
-        let Some(entry) = entry.filter(|entry| entry.alive && entry.acting.is_some()) else {
+        let Some(entry) = entry.filter(|entry| entry.alive && entry.active_view.is_some()) else {
             return false;
         };
         let claim = Claim {
-            view: flight.view,
-            key: flight.key,
+            view: pending.view,
+            key: pending.key,
             record: Record {
                 digest: 1,
                 holder,
-                incarnation: flight.incarnation,
-                ticket: flight.ticket,
+                incarnation: pending.incarnation,
+                ticket: pending.ticket,
                 status: Status::Open,
                 written: Instant::default(),
             },
@@ -197,23 +197,24 @@
         }
     }
 
-    fn kill(&mut self, place: usize) {
-        self.entries[place].alive = false;
-        self.entries[place].acting = None;
+    fn stop_entry(&mut self, index: usize) {
+        self.entries[index].alive = false;
+        self.entries[index].active_view = None;
     }
 
-    fn restart(&mut self, place: usize) {
+    fn restart(&mut self, index: usize) {
         self.incarnations += 1;
-        let member = member(place, self.incarnations);
-        self.entries[place] = Entry {
+        let member = member(index, self.incarnations);
+        self.entries[index] = Entry {
             table: table(&member),
             member,
-            acting: None,
+            active_view: None,
             alive: true,
         };
     }
 
-    /// A new view, once the former one is active; who acts stops at once, as the barrier has it.
+    /// Proposes a new view once the former one is active. All entries stop acting under the former
+    /// one at once, as the leases guarantee.
     fn propose(&mut self) {
         let members = self.entries.iter().filter(|entry| entry.alive);
         let members: Vec<_> = members.map(|entry| entry.member.clone()).collect();
@@ -224,37 +225,42 @@
         let roster = Roster { number, members };
         self.previous = std::mem::replace(&mut self.roster, roster);
         for entry in &mut self.entries {
-            entry.acting = None;
+            entry.active_view = None;
         }
         self.active = false;
     }
 
-    /// An entry learns that the view is active; the view stays until every live one has.
-    fn take_up(&mut self, place: usize) {
-        let entry = &mut self.entries[place];
+    /// An entry learns that the view is active. Usually the next view comes only when every live
+    /// entry has learned it.
+    fn activate_view(&mut self, index: usize) {
+        let entry = &mut self.entries[index];
         if entry.alive && self.roster.has(&entry.member) {
             entry
                 .table
                 .apply_view(&self.roster, &self.previous, Instant::default());
-            entry.acting = Some(self.roster.number);
+            entry.active_view = Some(self.roster.number);
         }
-        // Now and then the next view comes before all have taken this one up.
+        // Sometimes the next view comes before all entries have activated this one.
         let mut live = self.entries.iter().filter(|entry| entry.alive);
-        let most = live.clone().filter(|entry| entry.acting.is_some()).count() >= 2;
-        self.active = live.all(|entry| entry.acting.is_some()) || (most && place == 0);
+        let enough = live
+            .clone()
+            .filter(|entry| entry.active_view.is_some())
+            .count()
+            >= 2;
+        self.active = live.all(|entry| entry.active_view.is_some()) || (enough && index == 0);
     }
 
-    fn copy(&mut self, place: usize, pick: usize) {
-        let entry = &self.entries[place];
-        if !entry.alive || entry.acting.is_none() {
+    fn copy_shard(&mut self, index: usize, pick: usize) {
+        let entry = &self.entries[index];
+        if !entry.alive || entry.active_view.is_none() {
             return;
         }
-        let mut wanted = entry.table.pending_copies();
-        wanted.retain(|(shard, _)| shard.0 < 6);
-        if wanted.is_empty() {
+        let mut pending_copies = entry.table.pending_copies();
+        pending_copies.retain(|(shard, _)| shard.0 < 6);
+        if pending_copies.is_empty() {
             return;
         }
-        let (shard, source) = wanted[pick % wanted.len()].clone();
+        let (shard, source) = pending_copies[pick % pending_copies.len()].clone();
         let view = self.roster.number;
         let source_entry = self
             .entries
@@ -263,9 +269,9 @@
         let Some(source_entry) = source_entry.filter(|entry| entry.alive) else {
             return;
         };
-        let copy = source_entry.table.copy_shard(shard, view);
-        let table = &mut self.entries[place].table;
-        match copy {
+        let response = source_entry.table.copy_shard(shard, view);
+        let table = &mut self.entries[index].table;
+        match response {
             CopyResponse::Complete(slot) => {
                 table.install_copy(shard, view, slot, Instant::default())
             }
@@ -278,7 +284,7 @@
 fn run(seed: u64, flaw: Flaw) -> Result<u32, String> {
     let mut g = Gen::from_size_and_seed(100, seed);
     let mut history = History::new(flaw);
-    for number in 0..STEPS {
+    for number in 0..STEPS_PER_HISTORY {
         history.step(&mut g);
         if let Some((key, _)) = history.dispatched.iter().find(|(_, count)| **count > 1) {
             return Err(format!(
@@ -290,21 +296,24 @@
 }
 
 #[test]
-fn once_only() {
-    let dispatched: u32 = (0..COUNT)
-        .map(|seed| run(seed, Flaw::None).expect("once"))
+fn dispatched_once() {
+    let dispatched: u32 = (0..HISTORY_COUNT)
+        .map(|seed| run(seed, Flaw::None).expect("no key dispatched twice"))
         .sum();
     assert!(
-        u64::from(dispatched) > COUNT,
-        "the histories do something: {dispatched}"
+        u64::from(dispatched) > HISTORY_COUNT,
+        "the histories dispatched too few requests: {dispatched}"
     );
 }
 
 #[test]
 fn finds_flaws() {
     for flaw in [Flaw::OneReplica, Flaw::EarlyCopy] {
-        let found = (0..COUNT).find(|seed| run(*seed, flaw).is_err());
-        println!("{flaw:?}: seed {}", found.expect("it is found"));
+        let found = (0..HISTORY_COUNT).find(|seed| run(*seed, flaw).is_err());
+        println!(
+            "{flaw:?}: seed {}",
+            found.expect("a history that detects it")
+        );
     }
 }
 
@@ -321,7 +330,7 @@
         key: id::Key(5),
         record: Record {
             digest: 1,
-            holder: "e9".parse().expect("a name"),
+            holder: "e9".parse().expect("valid name"),
             incarnation: 1,
             ticket: id::Ticket(1),
             status: Status::Open,
@@ -341,41 +350,41 @@
     assert_eq!(
         table.claim(&claim(2, None), now),
         Response::RecordsLost,
-        "it may have run"
+        "without a stamp the request may have run"
     );
     assert_eq!(
         table.claim(&claim(2, Some(1)), now),
         Response::RecordsLost,
-        "drawn before the loss"
+        "the key is older than the loss"
     );
     assert_eq!(
         table.claim(&claim(2, Some(2)), now),
         Response::Granted,
-        "drawn after the loss"
+        "the key is newer than the loss"
     );
 }
 
 #[test]
-fn dropped_records() {
+fn expired_records() {
     let own = member(0, 0);
-    let keep = Duration::from_secs(10);
-    let mut table = Table::new(own.clone(), keep, 100);
+    let retention = Duration::from_secs(10);
+    let mut table = Table::new(own.clone(), retention, 100);
     let now = Instant::default();
     table.apply_view(&roster(1, &[&own]), &Roster::default(), now);
     assert_eq!(table.claim(&claim(1, Some(1)), now), Response::Granted);
     table.apply_view(&roster(2, &[&own]), &roster(1, &[&own]), now);
-    let later = now + keep * 2;
+    let later = now + retention * 2;
     assert_eq!(
         table.claim(&claim(2, Some(1)), later),
         Response::KeyTooOld,
-        "row D11"
+        "the key is as old as an expired record"
     );
     assert_eq!(table.record_count(), 0);
     assert_eq!(table.claim(&claim(2, Some(2)), later), Response::Granted);
 }
 
 #[test]
-fn free_again() {
+fn unrun_key_reclaimed() {
     let own = member(0, 0);
     let mut table = table(&own);
     let now = Instant::default();
@@ -397,13 +406,13 @@
     assert_eq!(
         table.claim(&second, now),
         Response::Granted,
-        "not run: it may be tried again"
+        "the key of a request that did not run can be claimed again"
     );
 }
 
 #[test]
-fn displaced_copies() {
-    // The second entry stands in the first one's hall and takes shards over from it.
+fn moved_shards() {
+    // The new entry is in the same data hall as the old one and takes over shards from it.
     let (old, new) = (member(0, 0), member(3, 1));
     let others = [member(1, 2), member(2, 3)];
     let now = Instant::default();
@@ -419,19 +428,23 @@
     old_table.apply_view(&second, &first, now);
     let mut filled = table(&new);
     filled.apply_view(&second, &first, now);
-    let wanted = filled.pending_copies();
-    assert!(wanted.len() > 50, "it takes shards over: {}", wanted.len());
-    for (shard, _) in wanted {
+    let pending_copies = filled.pending_copies();
+    assert!(
+        pending_copies.len() > 50,
+        "the new entry takes over too few shards: {}",
+        pending_copies.len()
+    );
+    for (shard, _) in pending_copies {
         let CopyResponse::Complete(slot) = old_table.copy_shard(shard, id::View(2)) else {
-            panic!("shard {shard} is lost although its copy is there");
+            panic!("shard {shard} is lost although the old entry has a copy");
         };
         filled.install_copy(shard, id::View(2), slot, now);
     }
-    let mut again = claim(2, None);
-    again.record.holder = "e8".parse().expect("a name");
+    let mut retry = claim(2, None);
+    retry.record.holder = "e8".parse().expect("valid name");
     for key in 0..200 {
-        again.key = id::Key(key);
-        let answer = filled.claim(&again, now);
+        retry.key = id::Key(key);
+        let answer = filled.claim(&retry, now);
         assert!(
             matches!(
                 answer,
