--- a/crates/core/tests/command_rules.rs
+++ b/crates/core/tests/command_rules.rs
@@ -1,4 +1,5 @@
-//! Commands: numbers, conflicts, and what a change may not break (rows S7, S8, S11, M5).
+//! Rules for operators' commands: a number is executed once, a refused change changes nothing, and
+//! lower limits of live servers and entries hold.
 
 use curlewlift_core::code::Code;
 use curlewlift_core::config::Right;
@@ -20,81 +21,85 @@
         for line in lines {
             operators
                 .run(line)
-                .unwrap_or_else(|why| panic!("{line}: {why:?}"));
+                .unwrap_or_else(|error| panic!("{line}: {error:?}"));
         }
         operators
     }
 
-    fn give(&mut self, operator: &str, number: u64, line: &str) -> Result<Revision, Code> {
+    fn execute(&mut self, operator: &str, number: u64, line: &str) -> Result<Revision, Code> {
         let command = Command {
-            operator: operator.parse().expect("a name"),
+            operator: operator.parse().expect("valid name"),
             number,
             line: line.to_owned(),
         };
         let answer = self.machine.apply(&Record::Command(command));
-        answer.map_err(|why| why.get_code())
+        answer.map_err(|error| error.get_code())
     }
 
     fn run(&mut self, line: &str) -> Result<Revision, Code> {
         self.number += 1;
-        self.give("root", self.number, line)
+        self.execute("root", self.number, line)
     }
 }
 
-const HASH: &str = "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b";
+const KEY_HASH: &str = "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b";
 
 #[test]
-fn equal_numbers() {
+fn reused_number() {
     let mut operators = Operators::new(&[]);
-    let first = operators.give("ann", 7, "create tier a rank=0");
+    let first = operators.execute("ann", 7, "create tier a rank=0");
     assert_eq!(first, Ok(Revision(1)));
     assert_eq!(
-        operators.give("ben", 7, "create tier b rank=1"),
+        operators.execute("ben", 7, "create tier b rank=1"),
         Err(Code::Conflict)
     );
     assert_eq!(
-        operators.give("ann", 7, "create tier c rank=1"),
+        operators.execute("ann", 7, "create tier c rank=1"),
         Err(Code::Conflict)
     );
     assert_eq!(
-        operators.give("ann", 7, "create tier a rank=0"),
+        operators.execute("ann", 7, "create tier a rank=0"),
         first,
-        "a resend"
+        "a resent command must get the first result"
     );
     assert_eq!(operators.machine.get_snapshot().tiers.len(), 1);
 }
 
 #[test]
-fn after_snapshot() {
+fn results_after_snapshot() {
     let mut operators = Operators::new(&["create tier a rank=0"]);
     let refused = operators.run("create tier a rank=1");
     assert_eq!(refused, Err(Code::Exists));
-    operators.machine = Machine::decode(&operators.machine.encode()).expect("it is read back");
+    operators.machine = Machine::decode(&operators.machine.encode()).expect("a decodable state");
     assert_eq!(
-        operators.give("root", 1, "create tier a rank=0"),
+        operators.execute("root", 1, "create tier a rank=0"),
         Ok(Revision(1))
     );
     assert_eq!(
-        operators.give("root", 2, "create tier a rank=1"),
+        operators.execute("root", 2, "create tier a rank=1"),
         refused,
-        "also a refusal"
+        "the refusal must be stored as well"
     );
 }
 
 #[test]
-fn dropped_numbers() {
+fn dropped_results() {
     let mut operators = Operators::new(&["create tier a rank=0"]);
     for _ in 0..10_001 {
         let _ = operators.run("remove tier nothing");
     }
-    let old = operators.give("root", 1, "create tier a rank=0");
-    assert_eq!(old, Err(Code::Conflict), "never applied as if new");
+    let old = operators.execute("root", 1, "create tier a rank=0");
+    assert_eq!(
+        old,
+        Err(Code::Conflict),
+        "a dropped number must not be executed again"
+    );
     assert!(operators.run("create tier b rank=1").is_ok());
 }
 
 #[test]
-fn whole_or_not() {
-    let customer = format!("create customer c key_hash={HASH} tier=a");
+fn all_or_nothing() {
+    let customer = format!("create customer c key_hash={KEY_HASH} tier=a");
     let lines = [
         "create tier a rank=0",
         &customer,
@@ -127,12 +132,12 @@
     assert_eq!(
         operators.machine.get_snapshot(),
         &before,
-        "nothing half applied"
+        "a refused change must change nothing"
     );
     assert_eq!(
         operators.machine.audit().count(),
         3 + refused.len(),
-        "every command is kept"
+        "the audit trail must have every command"
     );
 }
 
@@ -152,42 +157,45 @@
     assert_eq!(
         operators.run("drain host e2"),
         Err(Code::Floor),
-        "a hall keeps an entry"
+        "a data hall must keep a live entry"
     );
     assert!(operators.run("undrain server x").is_ok());
     assert!(
         operators.run("drain server y").is_ok(),
-        "one after the other"
+        "the other server may be drained once the first is live again"
     );
 }
 
 #[test]
-fn rights() {
-    let read = format!("create operator guest key_hash={HASH} right=read");
+fn operator_rights() {
+    let read = format!("create operator guest key_hash={KEY_HASH} right=read");
     let mut operators = Operators::new(&[]);
     let may = |machine: &Machine, name: &str, hash: &str, right| {
-        let operator = name.parse().expect("a name");
+        let operator = name.parse().expect("valid name");
         machine
             .authorize(&operator, hash, right)
-            .map_err(|why| why.get_code())
+            .map_err(|error| error.get_code())
     };
     assert_eq!(
         may(&operators.machine, "root", "", Right::Write),
         Ok(()),
-        "the first of all"
+        "root must have every right while there are no operators"
     );
     assert_eq!(
         may(&operators.machine, "ann", "", Right::Read),
         Err(Code::Forbidden)
     );
-    operators.run(&read).expect("it is created");
+    operators.run(&read).expect("a created operator");
     assert_eq!(
         may(&operators.machine, "root", "", Right::Write),
         Err(Code::Forbidden)
     );
-    assert_eq!(may(&operators.machine, "guest", HASH, Right::Read), Ok(()));
     assert_eq!(
-        may(&operators.machine, "guest", HASH, Right::Write),
+        may(&operators.machine, "guest", KEY_HASH, Right::Read),
+        Ok(())
+    );
+    assert_eq!(
+        may(&operators.machine, "guest", KEY_HASH, Right::Write),
         Err(Code::Forbidden)
     );
     assert_eq!(
@@ -197,7 +205,7 @@
 }
 
 #[test]
-fn error_places() {
+fn error_columns() {
     for (line, wanted) in [
         ("", "column 1: expected"),
         ("show", "column 5: expected customers"),
@@ -207,7 +215,7 @@
         ("create tier a rank=", "expected a value"),
         ("drain server x now", "expected"),
     ] {
-        let why = lang::parse(line).expect_err(line).to_string();
-        assert!(why.contains(wanted), "{line:?}: {why}");
+        let error = lang::parse(line).expect_err(line).to_string();
+        assert!(error.contains(wanted), "{line:?}: {error}");
     }
 }
--- a/crates/core/tests/fleet_pick.rs
+++ b/crates/core/tests/fleet_pick.rs
@@ -1,10 +1,10 @@
-//! The choice of a server against one that looks at every server.
+//! The server that the index picks, compared with a full scan of all servers.
 
 #![allow(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "figures for people, far below where it matters"
+    reason = "test numbers far below the precision of the target types"
 )]
 
 mod support;
@@ -23,29 +23,31 @@
 use support::asks::fleet;
 use support::asks::spec;
 
-/// Servers of one class differ by a quarter octave at the most.
+/// Rates of servers in one class differ by at most a quarter octave, a factor of 1.19.
 const TOLERANCE: f64 = 1.2;
 
-/// What the test knows of a server.
-struct Known {
+/// The test's own model of a server.
+struct ModelServer {
     prefill: f64,
     decode: f64,
     slots: u32,
     backlog: Vec<(Pick, Work)>,
 }
 
-impl Known {
-    fn busy(&self) -> f64 {
+impl ModelServer {
+    fn backlog_seconds(&self) -> f64 {
         let tokens: u64 = self.backlog.iter().map(|(_, work)| work.prompt.0).sum();
         tokens as f64 / self.prefill
     }
 
-    fn whole(&self, work: &Work) -> f64 {
-        self.busy() + work.prompt.0 as f64 / self.prefill + work.output.0 as f64 / self.decode
+    fn total_seconds(&self, work: &Work) -> f64 {
+        self.backlog_seconds()
+            + work.prompt.0 as f64 / self.prefill
+            + work.output.0 as f64 / self.decode
     }
 }
 
-fn work(g: &mut Gen) -> Work {
+fn random_work(g: &mut Gen) -> Work {
     Work {
         prompt: Tokens(u64::arbitrary(g) % 3_000 + 1),
         output: Tokens(u64::arbitrary(g) % 300 + 1),
@@ -54,16 +56,16 @@
 }
 
 #[test]
-fn near_best() {
+fn close_to_best() {
     for seed in 0..200 {
         let mut g = Gen::from_size_and_seed(100, seed);
-        let mut known = Vec::new();
+        let mut model = Vec::new();
         let mut specs = Vec::new();
-        for place in 0..20 {
+        for index in 0..20 {
             let prefill = 1_000 + u64::arbitrary(&mut g) % 10_000;
             let decode = 10 + u64::arbitrary(&mut g) % 60;
-            specs.push(spec(&format!("m{place}"), 4, prefill, decode));
-            known.push(Known {
+            specs.push(spec(&format!("m{index}"), 4, prefill, decode));
+            model.push(ModelServer {
                 prefill: prefill as f64,
                 decode: decode as f64,
                 slots: 4,
@@ -73,34 +75,34 @@
         let mut fleet = fleet(specs);
         let backlog = fleet.get_tuning().max_backlog_seconds;
         for step in 0..100 {
-            let work = work(&mut g);
-            let open = known
+            let work = random_work(&mut g);
+            let open = model
                 .iter()
-                .filter(|k| (k.backlog.len() as u32) < k.slots && k.busy() <= backlog);
-            let best = open.map(|k| k.whole(&work)).min_by(f64::total_cmp);
+                .filter(|k| (k.backlog.len() as u32) < k.slots && k.backlog_seconds() <= backlog);
+            let best = open.map(|k| k.total_seconds(&work)).min_by(f64::total_cmp);
             let pick = fleet.pick(&work);
             assert_eq!(pick.is_some(), best.is_some(), "seed {seed} step {step}");
             let (Some(pick), Some(best)) = (pick, best) else {
                 continue;
             };
-            let real = known[pick.server_index].whole(&work);
+            let actual = model[pick.server_index].total_seconds(&work);
             assert!(
-                real <= best * TOLERANCE,
-                "seed {seed} step {step}: {real} against {best}"
+                actual <= best * TOLERANCE,
+                "seed {seed} step {step}: {actual} against {best}"
             );
             fleet.on_sent(&pick, &work, at(step));
-            known[pick.server_index].backlog.push((pick, work));
+            model[pick.server_index].backlog.push((pick, work));
             if bool::arbitrary(&mut g) {
-                let place = usize::arbitrary(&mut g) % known.len();
-                end_one(&mut fleet, &mut known[place], step);
+                let index = usize::arbitrary(&mut g) % model.len();
+                finish_request(&mut fleet, &mut model[index], step);
             }
         }
     }
 }
 
-/// Ends a request just as it was expected, so that no rate changes.
-fn end_one(fleet: &mut Fleet, known: &mut Known, step: u64) {
-    let Some((pick, work)) = known.backlog.pop() else {
+/// Finishes a request in exactly the expected time, so that no measured rate changes.
+fn finish_request(fleet: &mut Fleet, model: &mut ModelServer, step: u64) {
+    let Some((pick, work)) = model.backlog.pop() else {
         return;
     };
     fleet.on_first_token(&pick, &work, Some(pick.estimate.first_token), at(step));
@@ -123,14 +125,14 @@
     fleet.on_sent(&first, &work, at(0));
     fleet.on_first_token(&first, &work, Some(first.estimate.first_token), at(1_000));
     fleet.on_ended(&first, &work, Some(Tokens(0)));
-    let again = fleet.pick(&work).expect("a server");
+    let second = fleet.pick(&work).expect("a server");
     assert_eq!(
-        (again.server_index, again.cached),
+        (second.server_index, second.cached),
         (first.server_index, Tokens(900))
     );
-    // The answer tells that nothing was cached: the belief is corrected (row L9).
-    fleet.on_sent(&again, &work, at(2_000));
-    fleet.on_ended(&again, &work, Some(Tokens(0)));
+    // The server reports that nothing was cached, which corrects the estimate.
+    fleet.on_sent(&second, &work, at(2_000));
+    fleet.on_ended(&second, &work, Some(Tokens(0)));
     fleet.on_cache_event(&first.name, prefix, false);
     work.prompt = Tokens(1_001);
     assert_eq!(fleet.pick(&work).expect("a server").cached, Tokens(0));
@@ -152,12 +154,12 @@
     fleet.on_first_token(&pick, &work, Some(Duration::from_secs(1)), at(1_000));
     fleet.on_ended(&pick, &work, None);
     fleet.set_servers(Vec::new(), at(2_000));
-    assert!(fleet.pick(&work).is_none(), "it has left");
+    assert!(fleet.pick(&work).is_none(), "the server was removed");
     fleet.set_servers(vec![spec("m", 4, 1_000, 50)], at(3_000));
-    let pick = fleet.pick(&work).expect("it is back");
+    let pick = fleet.pick(&work).expect("the returned server");
     assert_eq!(
         pick.cached,
         Tokens(0),
-        "nothing of the old cache is believed (row M6)"
+        "the cache of a returned server is assumed to be empty"
     );
 }
