--- a/crates/core/tests/claim_histories.rs
+++ b/crates/core/tests/claim_histories.rs
@@ -272,8 +272,8 @@
         let response = source_entry.table.copy_shard(shard, view);
         let table = &mut self.entries[index].table;
         match response {
-            CopyResponse::Complete(slot) => {
-                table.install_copy(shard, view, slot, Instant::default())
+            CopyResponse::Complete(records) => {
+                table.install_copy(shard, view, records, Instant::default());
             }
             CopyResponse::Incomplete => table.skip_source(shard, &source.host, Instant::default()),
             CopyResponse::ViewMismatch => {}
@@ -426,25 +426,25 @@
         assert_eq!(old_table.claim(&claim, now), Response::Granted);
     }
     old_table.apply_view(&second, &first, now);
-    let mut filled = table(&new);
-    filled.apply_view(&second, &first, now);
-    let pending_copies = filled.pending_copies();
+    let mut new_table = table(&new);
+    new_table.apply_view(&second, &first, now);
+    let pending_copies = new_table.pending_copies();
     assert!(
         pending_copies.len() > 50,
         "the new entry takes over too few shards: {}",
         pending_copies.len()
     );
     for (shard, _) in pending_copies {
-        let CopyResponse::Complete(slot) = old_table.copy_shard(shard, id::View(2)) else {
+        let CopyResponse::Complete(records) = old_table.copy_shard(shard, id::View(2)) else {
             panic!("shard {shard} is lost although the old entry has a copy");
         };
-        filled.install_copy(shard, id::View(2), slot, now);
+        new_table.install_copy(shard, id::View(2), records, now);
     }
     let mut retry = claim(2, None);
     retry.record.holder = "e8".parse().expect("valid name");
     for key in 0..200 {
         retry.key = id::Key(key);
-        let answer = filled.claim(&retry, now);
+        let answer = new_table.claim(&retry, now);
         assert!(
             matches!(
                 answer,
--- a/crates/core/tests/old_disk.rs
+++ b/crates/core/tests/old_disk.rs
@@ -33,7 +33,10 @@
             .admit(&host, Disk(disk), now)
             .expect("admitted");
         run_steps(&mut nodes, &mut now, 20);
-        nodes[0].replica.promote(&host, now).expect("whole");
+        nodes[0]
+            .replica
+            .promote(&host, now)
+            .expect("a caught-up learner");
         run_steps(&mut nodes, &mut now, 20);
     }
     (nodes, now)
--- a/crates/core/tests/support/history.rs
+++ b/crates/core/tests/support/history.rs
@@ -233,7 +233,7 @@
         }
     }
 
-    fn deliver(&mut self, pick: usize, keep: bool) -> Result<(), String> {
+    fn deliver(&mut self, pick: usize, duplicate: bool) -> Result<(), String> {
         if self.in_flight.is_empty() {
             return Ok(());
         }
@@ -243,7 +243,7 @@
         } else {
             0
         };
-        let message = if keep {
+        let message = if duplicate {
             self.in_flight[index].clone()
         } else {
             self.in_flight.remove(index)
--- a/crates/core/tests/sure_reads.rs
+++ b/crates/core/tests/sure_reads.rs
@@ -36,7 +36,10 @@
         run_steps(&mut nodes, &mut now, 60);
         nodes[0].replica.admit(&host, disk, now).expect("admitted");
         run_steps(&mut nodes, &mut now, 20);
-        nodes[0].replica.promote(&host, now).expect("whole");
+        nodes[0]
+            .replica
+            .promote(&host, now)
+            .expect("a caught-up learner");
         run_steps(&mut nodes, &mut now, 20);
     }
     (nodes, now)
