--- a/crates/core/src/view/grantor.rs
+++ b/crates/core/src/view/grantor.rs
@@ -13,7 +13,7 @@
 use crate::state::Machine;
 
 use super::Grant;
-use super::Lease;
+use super::LeaseTiming;
 use super::Member;
 use super::Renewal;
 use super::Roster;
@@ -44,7 +44,7 @@
 /// linear in the number of entries.
 #[derive(Clone, Debug)]
 pub struct Grantor {
-    lease: Lease,
+    lease_timing: LeaseTiming,
     leader_since: Instant,
     active_since: Option<(id::View, Instant)>,
     statuses: BTreeMap<ProcessId, MemberStatus>,
@@ -53,9 +53,9 @@
 impl Grantor {
     /// Creates the grantor of a leader that was elected at `now`.
     #[must_use]
-    pub fn new(lease: Lease, now: Instant) -> Self {
+    pub fn new(lease_timing: LeaseTiming, now: Instant) -> Self {
         Self {
-            lease,
+            lease_timing,
             leader_since: now,
             active_since: None,
             statuses: BTreeMap::new(),
@@ -92,10 +92,10 @@
             last_renewal: now,
             stopped: renewal.stopped,
         };
-        let lease = self.lease;
+        let timing = self.lease_timing;
         self.statuses.retain(|_, status| {
             now.since(status.last_renewal)
-                < (lease.duration + lease.max_drift) * FORGET_AFTER_LEASES
+                < (timing.duration + timing.max_drift) * FORGET_AFTER_LEASES
         });
         self.statuses.insert(process_id(&renewal.member), status);
         let is_newer = roster.number > renewal.held_view;
@@ -104,7 +104,8 @@
             previous: is_newer.then(|| machine.get_previous_roster().clone()),
             view: roster.number,
             active: self.is_active(machine, now),
-            lease: (roster.has(&renewal.member) && !renewal.stopped).then_some(self.lease.duration),
+            lease: (roster.has(&renewal.member) && !renewal.stopped)
+                .then_some(self.lease_timing.duration),
             update: config_update(machine, renewal.revision),
         })
     }
@@ -131,11 +132,11 @@
 
     /// Whether a lease that was granted at `granted` has expired, clock drift included.
     fn is_lease_expired(&self, granted: Instant, now: Instant) -> bool {
-        now.since(granted) > self.lease.duration + self.lease.max_drift
+        now.since(granted) > self.lease_timing.duration + self.lease_timing.max_drift
     }
 
     /// Proposes the next view, if the current one is active and either its members have changed or
-    /// it has reached [`Lease::max_view_age`].
+    /// it has reached [`LeaseTiming::max_view_age`].
     ///
     /// No view is proposed before each live member has activated the current one, so that no copy of
     /// a shard's claims is skipped. While some member's copies are incomplete, only the loss of
@@ -171,7 +172,8 @@
         {
             return None;
         }
-        let too_old = !roster.members.is_empty() && now.since(since) >= self.lease.max_view_age;
+        let too_old =
+            !roster.members.is_empty() && now.since(since) >= self.lease_timing.max_view_age;
         let mut members: Vec<_> = live_members
             .iter()
             .map(|member| self.latest_member(member))
--- a/crates/core/src/view/lease.rs
+++ b/crates/core/src/view/lease.rs
@@ -15,7 +15,7 @@
 
 /// Timing of leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Lease {
+pub struct LeaseTiming {
     /// How long a lease is valid, from the moment when the entry sent its renewal.
     pub duration: Duration,
     /// How long the leader waits beyond that: the maximum drift between two clocks over the duration
@@ -28,7 +28,7 @@
     pub max_view_age: Duration,
 }
 
-impl Default for Lease {
+impl Default for LeaseTiming {
     fn default() -> Self {
         Self {
             duration: Duration::from_secs(2),
--- a/crates/core/src/view/mod.rs
+++ b/crates/core/src/view/mod.rs
@@ -15,7 +15,7 @@
 pub use grantor::Grantor;
 pub use holder::Holder;
 pub use lease::Grant;
-pub use lease::Lease;
+pub use lease::LeaseTiming;
 pub use lease::Renewal;
 pub use lease::Update;
 pub use roster::Member;
--- a/crates/core/tests/view_histories.rs
+++ b/crates/core/tests/view_histories.rs
@@ -15,7 +15,7 @@
 use curlewlift_core::view::Grant;
 use curlewlift_core::view::Grantor;
 use curlewlift_core::view::Holder;
-use curlewlift_core::view::Lease;
+use curlewlift_core::view::LeaseTiming;
 use curlewlift_core::view::Renewal;
 use curlewlift_core::view::Roster;
 use curlewlift_core::view::Update;
@@ -92,7 +92,7 @@
         };
         Self {
             machine: machine(),
-            grantor: Grantor::new(Lease::default(), Instant::default()),
+            grantor: Grantor::new(LeaseTiming::default(), Instant::default()),
             clock: DriftingClock(20),
             entries: (0..ENTRY_COUNT).map(entry).collect(),
             in_flight: Vec::new(),
@@ -111,7 +111,7 @@
             190..=229 => self.time += 1_000 * (pick as u64 % 200),
             230..=231 => self.entries[pick % ENTRY_COUNT].alive = false,
             232..=234 => self.restart(pick % ENTRY_COUNT),
-            235 => self.grantor = Grantor::new(Lease::default(), self.clock.at(self.time)),
+            235 => self.grantor = Grantor::new(LeaseTiming::default(), self.clock.at(self.time)),
             236 => {
                 let index = pick % self.in_flight.len().max(1);
                 if index < self.in_flight.len() {
@@ -303,7 +303,7 @@
 #[test]
 fn update_by_steps() {
     let mut machine = machine();
-    let mut grantor = Grantor::new(Lease::default(), Instant::default());
+    let mut grantor = Grantor::new(LeaseTiming::default(), Instant::default());
     let mut holder = Holder::new(member(0, 1));
     for number in 0..400 {
         let command = Command {
@@ -339,7 +339,7 @@
 #[test]
 fn activated_before_next() {
     let mut machine = machine();
-    let mut grantor = Grantor::new(Lease::default(), Instant::default());
+    let mut grantor = Grantor::new(LeaseTiming::default(), Instant::default());
     let mut holders: Vec<_> = (0..3).map(|index| Holder::new(member(index, 1))).collect();
     let renew = |grantor: &mut Grantor, holder: &mut Holder, machine: &Machine, now: u64| {
         let grant = grantor.renew(&holder.renewal(), machine, Instant(now));
--- a/crates/curlewlift/src/control/daemon.rs
+++ b/crates/curlewlift/src/control/daemon.rs
@@ -15,7 +15,7 @@
 use curlewlift_core::id;
 use curlewlift_core::log::Replica;
 use curlewlift_core::log::Timing;
-use curlewlift_core::view::Lease;
+use curlewlift_core::view::LeaseTiming;
 use rand::Rng;
 use tokio::sync::mpsc;
 
@@ -60,7 +60,7 @@
     found: bool,
     peers: BTreeMap<id::Host, SocketAddr>,
     timing: Timing,
-    lease: Lease,
+    lease: LeaseTiming,
     platform: Option<SocketAddr>,
     gateways: Option<Gateways>,
     clock: Clock,
@@ -78,7 +78,7 @@
             found: false,
             peers: BTreeMap::new(),
             timing: Timing::default(),
-            lease: Lease::default(),
+            lease: LeaseTiming::default(),
             platform: None,
             gateways: None,
             clock: Clock::start(),
@@ -136,7 +136,7 @@
 
     /// How long the entries' leases last; the entries must have the same.
     #[must_use]
-    pub fn lease(mut self, lease: Lease) -> Self {
+    pub fn lease(mut self, lease: LeaseTiming) -> Self {
         self.lease = lease;
         self
     }
--- a/crates/curlewlift/src/control/replica.rs
+++ b/crates/curlewlift/src/control/replica.rs
@@ -27,7 +27,7 @@
 use curlewlift_core::state::Machine;
 use curlewlift_core::state::Record;
 use curlewlift_core::view::Grantor;
-use curlewlift_core::view::Lease;
+use curlewlift_core::view::LeaseTiming;
 use rand::Rng;
 use tokio::sync::Notify;
 use tokio::sync::oneshot;
@@ -63,7 +63,7 @@
     pub(super) clock: Clock,
     writer: Writer,
     pub(super) client: rpc::Client,
-    lease: Lease,
+    lease: LeaseTiming,
     address: Option<SocketAddr>,
     pub(super) peers: BTreeMap<id::Host, SocketAddr>,
     learned: HashMap<id::Host, SocketAddr>,
@@ -94,7 +94,7 @@
         writer: Writer,
         client: rpc::Client,
         timeline: Timeline,
-        lease: Lease,
+        lease: LeaseTiming,
     ) -> Result<Self, Refusal> {
         let machine = Machine::decode(&replica.snapshot().state)?;
         Ok(Self {
--- a/crates/curlewlift/src/entry/daemon.rs
+++ b/crates/curlewlift/src/entry/daemon.rs
@@ -10,7 +10,7 @@
 use curlewlift_core::event::Kind;
 use curlewlift_core::event::Line;
 use curlewlift_core::id;
-use curlewlift_core::view::Lease;
+use curlewlift_core::view::LeaseTiming;
 use curlewlift_core::view::Member;
 use rand::Rng;
 
@@ -54,7 +54,7 @@
     rpc: TcpListener,
     http: TcpListener,
     control: Vec<SocketAddr>,
-    lease: Lease,
+    lease: LeaseTiming,
     keep: Duration,
 }
 
@@ -69,7 +69,7 @@
             rpc,
             http,
             control: Vec::new(),
-            lease: Lease::default(),
+            lease: LeaseTiming::default(),
             keep: stop::KEEP,
         }
     }
@@ -83,7 +83,7 @@
 
     /// How long leases last; the control replicas must have the same.
     #[must_use]
-    pub fn lease(mut self, lease: Lease) -> Self {
+    pub fn lease(mut self, lease: LeaseTiming) -> Self {
         self.lease = lease;
         self
     }
--- a/crates/curlewlift/src/entry/renew.rs
+++ b/crates/curlewlift/src/entry/renew.rs
@@ -9,7 +9,7 @@
 use curlewlift_core::event::Line;
 use curlewlift_core::id;
 use curlewlift_core::view::Grant;
-use curlewlift_core::view::Lease;
+use curlewlift_core::view::LeaseTiming;
 use curlewlift_core::view::Member;
 
 use crate::rpc::ClaimCall;
@@ -35,7 +35,7 @@
 const COPY: Duration = Duration::from_secs(2);
 
 /// Renews for as long as the process lives.
-pub(super) async fn run(node: Arc<Node>, lease: Lease) {
+pub(super) async fn run(node: Arc<Node>, lease: LeaseTiming) {
     let mut control = 0;
     let mut acting = id::View(0);
     loop {
--- a/crates/curlewlift/src/settings/resolve.rs
+++ b/crates/curlewlift/src/settings/resolve.rs
@@ -10,7 +10,7 @@
 use curlewlift_core::code::Code;
 use curlewlift_core::code::Refusal;
 use curlewlift_core::id;
-use curlewlift_core::view::Lease;
+use curlewlift_core::view::LeaseTiming;
 
 use super::args;
 
@@ -138,14 +138,14 @@
 /// How many renewals fit into a lease.
 const RENEWALS: u32 = 5;
 
-fn lease(flag: Option<&String>, environment: &Environment) -> Result<Lease, Refusal> {
+fn lease(flag: Option<&String>, environment: &Environment) -> Result<LeaseTiming, Refusal> {
     let setting = setting(flag, "lease-ms", LEASE);
     let length = setting.millis(environment, 500..=60_000, 2_000)?;
-    Ok(Lease {
+    Ok(LeaseTiming {
         duration: length,
         max_drift: length / 20,
         renew_interval: length / RENEWALS,
-        ..Lease::default()
+        ..LeaseTiming::default()
     })
 }
 
@@ -186,7 +186,7 @@
     pub(crate) rpc: SocketAddr,
     pub(crate) http: SocketAddr,
     pub(crate) control: Vec<SocketAddr>,
-    pub(crate) lease: Lease,
+    pub(crate) lease: LeaseTiming,
     pub(crate) keep: Duration,
 }
 
@@ -226,7 +226,7 @@
     pub(crate) platform: Option<SocketAddr>,
     pub(crate) data: PathBuf,
     pub(crate) found: bool,
-    pub(crate) lease: Lease,
+    pub(crate) lease: LeaseTiming,
 }
 
 impl Control {
--- a/crates/lab/examples/slopes.rs
+++ b/crates/lab/examples/slopes.rs
@@ -37,7 +37,7 @@
 use curlewlift_core::unit::Rate;
 use curlewlift_core::unit::Tokens;
 use curlewlift_core::view::Grantor;
-use curlewlift_core::view::Lease;
+use curlewlift_core::view::LeaseTiming;
 use curlewlift_core::view::Member;
 use curlewlift_core::view::Renewal;
 use curlewlift_core::view::Roster;
@@ -316,7 +316,7 @@
         machine
             .apply(&Record::Roster(Roster { number, members }))
             .expect("a view");
-        let mut grantor = Grantor::new(Lease::default(), Instant::default());
+        let mut grantor = Grantor::new(LeaseTiming::default(), Instant::default());
         let mut place = 0;
         let revision = machine.get_snapshot().revision;
         let took = time(20_000, || {
@@ -497,7 +497,7 @@
         let halls = ["h1", "h2", "h3", "h4", "h5", "h6"];
         let began = Wall::now();
         let place = folder.join(entries.to_string());
-        let mut site = Site::start_with(&place, &halls, 1, entries, Lease::default());
+        let mut site = Site::start_with(&place, &halls, 1, entries, LeaseTiming::default());
         let ready = began.elapsed().as_secs_f64();
         std::thread::sleep(Duration::from_secs(2));
         let (cpu_before, bytes_before, time_before) = (processor(), loopback(), Wall::now());
--- a/crates/lab/src/site/started.rs
+++ b/crates/lab/src/site/started.rs
@@ -13,7 +13,7 @@
 use curlewlift::Process;
 use curlewlift_core::code::Refusal;
 use curlewlift_core::id;
-use curlewlift_core::view::Lease;
+use curlewlift_core::view::LeaseTiming;
 
 /// The operators' first key.
 pub const ROOT_KEY: &str = "root-key";
@@ -28,7 +28,7 @@
 /// A whole system on loopback.
 pub struct Site {
     folder: PathBuf,
-    lease: Lease,
+    lease: LeaseTiming,
     halls: Vec<id::Hall>,
     control: Vec<Part>,
     entries: Vec<Part>,
@@ -36,12 +36,12 @@
 }
 
 /// A lease that is short, so that tests need not wait long.
-fn quick_lease() -> Lease {
-    Lease {
+fn quick_lease() -> LeaseTiming {
+    LeaseTiming {
         duration: Duration::from_secs(1),
         max_drift: Duration::from_millis(100),
         renew_interval: Duration::from_millis(150),
-        ..Lease::default()
+        ..LeaseTiming::default()
     }
 }
 
@@ -74,7 +74,7 @@
         halls: &[&str],
         control: usize,
         entries: usize,
-        lease: Lease,
+        lease: LeaseTiming,
     ) -> Self {
         let mut site = Self {
             folder: folder.to_owned(),
