--- a/crates/core/src/view/holder.rs
+++ b/crates/core/src/view/holder.rs
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Applies the leader's response to a renewal that was sent at `asked`.
+    /// Applies the leader's response to a renewal that was sent at `sent_at`.
     ///
     /// Responses may arrive in any order: an older view or revision never replaces a newer one, and
     /// the lease runs from the moment when the renewal was sent.
--- a/crates/curlewlift/src/entry/issue.rs
+++ b/crates/curlewlift/src/entry/issue.rs
@@ -23,13 +23,13 @@
 }
 
 /// The record that a claim would have left, if `key` was drawn by an entry.
-pub(super) fn record(key: &str, body: u64) -> Option<Record> {
+pub(super) fn record(key: &str, digest: u64) -> Option<Record> {
     let rest = key.strip_prefix(MARK)?;
     let (incarnation, rest) = rest.split_once('.')?;
     let (drawn, host) = rest.split_once('.')?;
     u64::from_str_radix(drawn, 16).ok()?;
     Some(Record {
-        digest: body,
+        digest,
         holder: host.parse().ok()?,
         incarnation: u64::from_str_radix(incarnation, 16).ok()?,
         ticket: id::Ticket(0),
--- a/crates/curlewlift/src/settings/resolve.rs
+++ b/crates/curlewlift/src/settings/resolve.rs
@@ -140,11 +140,11 @@
 
 fn lease(flag: Option<&String>, environment: &Environment) -> Result<LeaseTiming, Refusal> {
     let setting = setting(flag, "lease-ms", LEASE);
-    let length = setting.millis(environment, 500..=60_000, 2_000)?;
+    let duration = setting.millis(environment, 500..=60_000, 2_000)?;
     Ok(LeaseTiming {
-        duration: length,
-        max_drift: length / 20,
-        renew_interval: length / RENEWALS,
+        duration,
+        max_drift: duration / 20,
+        renew_interval: duration / RENEWALS,
         ..LeaseTiming::default()
     })
 }
