--- a/crates/core/src/gateway/distribution.rs
+++ b/crates/core/src/gateway/distribution.rs
@@ -1,4 +1,4 @@
-//! Handing out a large routing table: in pieces, to a few gateways at a time.
+//! Distribution of a large routing table, in chunks and to a few gateways at a time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,45 +10,45 @@
 use crate::id::Host;
 use crate::state::Publication;
 
-/// The size of a piece, in bytes: 13 ms of a link of 10 Mbit/s.
-const SIZE: usize = 16 << 10;
+/// Size of a chunk: 13 ms of a link of 10 Mbit/s.
+const CHUNK_BYTES: usize = 16 << 10;
 
-/// For how long what gateways are sent at the same time may hold up the hub's other words, and a leader's heartbeats, in
-/// seconds.
-const HELD_UP: f64 = 0.008;
+/// Maximum time in seconds by which chunks to concurrent gateways may delay the hub's other
+/// messages and a leader's heartbeats.
+const MAX_LINK_DELAY_S: f64 = 0.008;
 
-/// The least gateways that are handed a table at the same time.
-const LEAST: usize = 6;
+/// Minimum number of gateways that fetch a table concurrently.
+const MIN_CONCURRENT_GATEWAYS: usize = 6;
 
-/// After how long another takes the turn of one that asks for no further piece.
-const IDLE: Duration = Duration::from_millis(600);
+/// Time after which a gateway that requests no further chunk makes room for another one.
+const TRANSFER_IDLE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// A piece of a packed document.
+/// A chunk of a packed document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// The table's number.
+    /// The number of the table.
     pub number: u64,
-    /// The length of the whole, in bytes.
+    /// The length of the whole document in bytes.
     pub total_len: usize,
-    /// Where the piece begins.
+    /// The offset of the chunk in bytes.
     pub offset: usize,
-    /// The piece.
+    /// The text of the chunk.
     pub text: String,
 }
 
 impl Chunk {
-    /// The piece of `publication` that follows the first `from` bytes of number `number`; the first one
-    /// where another table is in force by now.
+    /// Returns the chunk of `publication` at `offset` of the table `number`, or the first chunk if
+    /// another table is active by now.
     #[must_use]
     pub fn cut(publication: &Publication, number: u64, offset: usize) -> Self {
         let text = publication.document.as_packed();
-        let wanted = if number == publication.number {
+        let start = if number == publication.number {
             offset
         } else {
             0
         };
-        let offset = text.floor_char_boundary(wanted);
-        let end = text.floor_char_boundary(offset + SIZE);
+        let offset = text.floor_char_boundary(start);
+        let end = text.floor_char_boundary(offset + CHUNK_BYTES);
         Self {
             number: publication.number,
             total_len: text.len(),
@@ -58,47 +58,48 @@
     }
 }
 
-/// Whose turn it is to be handed the table.
+/// Limits how many gateways fetch the table concurrently.
 ///
-/// All at once fill the leader's link for longer than any question waits, so that none of them gets the
-/// whole and the leader is not heard any more.
+/// All gateways at once would fill the leader's link for longer than a request waits, so that none
+/// would receive the whole table and the leader's heartbeats would be lost.
 #[derive(Clone, Debug)]
 pub struct Distribution {
-    turns: BTreeMap<Host, Instant>,
-    /// How many gateways are handed it at the same time.
-    most: usize,
+    transfers: BTreeMap<Host, Instant>,
+    /// How many gateways may fetch the table concurrently.
+    max_gateways: usize,
 }
 
 impl Distribution {
-    /// For a leader whose link carries `link` bytes a second.
+    /// Creates the limit for a leader with a link of `link_bytes_per_s`.
     #[must_use]
-    pub fn new(link: f64) -> Self {
+    pub fn new(link_bytes_per_s: f64) -> Self {
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let most = (link * HELD_UP) as usize / SIZE;
+        let max_gateways = (link_bytes_per_s * MAX_LINK_DELAY_S) as usize / CHUNK_BYTES;
         Self {
-            turns: BTreeMap::new(),
-            most: most.max(LEAST),
+            transfers: BTreeMap::new(),
+            max_gateways: max_gateways.max(MIN_CONCURRENT_GATEWAYS),
         }
     }
 
-    /// Whether `host` may be handed a piece at `now`.
+    /// Returns whether `host` may receive a chunk at `now`.
     pub fn admit(&mut self, host: &Host, now: Instant) -> bool {
-        if !self.turns.contains_key(host) && self.turns.len() >= self.most {
+        if !self.transfers.contains_key(host) && self.transfers.len() >= self.max_gateways {
             return false;
         }
-        self.turns.insert(host.clone(), now);
+        self.transfers.insert(host.clone(), now);
         true
     }
 
-    /// Takes the turns of those that have not asked for long; how many there were.
+    /// Removes gateways that have not requested a chunk for a while, and returns their number.
     pub fn expire(&mut self, now: Instant) -> usize {
-        let held = self.turns.len();
-        self.turns.retain(|_, asked| now.since(*asked) < IDLE);
-        held - self.turns.len()
+        let former_count = self.transfers.len();
+        self.transfers
+            .retain(|_, last_request| now.since(*last_request) < TRANSFER_IDLE_TIMEOUT);
+        former_count - self.transfers.len()
     }
 
-    /// `host` has got the whole.
+    /// Removes `host`, which has received the whole table.
     pub fn finish(&mut self, host: &Host) {
-        self.turns.remove(host);
+        self.transfers.remove(host);
     }
 }
