--- a/crates/core/src/gateway/incarnations.rs
+++ b/crates/core/src/gateway/incarnations.rs
@@ -1,8 +1,8 @@
-//! Which incarnation of each backend server is the present one.
+//! Tracks which incarnation of each backend server is current.
 //!
-//! Load pattern: servers crash and start again under the name that they had, several at once, while the
-//! platform's list lags, repeats an older copy, or is read by another host. A copy that names the former
-//! incarnation must not bring back what was believed of it.
+//! Load pattern: several servers crash at once and restart under the same names, while the
+//! platform's list lags, repeats an older copy, or is read by another host. A copy that names a
+//! former incarnation must not bring back what was known of it.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,53 +10,59 @@
 use super::Server;
 use super::ServerList;
 
-/// How many former incarnations of a server are remembered: one that crashes every few seconds has that
-/// many within the time by which the platform's list lags.
-const FORMER: usize = 8;
+/// Number of former incarnations of a server that are remembered. A server that crashes every few
+/// seconds has about as many within the time by which the platform's list lags.
+const MAX_FORMER_INCARNATIONS: usize = 8;
 
-/// How many copies of the list in a row must name a former incarnation, or one that leaves as one that stays, for
-/// it to be so after all: what one copy repeats, a second repeats too, but a server that is there is named by all.
-const STEADY: u32 = 3;
+/// Number of consecutive copies of the list that must name a former incarnation, or a leaving one
+/// as staying, before this is believed. What one stale copy repeats, a second one may repeat, but
+/// every copy names a server that is really there.
+const MIN_CONTRADICTING_COPIES: u32 = 3;
 
-/// What is known of the incarnations of one server.
+/// The known incarnations of one server.
 #[derive(Clone, Debug)]
 struct ServerHistory {
-    /// The present one, as the list last had it.
-    present: Server,
-    /// Those before it, newest last.
+    /// The current incarnation, as last listed.
+    current: Server,
+    /// The former incarnations, oldest first.
     former: Vec<Arc<str>>,
-    /// How many copies in a row have named a former one, or the present one as it was before it left.
-    contradicted: u32,
+    /// The number of consecutive copies that named a former incarnation, or the current one as it
+    /// was before it was leaving.
+    contradicting_copies: u32,
 }
 
 impl ServerHistory {
-    /// What stands for the server on a list that names `server`.
-    fn take(&mut self, server: Server) -> Server {
-        let is_older = self.former.contains(&server.incarnation) || self.stays_again(&server);
-        self.contradicted = if is_older { self.contradicted + 1 } else { 0 };
-        if is_older && self.contradicted < STEADY {
-            return self.present.clone();
+    /// Returns the server to use in place of `server` in a copy of the list.
+    fn apply(&mut self, server: Server) -> Server {
+        let is_stale = self.former.contains(&server.incarnation) || self.reverts_leaving(&server);
+        self.contradicting_copies = if is_stale {
+            self.contradicting_copies + 1
+        } else {
+            0
+        };
+        if is_stale && self.contradicting_copies < MIN_CONTRADICTING_COPIES {
+            return self.current.clone();
         }
-        if server.incarnation != self.present.incarnation {
+        if server.incarnation != self.current.incarnation {
             self.former.retain(|former| *former != server.incarnation);
-            self.former.push(Arc::clone(&self.present.incarnation));
-            if self.former.len() > FORMER {
+            self.former.push(Arc::clone(&self.current.incarnation));
+            if self.former.len() > MAX_FORMER_INCARNATIONS {
                 self.former.remove(0);
             }
         }
-        self.contradicted = 0;
-        self.present = server.clone();
+        self.contradicting_copies = 0;
+        self.current = server.clone();
         server
     }
 
-    /// Whether `server` is the present incarnation as it was before it was to leave.
-    fn stays_again(&self, server: &Server) -> bool {
-        let is_present = server.incarnation == self.present.incarnation;
-        is_present && self.present.leaving && !server.leaving
+    /// Returns whether `server` is the current incarnation as it was before it was leaving.
+    fn reverts_leaving(&self, server: &Server) -> bool {
+        let is_current = server.incarnation == self.current.incarnation;
+        is_current && self.current.leaving && !server.leaving
     }
 }
 
-/// The present incarnation of each server on the list; memory is linear in the list.
+/// Tracks the current incarnation of each server on the list. Memory is linear in the list.
 ///
 /// # Examples
 ///
@@ -68,49 +74,50 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Incarnations {
-    known: HashMap<Arc<str>, ServerHistory>,
+    servers: HashMap<Arc<str>, ServerHistory>,
 }
 
 impl Incarnations {
-    /// Takes up a copy of the list; gives it with each server once, in its present incarnation.
+    /// Applies a copy of the list, and returns it with the current incarnation of each server only.
     ///
-    /// A server that the copy leaves out is forgotten: what comes under its name later is a start anew.
-    pub fn apply(&mut self, listing: ServerList) -> ServerList {
-        let mut known = HashMap::with_capacity(listing.servers.len());
-        let mut servers = Vec::with_capacity(listing.servers.len());
-        for server in self.once_each(listing) {
+    /// A server that the copy lacks is forgotten; a later server of that name counts as a new
+    /// start.
+    pub fn apply(&mut self, server_list: ServerList) -> ServerList {
+        let mut histories = HashMap::with_capacity(server_list.servers.len());
+        let mut servers = Vec::with_capacity(server_list.servers.len());
+        for server in self.deduplicate(server_list) {
             let name = Arc::clone(&server.name);
-            let life = self.known.remove(&name);
-            let mut life = life.unwrap_or_else(|| ServerHistory {
-                present: server.clone(),
+            let history = self.servers.remove(&name);
+            let mut history = history.unwrap_or_else(|| ServerHistory {
+                current: server.clone(),
                 former: Vec::new(),
-                contradicted: 0,
+                contradicting_copies: 0,
             });
-            servers.push(life.take(server));
-            known.insert(name, life);
+            servers.push(history.apply(server));
+            histories.insert(name, history);
         }
-        self.known = known;
+        self.servers = histories;
         ServerList::new(servers)
     }
 
-    /// The servers of a copy, each once: of two incarnations the one that is not known as a former one,
-    /// else the one that began last.
-    fn once_each(&self, listing: ServerList) -> Vec<Server> {
-        let mut each: HashMap<Arc<str>, Server> = HashMap::new();
-        for server in listing.servers {
-            let goes_before = |other: &Server| {
+    /// Returns each server of a copy once. Of two incarnations it prefers the one that is not known
+    /// as a former one, then the one that started last.
+    fn deduplicate(&self, server_list: ServerList) -> Vec<Server> {
+        let mut by_name: HashMap<Arc<str>, Server> = HashMap::new();
+        for server in server_list.servers {
+            let is_preferred = |other: &Server| {
                 let order = |server: &Server| (!self.is_former(server), server.started_ms);
                 order(&server) > order(other)
             };
-            if each.get(&server.name).is_none_or(goes_before) {
-                each.insert(Arc::clone(&server.name), server);
+            if by_name.get(&server.name).is_none_or(is_preferred) {
+                by_name.insert(Arc::clone(&server.name), server);
             }
         }
-        each.into_values().collect()
+        by_name.into_values().collect()
     }
 
     fn is_former(&self, server: &Server) -> bool {
-        let life = self.known.get(&server.name);
-        life.is_some_and(|life| life.former.contains(&server.incarnation))
+        let history = self.servers.get(&server.name);
+        history.is_some_and(|history| history.former.contains(&server.incarnation))
     }
 }
