--- a/crates/core/src/gateway/shares.rs
+++ b/crates/core/src/gateway/shares.rs
@@ -1,4 +1,4 @@
-//! Which gateways hold a part of what all of them may let in or send again by themselves.
+//! Which gateways hold a share of what all of them may admit or retry without the hub.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,30 +13,31 @@
 
 use super::version::version;
 
-/// Between two changes of the parts, and before a leader's first: each is an entry of the log, and after a
-/// start of all, gateways come within some 300 ms.
-const APART: Duration = Duration::from_millis(300);
+/// Minimum time between two changes of the shares, and before a leader's first one. Each change is
+/// an entry of the log, and after a start of all hosts, the gateways appear within about 300 ms.
+const MIN_CHANGE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// One further part for so many gateways, so that one that comes need not wait until all others have heard
-/// that the parts are smaller.
-const FURTHER: u32 = 8;
+/// Number of holders per spare share. A spare share lets a new gateway hold one at once, without
+/// waiting until all others know that the shares have become smaller.
+const HOLDERS_PER_SPARE_SHARE: u32 = 8;
 
-/// In how many parts what gateways may do by themselves is cut, and who holds one; kept in the log.
+/// The number of shares into which the gateways' allowance without the hub is divided, and who
+/// holds one. Both are stored in the log.
 ///
-/// It holds that the parts by which hosts go are never more than one together, though a host goes by a
-/// word for as long as [`quota::HELD`]: one is added only once all holders have got a word of there being
-/// parts enough, and one is taken out only once it has had no word for so long. A leader that has only
-/// begun counts from its own beginning.
+/// The shares in use never add up to more than the whole, although a host may use a reply for as
+/// long as [`quota::HELD`]: a holder is added only once all holders have received a reply that
+/// reflects a sufficient number of shares, and removed only once it has had no reply for that long.
+/// A new leader counts this time from its own start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shares {
-    /// How many parts there are.
+    /// The number of shares.
     pub count: u32,
-    /// The hosts that hold one.
+    /// The hosts that hold a share.
     pub holders: BTreeSet<Host>,
 }
 
 impl Shares {
-    /// The part that `host` holds, 0 to 1.
+    /// Returns the share of `host`, from 0 to 1.
     #[must_use]
     pub fn share_of(&self, host: &Host) -> f64 {
         if self.holders.contains(host) {
@@ -46,174 +47,204 @@
         }
     }
 
-    /// So many parts, 0 to 1.
+    /// Returns the fraction that `shares` shares make up, from 0 to 1.
     #[must_use]
-    pub fn fraction(&self, parts: usize) -> f64 {
-        let parts = u32::try_from(parts).unwrap_or(u32::MAX);
-        f64::from(parts.min(self.count)) / f64::from(self.count.max(1))
+    pub fn fraction(&self, shares: usize) -> f64 {
+        let shares = u32::try_from(shares).unwrap_or(u32::MAX);
+        f64::from(shares.min(self.count)) / f64::from(self.count.max(1))
     }
 }
 
-/// When a gateway was last answered, and which answer it has surely got.
+/// The replies sent to a gateway and the one it has acknowledged.
 #[derive(Clone, Copy, Debug)]
-struct Told {
-    /// The number of the last answer, and when it was given.
-    last: (u64, Instant),
-    /// When the newest answer was given that the gateway says it has got.
-    got: Option<Instant>,
+struct GatewayReplies {
+    /// The number of the last reply, and when it was sent.
+    last_reply: (u64, Instant),
+    /// When the newest reply that the gateway has acknowledged was sent.
+    acknowledged_at: Option<Instant>,
 }
 
-/// A leader's care of the parts.
+/// Allocates the shares to gateways on behalf of the leader.
 #[derive(Clone, Debug)]
 pub struct ShareAllocator {
-    began: Instant,
-    parts: Shares,
-    /// Since when there are at least as many parts as now.
-    grown: Instant,
-    /// The change that is on its way into the log.
+    started: Instant,
+    shares: Shares,
+    /// Since when the number of shares has not been smaller than now.
+    grown_at: Instant,
+    /// The change that is being committed to the log.
     proposed: Option<Shares>,
-    /// When the last change was begun.
-    changed: Instant,
-    told: BTreeMap<Host, Told>,
-    /// What [`ShareAllocator::hub_fraction`] last came to, and until when that stands.
+    /// When the last change was proposed.
+    changed_at: Instant,
+    replies: BTreeMap<Host, GatewayReplies>,
+    /// The last result of [`ShareAllocator::hub_fraction`], and until when it is valid.
     hub_fraction: Option<(f64, Instant)>,
 }
 
 impl ShareAllocator {
-    /// A leader begins at `now`.
+    /// Creates the allocator of a leader that starts at `now`.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
-            began: now,
-            parts: Shares::default(),
-            grown: now,
+            started: now,
+            shares: Shares::default(),
+            grown_at: now,
             proposed: None,
-            changed: now,
-            told: BTreeMap::new(),
+            changed_at: now,
+            replies: BTreeMap::new(),
             hub_fraction: None,
         }
     }
 
-    /// Takes up the parts as they stand in the log at `now`.
-    pub fn apply(&mut self, parts: &Shares, now: Instant) {
-        if *parts == self.parts {
+    /// Applies the shares that are committed to the log.
+    pub fn apply(&mut self, shares: &Shares, now: Instant) {
+        if *shares == self.shares {
             return;
         }
-        if parts.count > self.parts.count {
-            self.grown = now;
+        if shares.count > self.shares.count {
+            self.grown_at = now;
         }
-        self.parts = parts.clone();
+        self.shares = shares.clone();
         self.proposed = None;
         self.hub_fraction = None;
     }
 
-    /// A gateway asks, and says which answer it has got last.
-    pub fn on_poll(&mut self, host: &Host, got: u64, now: Instant) {
-        if let Some(told) = self.told.get_mut(host)
-            && told.last.0 == got
+    /// Records a gateway's poll, which acknowledges the reply `last_reply`.
+    pub fn on_poll(&mut self, host: &Host, last_reply: u64, now: Instant) {
+        if let Some(replies) = self.replies.get_mut(host)
+            && replies.last_reply.0 == last_reply
         {
-            let was_aside = told.got.is_none_or(|got| got + quota::ASIDE <= now);
-            told.got = Some(told.last.1);
-            if was_aside {
+            let was_set_aside = replies
+                .acknowledged_at
+                .is_none_or(|acknowledged| acknowledged + quota::ASIDE <= now);
+            replies.acknowledged_at = Some(replies.last_reply.1);
+            if was_set_aside {
                 self.hub_fraction = None;
             }
         }
     }
 
-    /// A gateway is answered: gives the answer's number and the part that it holds.
+    /// Records that the reply `number` is sent to a gateway, and returns the gateway's share.
     pub fn on_reply(&mut self, host: &Host, number: u64, now: Instant) -> f64 {
-        let got = self.acknowledged_at(host);
-        let last = (number, now);
-        self.told.insert(host.clone(), Told { last, got });
+        let acknowledged_at = self.acknowledged_at(host);
+        let last_reply = (number, now);
+        self.replies.insert(
+            host.clone(),
+            GatewayReplies {
+                last_reply,
+                acknowledged_at,
+            },
+        );
         let stays = |next: &Shares| next.holders.contains(host);
         if self.proposed.as_ref().is_none_or(stays) {
-            self.parts.share_of(host)
+            self.shares.share_of(host)
         } else {
             0.0
         }
     }
 
-    /// The part (0 to 1) of the allowances that is the hub's: not that of holders that have not said for
-    /// [`quota::ASIDE`] that they got an answer.
+    /// Returns the fraction, 0 to 1, of the allowance that the hub may use. It excludes the shares
+    /// of holders that have acknowledged no reply for [`quota::ASIDE`].
     ///
-    /// It is asked for at each request, and worked out again only when it can have changed: that costs time
-    /// linear in the holders.
+    /// It is called for each request and computed again only when it can have changed, as this
+    /// takes time linear in the number of holders.
     pub fn hub_fraction(&mut self, now: Instant) -> f64 {
-        if let Some((present, until)) = self.hub_fraction
-            && now < until
+        if let Some((fraction, valid_until)) = self.hub_fraction
+            && now < valid_until
         {
-            return present;
+            return fraction;
         }
-        let heard = self
-            .parts
+        let acknowledged = self
+            .shares
             .holders
             .iter()
             .filter_map(|host| self.acknowledged_at(host));
-        let ends = heard.map(|got| got + quota::ASIDE).filter(|end| now < *end);
-        let (count, until) = ends.fold((0, now + quota::ASIDE), |(count, until), end| {
-            (count + 1, until.min(end))
-        });
-        let present = 1.0 - self.parts.fraction(self.parts.holders.len() - count);
-        self.hub_fraction = Some((present, until));
-        present
+        let expiries = acknowledged
+            .map(|acknowledged| acknowledged + quota::ASIDE)
+            .filter(|expiry| now < *expiry);
+        let (count, valid_until) = expiries
+            .fold((0, now + quota::ASIDE), |(count, valid_until), expiry| {
+                (count + 1, valid_until.min(expiry))
+            });
+        let fraction = 1.0 - self.shares.fraction(self.shares.holders.len() - count);
+        self.hub_fraction = Some((fraction, valid_until));
+        fraction
     }
 
-    /// When the newest answer was given that `host` says it has got.
+    /// Returns when the newest reply that `host` has acknowledged was sent.
     fn acknowledged_at(&self, host: &Host) -> Option<Instant> {
-        self.told.get(host).and_then(|told| told.got)
+        self.replies
+            .get(host)
+            .and_then(|replies| replies.acknowledged_at)
     }
 
-    /// The parts as they are to be, where they are to change; none is added to `most` holders or more.
-    pub fn propose(&mut self, most: usize, now: Instant) -> Option<Shares> {
-        if now.since(self.changed) < APART || self.proposed.is_some() {
+    /// Returns the shares to commit if they should change. No holder is added if there are
+    /// `max_holders` or more.
+    pub fn propose(&mut self, max_holders: usize, now: Instant) -> Option<Shares> {
+        if now.since(self.changed_at) < MIN_CHANGE_INTERVAL || self.proposed.is_some() {
             return None;
         }
-        let holders = &self.parts.holders;
-        self.told
-            .retain(|host, told| holders.contains(host) || now.since(told.last.1) < quota::HELD);
-        let next = self.next_shares(most, now);
-        if next == self.parts {
+        let holders = &self.shares.holders;
+        self.replies.retain(|host, replies| {
+            holders.contains(host) || now.since(replies.last_reply.1) < quota::HELD
+        });
+        let next = self.next_shares(max_holders, now);
+        if next == self.shares {
             return None;
         }
-        self.changed = now;
+        self.changed_at = now;
         self.proposed = Some(next.clone());
         Some(next)
     }
 
-    fn next_shares(&self, most: usize, now: Instant) -> Shares {
-        let goes_by = |host: &Host| {
-            let last = self.told.get(host).map_or(self.began, |told| told.last.1);
-            now.since(last) < quota::HELD
+    fn next_shares(&self, max_holders: usize, now: Instant) -> Shares {
+        let may_use_share = |host: &Host| {
+            let last_reply_at = self
+                .replies
+                .get(host)
+                .map_or(self.started, |replies| replies.last_reply.1);
+            now.since(last_reply_at) < quota::HELD
         };
-        let holders = self.parts.holders.iter().filter(|host| goes_by(host));
+        let holders = self
+            .shares
+            .holders
+            .iter()
+            .filter(|host| may_use_share(host));
         let mut holders: BTreeSet<_> = holders.cloned().collect();
-        let comes = |host: &&Host| !holders.contains(*host) && goes_by(host);
-        let come = self.told.keys().filter(comes).cloned();
-        let come = chosen(come.collect(), most.saturating_sub(holders.len()));
-        let wanted = u32::try_from(holders.len() + come.len()).unwrap_or(u32::MAX);
-        if wanted > self.parts.count {
-            let count = wanted + wanted / FURTHER;
-            // Where nobody holds a part, nobody goes by a larger one.
-            let holders = if holders.is_empty() { come } else { holders };
+        let is_new = |host: &&Host| !holders.contains(*host) && may_use_share(host);
+        let new_holders = self.replies.keys().filter(is_new).cloned();
+        let new_holders = select(
+            new_holders.collect(),
+            max_holders.saturating_sub(holders.len()),
+        );
+        let needed = u32::try_from(holders.len() + new_holders.len()).unwrap_or(u32::MAX);
+        if needed > self.shares.count {
+            let count = needed + needed / HOLDERS_PER_SPARE_SHARE;
+            // Without holders, nobody uses a larger share.
+            let holders = if holders.is_empty() {
+                new_holders
+            } else {
+                holders
+            };
             return Shares { count, holders };
         }
-        let heard_of_it = |host: &Host| {
+        let knows_smaller_shares = |host: &Host| {
             self.acknowledged_at(host)
-                .is_some_and(|got| got >= self.grown)
+                .is_some_and(|acknowledged| acknowledged >= self.grown_at)
         };
-        if holders.iter().all(heard_of_it) {
-            holders.extend(come);
+        if holders.iter().all(knows_smaller_shares) {
+            holders.extend(new_holders);
         }
         Shares {
-            count: self.parts.count,
+            count: self.shares.count,
             holders,
         }
     }
 }
 
-/// `most` of those hosts that come, drawn evenly over all: hosts next to each other go together.
-fn chosen(mut come: Vec<Host>, most: usize) -> BTreeSet<Host> {
-    come.sort_by_key(|host| version(&host.as_str()));
-    come.truncate(most);
-    come.into_iter().collect()
+/// Selects up to `max_holders` of the new hosts by hash, as hosts with adjacent names tend to fail
+/// together.
+fn select(mut new_holders: Vec<Host>, max_holders: usize) -> BTreeSet<Host> {
+    new_holders.sort_by_key(|host| version(&host.as_str()));
+    new_holders.truncate(max_holders);
+    new_holders.into_iter().collect()
 }
