--- a/crates/core/src/gateway/server_list_cache.rs
+++ b/crates/core/src/gateway/server_list_cache.rs
@@ -1,4 +1,4 @@
-//! What a gateway holds of the list of backend servers.
+//! A gateway's copy of the server list.
 
 use crate::id;
 
@@ -6,100 +6,107 @@
 use super::ServerList;
 use super::ServerListUpdate;
 
-/// What a gateway holds of the list of backend servers: its subset, and the whole where it keeps that.
+/// A gateway's copy of the server list: its subset, and the whole list where the gateway stores
+/// that.
 ///
-/// A gateway beside a control replica keeps the whole, so that the next leader has it at once: fetching the
-/// 60 pages of 3,000 servers took a new leader 0.7 s, in which nobody got a place. Those are a handful of
-/// hosts, whatever the number of gateways.
+/// A gateway beside a control replica stores the whole list, so that the next leader has it at
+/// once: fetching the 60 pages of 3,000 servers took a new leader 0.7 s in which no request got a
+/// slot. There are only a handful of such hosts, however many gateways there are.
 #[derive(Clone, Debug)]
 pub struct ServerListCache {
     host: id::Host,
-    keeps_whole: bool,
+    stores_whole: bool,
     whole: Option<ServerList>,
     subset: ServerList,
-    /// Which incarnations of the servers are the present ones, by the copies so far.
-    lives: Incarnations,
-    /// Whether news came of another subset than the one held, which serves until the whole comes.
-    lacks: bool,
+    /// The current incarnations of the servers, by the copies so far.
+    incarnations: Incarnations,
+    /// Whether an update of another subset was received. The current subset stays in use until the
+    /// whole one is received.
+    needs_whole: bool,
 }
 
 impl ServerListCache {
-    /// The gateway on `host` holds nothing yet.
+    /// Creates an empty cache for the gateway on `host`.
     #[must_use]
-    pub fn new(host: id::Host, keeps_whole: bool) -> Self {
+    pub fn new(host: id::Host, stores_whole: bool) -> Self {
         Self {
             host,
-            keeps_whole,
+            stores_whole,
             whole: None,
             subset: ServerList::default(),
-            lives: Incarnations::default(),
-            lacks: false,
+            incarnations: Incarnations::default(),
+            needs_whole: false,
         }
     }
 
-    /// The gateway's host.
+    /// Returns the gateway's host.
     #[must_use]
     pub fn get_host(&self) -> &id::Host {
         &self.host
     }
 
-    /// The servers that it may send to by its own choice; version 0 where it has no list yet.
+    /// Returns the servers to which the gateway may send by local decision. Its version is 0 before
+    /// there is a list.
     #[must_use]
     pub fn get_subset(&self) -> &ServerList {
         &self.subset
     }
 
-    /// Whether it is told the whole list.
+    /// Returns whether the gateway receives the whole list.
     #[must_use]
-    pub fn keeps_whole(&self) -> bool {
-        self.keeps_whole
+    pub fn stores_whole(&self) -> bool {
+        self.stores_whole
     }
 
-    /// The version of what the hub tells it of, as it holds it.
+    /// Returns the version that the gateway reports to the hub, or 0 if it needs the whole subset
+    /// or list.
     #[must_use]
     pub fn get_version(&self) -> u64 {
-        if self.lacks {
+        if self.needs_whole {
             0
-        } else if self.keeps_whole {
+        } else if self.stores_whole {
             self.whole.as_ref().map_or(0, |whole| whole.version)
         } else {
             self.subset.version
         }
     }
 
-    /// The whole list, where it is known here and the hub holds another, of version `held`.
+    /// Returns the whole list if it is known here and its version is not the hub's, `hub_version`.
     #[must_use]
-    pub fn for_hub(&self, held: u64) -> Option<&ServerList> {
+    pub fn for_hub(&self, hub_version: u64) -> Option<&ServerList> {
         let whole = self.whole.as_ref();
-        whole.filter(|whole| whole.version != held)
+        whole.filter(|whole| whole.version != hub_version)
     }
 
-    /// Takes up a copy of the whole list.
+    /// Replaces the whole list by a new copy.
     pub fn set_whole(&mut self, copy: ServerList) {
-        let whole = self.lives.apply(copy);
+        let whole = self.incarnations.apply(copy);
         self.subset = whole.subset(&self.host);
-        self.lacks = false;
+        self.needs_whole = false;
         self.whole = Some(whole);
     }
 
-    /// Takes up what the hub tells.
-    pub fn apply(&mut self, news: ServerListUpdate) {
-        match news {
-            ServerListUpdate::Whole(listing) if self.keeps_whole => self.set_whole(listing),
-            news => match self.subset.apply(news) {
-                Some(after) => {
-                    self.subset = after;
-                    self.lacks = false;
+    /// Applies an update from the hub.
+    pub fn apply(&mut self, update: ServerListUpdate) {
+        match update {
+            ServerListUpdate::Whole(server_list) if self.stores_whole => {
+                self.set_whole(server_list)
+            }
+            update => match self.subset.apply(update) {
+                Some(updated) => {
+                    self.subset = updated;
+                    self.needs_whole = false;
                 }
-                // The news are about another list: the whole subset comes with the next answer.
-                None => self.lacks = true,
+                // The update starts from another list. The next reply carries the whole subset.
+                None => self.needs_whole = true,
             },
         }
     }
 
-    /// Says that others fetch the list: one that was fetched here is soon older than the hub's.
+    /// Drops a list that was fetched here when another gateway fetches it from now on, as it would
+    /// soon be older than the hub's.
     pub fn drop_fetched(&mut self) {
-        if !self.keeps_whole {
+        if !self.stores_whole {
             self.whole = None;
         }
     }
--- a/crates/curlewlift/src/gateway/sync.rs
+++ b/crates/curlewlift/src/gateway/sync.rs
@@ -177,7 +177,7 @@
         gateway: node.gateway.clone(),
         ready: node.is_ready(),
         known_table: node.newest_table(),
-        wants_whole_list: holding.keeps_whole(),
+        wants_whole_list: holding.stores_whole(),
         server_list_version: holding.get_version(),
         membership_version: node.roll.borrow().version,
         standbys_version: node.deputies.borrow().version,
