--- a/crates/core/tests/cold_servers.rs
+++ b/crates/core/tests/cold_servers.rs
@@ -26,7 +26,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use support::lives;
+use support::incarnations;
 use support::messages;
 
 const STEP: Duration = Duration::from_millis(10);
@@ -54,7 +54,7 @@
     Server {
         slots: 1_000,
         cold,
-        ..lives::life(name, 0)
+        ..incarnations::incarnation(name, 0)
     }
 }
 
@@ -109,7 +109,7 @@
             _ => {}
         }
         for _ in 0..crowd {
-            leader.request_slot(messages::want(&"g".parse().expect("a name")), now);
+            leader.request_slot(messages::slot_request(&"g".parse().expect("a name")), now);
         }
         for (_, grant) in leader.grant_slots(now) {
             let sent = sent.entry(grant.server.incarnation).or_default();
@@ -144,7 +144,7 @@
         let mut given = 0;
         for _ in 0..1_000 {
             now = now + STEP;
-            hub.request_slot(messages::want(&"g".parse().expect("a name")), now);
+            hub.request_slot(messages::slot_request(&"g".parse().expect("a name")), now);
             given += hub.grant_slots(now).len();
             hub.reject_doomed(now);
         }
--- a/crates/core/tests/evacuated_halls.rs
+++ b/crates/core/tests/evacuated_halls.rs
@@ -22,7 +22,7 @@
 use curlewlift_core::state::Machine;
 use curlewlift_core::state::Record;
 
-use support::lives;
+use support::incarnations;
 use support::messages;
 
 fn ms(count: u64) -> Instant {
@@ -32,7 +32,7 @@
 fn server(name: &str, hall: &str) -> Server {
     Server {
         hall: hall.into(),
-        ..lives::life(name, 0)
+        ..incarnations::incarnation(name, 0)
     }
 }
 
@@ -73,7 +73,7 @@
 }
 
 fn want() -> SlotRequest {
-    messages::want(&"g".parse().expect("a name"))
+    messages::slot_request(&"g".parse().expect("a name"))
 }
 
 /// What waits in line when a hall is evacuated goes elsewhere; gateways are told, and again when it ends.
@@ -95,7 +95,7 @@
             ["s1", "s2"]
         };
         assert_eq!(places, all, "{step}");
-        let mut question = messages::question(&"g".parse().expect("a name"));
+        let mut question = messages::poll(&"g".parse().expect("a name"));
         question.policy_version = policies.last().map_or(0, |policy: &Policy| policy.version);
         hub.on_poll(&question, now);
         assert!(hub.has_update(&question));
--- a/crates/core/tests/gateway_hub.rs
+++ b/crates/core/tests/gateway_hub.rs
@@ -34,7 +34,7 @@
                 .expect("an address"),
         },
         loads: vec![load],
-        ..messages::question(&host.parse().expect("a name"))
+        ..messages::poll(&host.parse().expect("a name"))
     }
 }
 
--- a/crates/core/tests/hub_places.rs
+++ b/crates/core/tests/hub_slots.rs
@@ -70,7 +70,7 @@
         wait_limit: Duration::from_millis(200),
         time_left: Duration::from_secs(10),
         prompt: Tokens(10),
-        ..messages::want(&host.parse().expect("a name"))
+        ..messages::slot_request(&host.parse().expect("a name"))
     }
 }
 
@@ -182,7 +182,7 @@
             callers: "127.0.0.1:80".parse().expect("an address"),
         },
         loads: report("g", 0, 3).loads,
-        ..messages::question(&"g".parse().expect("a name"))
+        ..messages::poll(&"g".parse().expect("a name"))
     };
     hub.on_poll(&question, ms(0));
     asks(&mut hub, "gg", 1, ms(10));
--- a/crates/core/tests/large_fleets.rs
+++ b/crates/core/tests/large_fleets.rs
@@ -70,7 +70,7 @@
             server_list_version: self.listing.version,
             membership_version: self.roll.version,
             loads,
-            ..messages::question(&format!("g{}", self.place).parse().expect("a name"))
+            ..messages::poll(&format!("g{}", self.place).parse().expect("a name"))
         }
     }
 
--- a/crates/core/tests/limit_words.rs
+++ b/crates/core/tests/limit_words.rs
@@ -18,7 +18,7 @@
 use curlewlift_core::limit::Word;
 use curlewlift_core::limit::Words;
 
-use support::lives::life;
+use support::incarnations::incarnation;
 
 const HUB: u64 = 77;
 
@@ -57,7 +57,7 @@
     /// An answer to what the grant `by` sent names this limit; the hub's last grant is `last`.
     fn hear(&mut self, name: &str, limit: Option<&str>, by: u64, last: u64) {
         self.number += 1;
-        let server = life(name, 1);
+        let server = incarnation(name, 1);
         let word = Word {
             number: self.number,
             key: Key::of(&server),
@@ -104,7 +104,7 @@
 fn other_hubs_grants() {
     let mut hub = Hub::new();
     hub.hear("s", Some("3"), 5, 10);
-    let server = life("s", 1);
+    let server = incarnation("s", 1);
     for (number, mark) in [(2, GrantId { hub: 1, number: 99 }), (3, GrantId::default())] {
         let word = Word {
             number,
@@ -122,7 +122,7 @@
 fn told_again() {
     let mut hub = Hub::new();
     let mut local = Local::new(1);
-    local.hear(&life("s", 1), &named("3"), mark(1), at(0), at(1));
+    local.hear(&incarnation("s", 1), &named("3"), mark(1), at(0), at(1));
     let words = local.words();
     hub.tell(words.words.clone(), 1);
     assert!(hub.limit("s").is_some());
@@ -135,7 +135,7 @@
 /// A gateway is held to what it has heard until the hub has lifted it, through a change of the hub.
 #[test]
 fn kept_until_lifted() {
-    let server = life("s", 1);
+    let server = incarnation("s", 1);
     let (mut local, mut first) = (Local::new(1), Table::new(1));
     local.hear(&server, &named("3"), GrantId::default(), at(0), at(1));
     assert!(local.closes(&server, mark(1)));
@@ -192,7 +192,7 @@
     assert_eq!(hub.table.of_service(&service).count(), 4_096);
     let mut local = Local::new(1);
     let odd = Said::Odd("few".to_owned());
-    let server = life("s", 1);
+    let server = incarnation("s", 1);
     let said = local.hear(&server, &odd, mark(1), at(0), at(1));
     assert_eq!(said, Some(odd.clone()));
     assert_eq!(local.hear(&server, &odd, mark(2), at(1), at(2)), None);
@@ -221,7 +221,7 @@
 /// it has no limit any more.
 #[test]
 fn gets_what_it_names() {
-    let server = life("s", 1);
+    let server = incarnation("s", 1);
     for (named, got) in [("0", 2), ("0.2", 2), ("3", 30), ("40", 400)] {
         let mut ledger = Ledger::giving();
         ledger.set(&Key::of(&server), Some(&limit(named)), at(0));
@@ -236,7 +236,7 @@
 /// Another life owes nothing to the former one, but for what was heard lately and may have been its own word.
 #[test]
 fn another_life() {
-    let (former, next) = (life("s", 1), life("s", 2));
+    let (former, next) = (incarnation("s", 1), incarnation("s", 2));
     for (met, is_held) in [(4_999, true), (5_000, false)] {
         let mut local = Local::new(1);
         local.hear(&former, &named("3"), mark(1), at(0), at(0));
@@ -262,7 +262,7 @@
 /// named it.
 #[test]
 fn unconfirmed() {
-    let server = life("s", 1);
+    let server = incarnation("s", 1);
     let mut ledger = Ledger::giving();
     let told = Limit {
         confirmed: false,
--- a/crates/core/tests/server_lives.rs
+++ b/crates/core/tests/server_incarnations.rs
@@ -12,7 +12,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use support::lives::life;
+use support::incarnations::incarnation;
 
 const SEEDS: u64 = 1_000;
 
@@ -27,7 +27,7 @@
 #[test]
 fn late_copies() {
     let mut lives = Incarnations::default();
-    let copy = |born| ServerList::new(vec![life("s1", born)]);
+    let copy = |born| ServerList::new(vec![incarnation("s1", born)]);
     assert_eq!(births(&lives.apply(copy(10))), [10]);
     assert_eq!(births(&lives.apply(copy(20))), [20]);
     assert_eq!(births(&lives.apply(copy(10))), [20], "a late copy");
@@ -44,7 +44,7 @@
     let copy = |leaving| {
         ServerList::new(vec![Server {
             leaving,
-            ..life("s1", 10)
+            ..incarnation("s1", 10)
         }])
     };
     let mut leaves = |leaving| lives.apply(copy(leaving)).servers[0].leaving;
@@ -59,9 +59,9 @@
 #[test]
 fn two_entries() {
     let mut lives = Incarnations::default();
-    let both = || ServerList::new(vec![life("s1", 10), life("s1", 20)]);
+    let both = || ServerList::new(vec![incarnation("s1", 10), incarnation("s1", 20)]);
     assert_eq!(births(&lives.apply(both())), [20]);
-    lives.apply(ServerList::new(vec![life("s1", 5)]));
+    lives.apply(ServerList::new(vec![incarnation("s1", 5)]));
     assert_eq!(births(&lives.apply(both())), [10], "20 has ended");
 }
 
@@ -74,7 +74,7 @@
         let mut lives = Incarnations::default();
         let mut told = vec![100];
         let mut late = 0;
-        lives.apply(ServerList::new(vec![life("s1", 100)]));
+        lives.apply(ServerList::new(vec![incarnation("s1", 100)]));
         for _ in 0..60 {
             let newest = *told.last().expect("one");
             let is_late = late < 2 && random.random_ratio(1, 3);
@@ -87,7 +87,7 @@
             } else {
                 newest
             };
-            let given = lives.apply(ServerList::new(vec![life("s1", born)]));
+            let given = lives.apply(ServerList::new(vec![incarnation("s1", born)]));
             let present = if is_late { newest } else { born };
             assert_eq!(births(&given), [present], "seed {seed}");
             if !is_late && born != newest {
@@ -108,13 +108,13 @@
     use curlewlift_core::unit::Tokens;
     let now = Instant::default() + Duration::from_secs(1);
     let mut pool = Pool::new(Tuning::default(), 1);
-    let former = Arc::new(life("s1", 10));
-    let other = Arc::new(life("s2", 10));
+    let former = Arc::new(incarnation("s1", 10));
+    let other = Arc::new(incarnation("s2", 10));
     pool.adopt(vec![Arc::clone(&former), Arc::clone(&other)]);
     assert!(pool.take(&former, Tokens(100), now));
     pool.seen(&former.incarnation, End::Silent, now);
     assert_eq!(pool.avoided(&[], now).count(), 1);
-    pool.adopt(vec![Arc::new(life("s1", 20)), other]);
+    pool.adopt(vec![Arc::new(incarnation("s1", 20)), other]);
     let avoided = |pool: &Pool| {
         let mut avoided = pool.avoided(&[], now);
         avoided.any(|(incarnation, _)| *incarnation == *"s1/20")
--- a/crates/core/tests/server_notices.rs
+++ b/crates/core/tests/server_notices.rs
@@ -11,7 +11,7 @@
 use curlewlift_core::pool::Notice;
 use curlewlift_core::pool::Notices;
 
-use support::lives::life;
+use support::incarnations::incarnation;
 use support::resting::Flaw;
 use support::resting::SERVERS;
 use support::resting::SLOTS;
@@ -91,7 +91,7 @@
 #[test]
 fn longest_holds() {
     let mut notices = Notices::default();
-    let server = life("i-1", 1);
+    let server = incarnation("i-1", 1);
     take(&mut notices, &server, Notice::Rest(s(5)), at(0));
     let news = take(&mut notices, &server, Notice::Rest(s(1)), at(1));
     assert_eq!(news, None, "the longer one goes on");
@@ -105,7 +105,7 @@
 #[test]
 fn odd_times() {
     let mut notices = Notices::default();
-    let server = life("i-1", 1);
+    let server = incarnation("i-1", 1);
     let odd = Notice::Unreadable("soon".to_owned());
     assert!(take(&mut notices, &server, odd.clone(), at(0)).is_some());
     assert_eq!(take(&mut notices, &server, odd, at(1)), None, "said once");
@@ -121,11 +121,21 @@
 #[test]
 fn another_life() {
     let mut notices = Notices::default();
-    take(&mut notices, &life("i-1", 1), Notice::Rest(s(60)), at(0));
-    take(&mut notices, &life("i-2", 1), Notice::Rest(s(60)), at(9));
-    take(&mut notices, &life("i-3", 1), Notice::Leaves, at(9));
+    take(
+        &mut notices,
+        &incarnation("i-1", 1),
+        Notice::Rest(s(60)),
+        at(0),
+    );
+    take(
+        &mut notices,
+        &incarnation("i-2", 1),
+        Notice::Rest(s(60)),
+        at(9),
+    );
+    take(&mut notices, &incarnation("i-3", 1), Notice::Leaves, at(9));
     for name in ["i-1", "i-2", "i-3"] {
-        notices.meet(&life(name, 2), at(10));
+        notices.meet(&incarnation(name, 2), at(10));
     }
     assert!(!notices.closes("i-1/2", at(10)));
     assert!(notices.closes("i-2/2", at(60)));
@@ -140,7 +150,7 @@
 fn bounded() {
     let mut notices = Notices::default();
     for number in 0..5_000 {
-        let server = life(&format!("i-{number}"), 1);
+        let server = incarnation(&format!("i-{number}"), 1);
         take(&mut notices, &server, Notice::Leaves, at(number));
     }
     let left = (0..5_000).filter(|number| notices.is_leaving(&format!("i-{number}/1")));
--- a/crates/core/tests/support/ending.rs
+++ b/crates/core/tests/support/ending.rs
@@ -454,7 +454,7 @@
         },
         quarantine_version: node.quarantine.get_version(),
         observations,
-        ..messages::question(&node.host)
+        ..messages::poll(&node.host)
     }
 }
 
@@ -462,6 +462,6 @@
     SlotRequest {
         identity: identity.clone(),
         observations: node.quarantine.get_evidence().untold_of(identity),
-        ..messages::want(&node.host)
+        ..messages::slot_request(&node.host)
     }
 }
--- a/crates/core/tests/support/gateways.rs
+++ b/crates/core/tests/support/gateways.rs
@@ -104,7 +104,7 @@
             known_table: 1,
             server_list_version: 1,
             last_reply: self.got,
-            ..messages::question(&self.host)
+            ..messages::poll(&self.host)
         }
     }
 }
@@ -482,6 +482,6 @@
     SlotRequest {
         time_left: Duration::from_secs(10),
         charge: Some(charge),
-        ..messages::want(host)
+        ..messages::slot_request(host)
     }
 }
--- a/crates/core/tests/support/lives.rs
+++ b/crates/core/tests/support/incarnations.rs
@@ -2,8 +2,8 @@
 
 use curlewlift_core::gateway::Server;
 
-/// The incarnation of the server `name` that started at `started_ms`.
-pub(crate) fn life(name: &str, started_ms: u64) -> Server {
+/// Returns the incarnation of the server `name` that started at `started_ms`.
+pub(crate) fn incarnation(name: &str, started_ms: u64) -> Server {
     Server {
         incarnation: format!("{name}/{started_ms}").into(),
         name: name.into(),
--- a/crates/core/tests/support/limited.rs
+++ b/crates/core/tests/support/limited.rs
@@ -277,7 +277,7 @@
         let servers = self.engines.iter().enumerate();
         let servers = servers.map(|(place, engine)| Server {
             slots: SLOTS,
-            ..super::lives::life(&format!("s{place}"), engine.life)
+            ..super::incarnations::incarnation(&format!("s{place}"), engine.life)
         });
         servers.map(Arc::new).collect()
     }
@@ -420,7 +420,7 @@
             let question = Poll {
                 limit_reports: node.limits.words(),
                 limits_version: node.limits.get_held(),
-                ..messages::question(&node.host)
+                ..messages::poll(&node.host)
             };
             self.talks.push(Talk {
                 gateway: place,
@@ -623,7 +623,7 @@
         let node = &self.nodes[place];
         let want = SlotRequest {
             tried: tried.to_vec(),
-            ..messages::want(&node.host)
+            ..messages::slot_request(&node.host)
         };
         // It is sent to whoever leads at the address that answered last.
         let hub = self.hub.as_mut().filter(|_| !node.cut);
--- a/crates/core/tests/support/messages.rs
+++ b/crates/core/tests/support/messages.rs
@@ -1,4 +1,4 @@
-//! What gateways say to a hub, with nothing in particular in it.
+//! Messages of gateways to a hub with default contents.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 use curlewlift_core::route::Rank;
 use curlewlift_core::unit::Tokens;
 
-/// A request that waits for a second at most.
-pub(crate) fn want(host: &id::Host) -> SlotRequest {
+/// Returns a slot request that waits for up to a second.
+pub(crate) fn slot_request(host: &id::Host) -> SlotRequest {
     SlotRequest {
         host: host.clone(),
         hall: "a".into(),
@@ -37,8 +37,8 @@
     }
 }
 
-/// The question of a gateway that takes callers and holds nothing.
-pub(crate) fn question(host: &id::Host) -> Poll {
+/// Returns the poll of a gateway that accepts callers and has no data yet.
+pub(crate) fn poll(host: &id::Host) -> Poll {
     Poll {
         host: host.clone(),
         gateway: Gateway {
@@ -63,7 +63,7 @@
     }
 }
 
-/// The report of a gateway that has nothing in flight.
+/// Returns the report of a gateway without requests in flight.
 pub(crate) fn report(host: &id::Host) -> Report {
     Report {
         host: host.clone(),
--- a/crates/core/tests/support/resting.rs
+++ b/crates/core/tests/support/resting.rs
@@ -623,6 +623,6 @@
         avoid: node.pool.avoided(&[], now).collect(),
         backing_off: node.pool.get_notices().resting(now).collect(),
         allowed_halls: None,
-        ..messages::want(&node.host)
+        ..messages::slot_request(&node.host)
     }
 }
--- a/crates/core/tests/thousand_gateways.rs
+++ b/crates/core/tests/thousand_gateways.rs
@@ -32,7 +32,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use support::lives;
+use support::incarnations;
 use support::messages;
 
 const GATEWAYS: usize = 1_000;
@@ -48,7 +48,7 @@
 fn server(service: &str, place: usize) -> Server {
     Server {
         service: service.parse().expect("a name"),
-        ..lives::life(&format!("{service}-{place:05}"), 1)
+        ..incarnations::incarnation(&format!("{service}-{place:05}"), 1)
     }
 }
 
@@ -91,7 +91,7 @@
             ready: self.ready,
             server_list_version: self.holding.get_version(),
             membership_version: self.roll.version,
-            ..messages::question(&self.host)
+            ..messages::poll(&self.host)
         }
     }
 
@@ -436,7 +436,7 @@
                 let is_sent = budgets[place].take(1.0 / 1_119.0, now) || {
                     let want = SlotRequest {
                         needs_retry: true,
-                        ..messages::want(&host(place))
+                        ..messages::slot_request(&host(place))
                     };
                     matches!(hub.request_slot(want, now), SlotDecision::Queued(..))
                 };
