--- a/crates/core/tests/gateway_hub.rs
+++ b/crates/core/tests/gateway_hub.rs
@@ -1,4 +1,5 @@
-//! The hub: sums, the roll, the list, who fetches it, parts of the silent.
+//! Tests the hub's basic duties: it sums the load of other gateways, removes gateways that time out
+//! from the membership, sends the server list, and names one gateway to fetch it.
 
 mod support;
 
@@ -20,7 +21,7 @@
 
 use support::messages;
 
-fn question(host: &str, in_flight: u32) -> Poll {
+fn poll(host: &str, in_flight: u32) -> Poll {
     let load = Load {
         incarnation: "s1".into(),
         requests: in_flight,
@@ -38,7 +39,7 @@
     }
 }
 
-fn listing() -> Arc<ServerList> {
+fn server_list() -> Arc<ServerList> {
     let server = Server {
         incarnation: "s1".into(),
         name: "s1".into(),
@@ -59,92 +60,99 @@
 }
 
 #[test]
-fn sums_of_others() {
+fn sums_other_loads() {
     let mut hub = Hub::new(Tuning::default(), seconds(0));
-    hub.set_server_list(listing());
+    hub.set_server_list(server_list());
     for (host, in_flight) in [("g", 3), ("gg", 4), ("gg", 5)] {
-        hub.on_poll(&question(host, in_flight), seconds(1));
+        hub.on_poll(&poll(host, in_flight), seconds(1));
     }
-    let reply = hub.reply(&question("g", 3), &Publication::default(), seconds(1));
+    let reply = hub.reply(&poll("g", 3), &Publication::default(), seconds(1));
     assert_eq!(reply.other_loads[0].requests, 5);
-    let reply = hub.reply(&question("gg", 5), &Publication::default(), seconds(1));
+    let reply = hub.reply(&poll("gg", 5), &Publication::default(), seconds(1));
     assert_eq!(reply.other_loads[0].requests, 3);
 }
 
 #[test]
-fn silent_leave_roll() {
+fn timed_out_leave_membership() {
     let mut hub = Hub::new(Tuning::default(), seconds(0));
-    hub.on_poll(&question("g", 0), seconds(1));
-    hub.on_poll(&question("gg", 0), seconds(1));
-    let mut stopping = question("ggg", 0);
+    hub.on_poll(&poll("g", 0), seconds(1));
+    hub.on_poll(&poll("gg", 0), seconds(1));
+    let mut stopping = poll("ggg", 0);
     stopping.ready = false;
     hub.on_poll(&stopping, seconds(1));
-    let both = hub
-        .reply(&question("g", 0), &Publication::default(), seconds(1))
+    let two = hub
+        .reply(&poll("g", 0), &Publication::default(), seconds(1))
         .membership;
-    let both = Membership::default()
-        .apply(both.expect("new"))
-        .expect("whole");
-    assert_eq!(both.gateways.len(), 2, "a stopping one takes no callers");
-    hub.on_poll(&question("g", 0), seconds(4));
-    let one = hub
-        .reply(&question("g", 0), &Publication::default(), seconds(4))
+    let two = Membership::default()
+        .apply(two.expect("a membership update"))
+        .expect("a whole membership");
+    assert_eq!(
+        two.gateways.len(),
+        2,
+        "a stopping gateway accepts no callers"
+    );
+    hub.on_poll(&poll("g", 0), seconds(4));
+    let remaining = hub
+        .reply(&poll("g", 0), &Publication::default(), seconds(4))
         .membership;
-    let one = Membership::default()
-        .apply(one.expect("new"))
-        .expect("whole");
-    assert_eq!(one.gateways.len(), 1);
+    let remaining = Membership::default()
+        .apply(remaining.expect("a membership update"))
+        .expect("a whole membership");
+    assert_eq!(remaining.gateways.len(), 1);
 }
 
 #[test]
-fn forgotten_in_time() {
+fn forgets_timed_out_load() {
     let mut hub = Hub::new(Tuning::default(), seconds(0));
-    hub.set_server_list(listing());
-    hub.on_poll(&question("g", 0), seconds(1));
-    hub.on_poll(&question("gg", 2), seconds(1));
-    hub.on_poll(&question("g", 0), seconds(20));
-    let reply = hub.reply(&question("g", 0), &Publication::default(), seconds(20));
+    hub.set_server_list(server_list());
+    hub.on_poll(&poll("g", 0), seconds(1));
+    hub.on_poll(&poll("gg", 2), seconds(1));
+    hub.on_poll(&poll("g", 0), seconds(20));
+    let reply = hub.reply(&poll("g", 0), &Publication::default(), seconds(20));
     assert_eq!(hub.gateway_count(), 1);
     assert!(
         reply.other_loads.is_empty(),
-        "what it had in flight is over"
+        "the load of a timed-out gateway is dropped"
     );
 }
 
 #[test]
-fn list_given_out() {
-    let listing = listing();
+fn sends_server_list() {
+    let server_list = server_list();
     let mut hub = Hub::new(Tuning::default(), seconds(0));
-    let mut asked = question("g", 0);
-    hub.on_poll(&asked, seconds(1));
-    assert!(!hub.has_update(&asked), "no list is no news");
-    hub.set_server_list(Arc::clone(&listing));
-    assert!(hub.has_update(&asked));
-    let reply = hub.reply(&asked, &Publication::default(), seconds(1));
-    let whole = ServerListUpdate::Whole(ServerList::clone(&listing));
+    let mut poll = poll("g", 0);
+    hub.on_poll(&poll, seconds(1));
+    assert!(!hub.has_update(&poll), "a missing list is no update");
+    hub.set_server_list(Arc::clone(&server_list));
+    assert!(hub.has_update(&poll));
+    let reply = hub.reply(&poll, &Publication::default(), seconds(1));
+    let whole = ServerListUpdate::Whole(ServerList::clone(&server_list));
     assert_eq!(reply.server_list, Some(whole));
-    asked.server_list_version = listing.version;
-    let reply = hub.reply(&asked, &Publication::default(), seconds(1));
+    poll.server_list_version = server_list.version;
+    let reply = hub.reply(&poll, &Publication::default(), seconds(1));
     assert_eq!(
         (reply.server_list, reply.server_list_version),
-        (None, listing.version)
+        (None, server_list.version)
     );
 }
 
 #[test]
-fn one_fetches() {
+fn one_gateway_fetches() {
     let mut hub = Hub::new(Tuning::default(), seconds(0));
-    let beside = "gg".parse().expect("a name");
-    assert_eq!(hub.fetcher(&beside, seconds(1)), None);
-    hub.on_poll(&question("g", 0), seconds(1));
-    let fetcher = |hub: &Hub, now| hub.fetcher(&beside, now).map(|host| host.to_string());
+    let beside_leader = "gg".parse().expect("a name");
+    assert_eq!(hub.fetcher(&beside_leader, seconds(1)), None);
+    hub.on_poll(&poll("g", 0), seconds(1));
+    let fetcher = |hub: &Hub, now| {
+        hub.fetcher(&beside_leader, now)
+            .map(|host| host.to_string())
+    };
     assert_eq!(fetcher(&hub, seconds(1)).as_deref(), Some("g"));
-    hub.on_poll(&question("gg", 0), seconds(1));
+    hub.on_poll(&poll("gg", 0), seconds(1));
     assert_eq!(fetcher(&hub, seconds(1)).as_deref(), Some("gg"));
-    hub.on_poll(&question("g", 0), seconds(5));
+    hub.on_poll(&poll("g", 0), seconds(5));
     assert_eq!(
         fetcher(&hub, seconds(5)).as_deref(),
         Some("g"),
-        "the other is silent"
+        "the other gateway has timed out"
     );
 }
