--- a/crates/core/tests/hub_slots.rs
+++ b/crates/core/tests/hub_slots.rs
@@ -1,4 +1,5 @@
-//! Places at backend servers that the hub gives: one order, room over all gateways, lost words.
+//! Tests the slots that the hub grants: one order over the queues of all gateways, and no more
+//! requests at a server than it has room for, although messages are delayed or lost.
 
 mod support;
 
@@ -32,7 +33,7 @@
 
 use support::messages;
 
-/// Slots of each server; one more is given out.
+/// Slots of each server. The hub grants one more than that.
 const SLOTS: u32 = 2;
 
 const HUB: u64 = 77;
@@ -63,7 +64,7 @@
     hub
 }
 
-fn want(host: &str, rank: u8) -> SlotRequest {
+fn request(host: &str, rank: u8) -> SlotRequest {
     SlotRequest {
         rank: rank.into(),
         useful_for: Duration::from_millis(100),
@@ -74,15 +75,15 @@
     }
 }
 
-fn line(wanted: SlotDecision) -> Ticket {
-    match wanted {
+fn ticket(decision: SlotDecision) -> Ticket {
+    match decision {
         SlotDecision::Queued(ticket, _) => ticket,
-        other => panic!("no place in line: {other:?}"),
+        other => panic!("the request was not queued: {other:?}"),
     }
 }
 
-fn asks(hub: &mut Hub, host: &str, rank: u8, now: Instant) -> Ticket {
-    line(hub.request_slot(want(host, rank), now))
+fn enqueue(hub: &mut Hub, host: &str, rank: u8, now: Instant) -> Ticket {
+    ticket(hub.request_slot(request(host, rank), now))
 }
 
 fn report(host: &str, number: u64, in_flight: u32) -> Report {
@@ -97,86 +98,87 @@
     }
 }
 
-/// A hub whose only server is full with what `g` was granted; the last grant's mark.
-fn full() -> (Hub, GrantId) {
+/// Creates a hub whose only server is full with grants to `g`, and returns it with the id of the
+/// last grant.
+fn full_hub() -> (Hub, GrantId) {
     let mut hub = hub(&["s1"]);
     for _ in 0..=SLOTS {
-        asks(&mut hub, "g", 1, ms(1));
+        enqueue(&mut hub, "g", 1, ms(1));
     }
     let grants = hub.grant_slots(ms(1));
-    assert_eq!(grants.len(), 3, "its slots and one");
-    let mark = grants[2].1.id;
-    (hub, mark)
+    assert_eq!(grants.len(), 3, "one more than the slots");
+    let last_grant = grants[2].1.id;
+    (hub, last_grant)
 }
 
 #[test]
-fn one_order() {
-    let (mut hub, mark) = full();
-    let low = asks(&mut hub, "g", 2, ms(2));
-    let high = asks(&mut hub, "gg", 0, ms(3));
-    assert!(hub.grant_slots(ms(3)).is_empty(), "no room");
-    hub.report(&report("g", mark.number, 2), ms(4));
+fn orders_across_gateways() {
+    let (mut hub, last_grant) = full_hub();
+    let low = enqueue(&mut hub, "g", 2, ms(2));
+    let high = enqueue(&mut hub, "gg", 0, ms(3));
+    assert!(hub.grant_slots(ms(3)).is_empty(), "the server is full");
+    hub.report(&report("g", last_grant.number, 2), ms(4));
     assert_eq!(
         hub.grant_slots(ms(4))[0].0,
         high,
-        "whatever gateway it came to"
+        "the higher rank goes first, at either gateway"
     );
-    hub.report(&report("g", mark.number, 1), ms(5));
+    hub.report(&report("g", last_grant.number, 1), ms(5));
     assert_eq!(hub.grant_slots(ms(5))[0].0, low);
 }
 
 #[test]
-fn waited_counts() {
-    let (mut hub, mark) = full();
-    asks(&mut hub, "g", 1, ms(500));
-    let mut elder = want("gg", 1);
-    elder.waited = Duration::from_millis(300);
-    let elder = line(hub.request_slot(elder, ms(501)));
-    hub.report(&report("g", mark.number, 2), ms(502));
-    assert_eq!(hub.grant_slots(ms(502))[0].0, elder);
+fn counts_time_waited() {
+    let (mut hub, last_grant) = full_hub();
+    enqueue(&mut hub, "g", 1, ms(500));
+    let mut longer_waiting = request("gg", 1);
+    longer_waiting.waited = Duration::from_millis(300);
+    let longer_waiting = ticket(hub.request_slot(longer_waiting, ms(501)));
+    hub.report(&report("g", last_grant.number, 2), ms(502));
+    assert_eq!(hub.grant_slots(ms(502))[0].0, longer_waiting);
 }
 
 #[test]
 fn grants_count_until_reported() {
-    let (mut hub, mark) = full();
-    asks(&mut hub, "gg", 1, ms(2));
-    // It was written before the second grant had come.
-    hub.report(&report("g", mark.number - 2, 1), ms(3));
+    let (mut hub, last_grant) = full_hub();
+    enqueue(&mut hub, "gg", 1, ms(2));
+    // The report was written before the second grant arrived.
+    hub.report(&report("g", last_grant.number - 2, 1), ms(3));
     assert!(hub.grant_slots(ms(3)).is_empty());
-    // All three have come, and one has ended.
-    hub.report(&report("g", mark.number, 2), ms(4));
+    // All three grants have arrived and one request has ended.
+    hub.report(&report("g", last_grant.number, 2), ms(4));
     assert_eq!(hub.grant_slots(ms(4)).len(), 1);
 }
 
 #[test]
-fn marks_of_another_hub() {
-    let (mut hub, _) = full();
-    asks(&mut hub, "gg", 1, ms(2));
+fn ignores_foreign_grant_ids() {
+    let (mut hub, _) = full_hub();
+    enqueue(&mut hub, "gg", 1, ms(2));
     let mut foreign = report("g", 1_000, 0);
     foreign.last_grant.hub = HUB + 1;
     hub.report(&foreign, ms(3));
     assert!(
         hub.grant_slots(ms(3)).is_empty(),
-        "what it granted still counts"
+        "the grants of this hub still count"
     );
 }
 
 #[test]
-fn lost_grant_expires() {
-    let (mut hub, _) = full();
-    asks(&mut hub, "gg", 1, ms(2));
+fn lost_grants_expire() {
+    let (mut hub, _) = full_hub();
+    enqueue(&mut hub, "gg", 1, ms(2));
     assert!(hub.grant_slots(ms(400)).is_empty());
     assert_eq!(
         hub.grant_slots(ms(502)).len(),
         1,
-        "nobody has taken them up"
+        "grants that no gateway reported expire"
     );
 }
 
 #[test]
-fn silent_gateway_dropped() {
+fn drops_timed_out_gateway() {
     let mut hub = hub(&["s1"]);
-    let question = Poll {
+    let poll = Poll {
         gateway: Gateway {
             hall: "a".into(),
             callers: "127.0.0.1:80".parse().expect("an address"),
@@ -184,53 +186,53 @@
         loads: report("g", 0, 3).loads,
         ..messages::poll(&"g".parse().expect("a name"))
     };
-    hub.on_poll(&question, ms(0));
-    asks(&mut hub, "gg", 1, ms(10));
+    hub.on_poll(&poll, ms(0));
+    enqueue(&mut hub, "gg", 1, ms(10));
     hub.tick(ms(1_100));
     assert!(hub.grant_slots(ms(1_100)).is_empty());
     hub.tick(ms(1_300));
     assert_eq!(
         hub.grant_slots(ms(1_300)).len(),
         1,
-        "its requests have ended"
+        "the requests of the gateway no longer count"
     );
 }
 
 #[test]
-fn gone_gets_none() {
-    let (mut hub, mark) = full();
-    let gone = asks(&mut hub, "gg", 0, ms(2));
-    let next = asks(&mut hub, "gg", 1, ms(3));
-    hub.cancel(&gone, ms(1));
-    hub.report(&report("g", mark.number, 2), ms(4));
+fn cancelled_gets_no_slot() {
+    let (mut hub, last_grant) = full_hub();
+    let cancelled = enqueue(&mut hub, "gg", 0, ms(2));
+    let next = enqueue(&mut hub, "gg", 1, ms(3));
+    hub.cancel(&cancelled, ms(1));
+    hub.report(&report("g", last_grant.number, 2), ms(4));
     assert_eq!(hub.grant_slots(ms(4))[0].0, next);
 }
 
-/// Who waited at a former hub takes nobody out of the next one's line.
+/// A ticket of a former hub removes no request from the queue of the next hub.
 #[test]
-fn tickets_of_another_hub() {
+fn ignores_foreign_tickets() {
     let mut former = hub(&["s1"]).with_id(HUB + 1);
     former.set_server_list(Arc::new(ServerList::new(vec![server("s1")])));
-    let left = asks(&mut former, "g", 1, ms(1));
+    let foreign_ticket = enqueue(&mut former, "g", 1, ms(1));
     let mut hub = hub(&["s1"]);
-    asks(&mut hub, "g", 1, ms(1));
-    hub.cancel(&left, ms(1));
+    enqueue(&mut hub, "g", 1, ms(1));
+    hub.cancel(&foreign_ticket, ms(1));
     assert_eq!(hub.grant_slots(ms(2)).len(), 1);
 }
 
 #[test]
-fn broken_avoided_by_all() {
+fn all_avoid_broken_server() {
     let mut hub = hub(&["s1", "s2"]);
-    let mut broke = report("g", 0, 0);
-    broke.ended.push(AttemptEnd {
+    let mut broken_report = report("g", 0, 0);
+    broken_report.ended.push(AttemptEnd {
         service: "chat".parse().expect("a name"),
         incarnation: "s1".into(),
         rollout: None,
         outcome: End::Broken,
     });
-    hub.report(&broke, ms(1));
+    hub.report(&broken_report, ms(1));
     for _ in 0..3 {
-        asks(&mut hub, "gg", 1, ms(2));
+        enqueue(&mut hub, "gg", 1, ms(2));
     }
     let grants = hub.grant_slots(ms(2));
     let elsewhere = |(_, grant): &(Ticket, Grant)| &*grant.server.incarnation == "s2";
@@ -238,38 +240,38 @@
 }
 
 #[test]
-fn unknown_service() {
+fn rejects_unknown_service() {
     let mut hub = hub(&["s1"]);
-    let mut other = want("g", 1);
+    let mut other = request("g", 1);
     other.service = "none".parse().expect("a name");
     assert_eq!(hub.request_slot(other, ms(1)), SlotDecision::NoServers);
 }
 
-/// A gateway as the hub meets it: words take their time, and come in order.
+/// A gateway as seen by the hub: messages are delayed but stay in order.
 #[derive(Default)]
-struct Side {
-    mark: GrantId,
+struct GatewaySide {
+    last_grant: GrantId,
     running: BTreeMap<Arc<str>, u32>,
-    to_it: VecDeque<(u64, Grant)>,
-    to_hub: VecDeque<(u64, Report)>,
+    grants_in_transit: VecDeque<(u64, Grant)>,
+    reports_in_transit: VecDeque<(u64, Report)>,
 }
 
-impl Side {
-    /// Takes up the grants that have come.
-    fn take(&mut self, now: u64) {
-        while let Some((_, grant)) = self.to_it.pop_front_if(|(due, _)| *due <= now) {
-            self.mark = grant.id;
+impl GatewaySide {
+    /// Applies the grants that have arrived.
+    fn receive_grants(&mut self, now: u64) {
+        while let Some((_, grant)) = self.grants_in_transit.pop_front_if(|(due, _)| *due <= now) {
+            self.last_grant = grant.id;
             *self.running.entry(grant.server.incarnation).or_default() += 1;
         }
     }
 
-    /// Ends one of its requests; false where it has none.
-    fn end(&mut self) -> bool {
+    /// Ends one of its requests, and returns false if it has none.
+    fn end_request(&mut self) -> bool {
         let mut running = self.running.values_mut();
-        let Some(busy) = running.find(|count| **count > 0) else {
+        let Some(count) = running.find(|count| **count > 0) else {
             return false;
         };
-        *busy -= 1;
+        *count -= 1;
         true
     }
 
@@ -281,7 +283,7 @@
             prefill_tokens: Tokens(0),
         });
         Report {
-            last_grant: self.mark,
+            last_grant: self.last_grant,
             loads: loads.collect(),
             ..report(host, 0, 0)
         }
@@ -290,100 +292,109 @@
 
 const HOSTS: [&str; 3] = ["g", "gg", "ggg"];
 
-/// How long a word is on its way, in milliseconds.
-const WAY: Range<u64> = 1..20;
+/// Delay of a message in milliseconds.
+const MESSAGE_DELAY_MS: Range<u64> = 1..20;
 
 /// A hub and its gateways.
-struct World {
+struct Simulation {
     random: SmallRng,
     hub: Hub,
-    sides: BTreeMap<&'static str, Side>,
-    asked: HashMap<Ticket, &'static str>,
-    given: u32,
+    gateways: BTreeMap<&'static str, GatewaySide>,
+    hosts_by_ticket: HashMap<Ticket, &'static str>,
+    granted: u32,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         Self {
             random: SmallRng::seed_from_u64(seed),
             hub: hub(&["s1", "s2", "s3"]),
-            sides: HOSTS.map(|host| (host, Side::default())).into(),
-            asked: HashMap::new(),
-            given: 0,
+            gateways: HOSTS.map(|host| (host, GatewaySide::default())).into(),
+            hosts_by_ticket: HashMap::new(),
+            granted: 0,
         }
     }
 
     fn step(&mut self, now: u64) {
         for host in HOSTS {
-            self.ask(host, now);
-            self.work(host, now);
-            self.hear(host, now);
+            self.enqueue_random(host, now);
+            self.run_gateway(host, now);
+            self.receive_reports(host, now);
         }
-        self.serve(now);
+        self.grant_slots(now);
     }
 
-    /// A request may come to `host`.
-    fn ask(&mut self, host: &'static str, now: u64) {
+    /// Lets a request arrive at `host` at random.
+    fn enqueue_random(&mut self, host: &'static str, now: u64) {
         if self.random.random_bool(0.4) {
             let rank = self.random.random_range(0..3);
-            let ticket = asks(&mut self.hub, host, rank, ms(now));
-            self.asked.insert(ticket, host);
+            let ticket = enqueue(&mut self.hub, host, rank, ms(now));
+            self.hosts_by_ticket.insert(ticket, host);
         }
     }
 
-    /// `host` takes up what has come, and may end a request and tell of it.
-    fn work(&mut self, host: &str, now: u64) {
-        let side = self.sides.get_mut(host).expect("one of them");
-        side.take(now);
-        if self.random.random_bool(0.3) && side.end() {
-            let due = now + self.random.random_range(WAY);
-            side.to_hub.push_back((due, side.report(host)));
+    /// Lets `host` apply the grants that have arrived, and at random end a request and report it.
+    fn run_gateway(&mut self, host: &str, now: u64) {
+        let gateway = self.gateways.get_mut(host).expect("a known gateway");
+        gateway.receive_grants(now);
+        if self.random.random_bool(0.3) && gateway.end_request() {
+            let due = now + self.random.random_range(MESSAGE_DELAY_MS);
+            gateway
+                .reports_in_transit
+                .push_back((due, gateway.report(host)));
         }
     }
 
-    /// The hub takes the reports of `host` that have come.
-    fn hear(&mut self, host: &str, now: u64) {
-        let side = self.sides.get_mut(host).expect("one of them");
-        while let Some((_, report)) = side.to_hub.pop_front_if(|(due, _)| *due <= now) {
+    /// Lets the hub apply the reports of `host` that have arrived.
+    fn receive_reports(&mut self, host: &str, now: u64) {
+        let gateway = self.gateways.get_mut(host).expect("a known gateway");
+        while let Some((_, report)) = gateway
+            .reports_in_transit
+            .pop_front_if(|(due, _)| *due <= now)
+        {
             self.hub.report(&report, ms(now));
         }
     }
 
-    fn serve(&mut self, now: u64) {
+    fn grant_slots(&mut self, now: u64) {
         for (ticket, grant) in self.hub.grant_slots(ms(now)) {
-            self.given += 1;
-            let host = self.asked.get(&ticket).expect("it asked");
-            let side = self.sides.get_mut(host).expect("one of them");
-            let due = now + self.random.random_range(WAY);
-            side.to_it.push_back((due, grant));
+            self.granted += 1;
+            let host = self.hosts_by_ticket.get(&ticket).expect("a queued request");
+            let gateway = self.gateways.get_mut(host).expect("a known gateway");
+            let due = now + self.random.random_range(MESSAGE_DELAY_MS);
+            gateway.grants_in_transit.push_back((due, grant));
         }
     }
 
-    /// What runs at each server.
-    fn sums(&self) -> BTreeMap<Arc<str>, u32> {
-        let mut sums: BTreeMap<Arc<str>, u32> = BTreeMap::new();
-        let running = self.sides.values().flat_map(|side| &side.running);
+    /// Counts the requests that run at each server.
+    fn running_by_server(&self) -> BTreeMap<Arc<str>, u32> {
+        let mut running_by_server: BTreeMap<Arc<str>, u32> = BTreeMap::new();
+        let running = self.gateways.values().flat_map(|gateway| &gateway.running);
         for (incarnation, count) in running {
-            *sums.entry(Arc::clone(incarnation)).or_default() += count;
+            *running_by_server
+                .entry(Arc::clone(incarnation))
+                .or_default() += count;
         }
-        sums
+        running_by_server
     }
 }
 
-/// However late words are, no server ever has more in flight than its slots and one.
+/// However late messages are, no server has more requests in flight than its slots and one.
 #[test]
-fn never_beyond_room() {
+fn never_exceeds_slots() {
     for seed in 0..60 {
-        let mut world = World::new(seed);
+        let mut simulation = Simulation::new(seed);
         for now in 0..600 {
-            world.step(now);
-            let sums = world.sums();
+            simulation.step(now);
+            let running_by_server = simulation.running_by_server();
             assert!(
-                sums.values().all(|sum| *sum <= SLOTS + 1),
-                "{seed}: {sums:?}"
+                running_by_server
+                    .values()
+                    .all(|running| *running <= SLOTS + 1),
+                "seed {seed}: {running_by_server:?}"
             );
         }
-        let given = world.given;
-        assert!(given > 50, "{seed}: {given} places were given");
+        let granted = simulation.granted;
+        assert!(granted > 50, "seed {seed}: {granted} slots were granted");
     }
 }
