--- a/crates/core/tests/large_fleets.rs
+++ b/crates/core/tests/large_fleets.rs
@@ -1,4 +1,5 @@
-//! Hundreds of gateways and thousands of servers: what the hub sends grows with what changes.
+//! Tests that the amount of data that the hub sends to hundreds of gateways with thousands of
+//! servers grows with what has changed rather than with the size of the fleet.
 
 mod support;
 
@@ -33,10 +34,10 @@
     Instant::default() + Duration::from_millis(count)
 }
 
-fn server(place: usize) -> Server {
+fn server(index: usize) -> Server {
     Server {
-        incarnation: format!("i-{place:010}").into(),
-        name: format!("i-{place:010}").into(),
+        incarnation: format!("i-{index:010}").into(),
+        name: format!("i-{index:010}").into(),
         started_ms: 0,
         version: "v1".parse().expect("a version"),
         service: "chat".parse().expect("a name"),
@@ -48,73 +49,84 @@
     }
 }
 
-/// What a gateway holds.
+/// The state of a gateway.
 #[derive(Clone, Default)]
-struct Asker {
-    place: usize,
+struct GatewayState {
+    index: usize,
     ready: bool,
-    listing: ServerList,
-    roll: Membership,
+    server_list: ServerList,
+    membership: Membership,
 }
 
-impl Asker {
-    fn question(&self, loads: Vec<Load>) -> Poll {
+impl GatewayState {
+    fn poll(&self, loads: Vec<Load>) -> Poll {
         Poll {
             gateway: Gateway {
                 hall: "a".into(),
-                callers: format!("10.0.{}.{}:80", self.place / 200, self.place % 200)
+                callers: format!("10.0.{}.{}:80", self.index / 200, self.index % 200)
                     .parse()
                     .expect("an address"),
             },
             ready: self.ready,
-            server_list_version: self.listing.version,
-            membership_version: self.roll.version,
+            server_list_version: self.server_list.version,
+            membership_version: self.membership.version,
             loads,
-            ..messages::poll(&format!("g{}", self.place).parse().expect("a name"))
+            ..messages::poll(&format!("g{}", self.index).parse().expect("a name"))
         }
     }
 
-    /// Asks, takes the answer up, and tells how many bytes it had.
-    fn ask(&mut self, hub: &mut Hub, now: Instant) -> usize {
-        let question = self.question(Vec::new());
-        hub.on_poll(&question, now);
-        let reply = hub.reply(&question, &Publication::default(), now);
+    /// Polls the hub, applies the reply and returns its size in bytes.
+    fn update(&mut self, hub: &mut Hub, now: Instant) -> usize {
+        let poll = self.poll(Vec::new());
+        hub.on_poll(&poll, now);
+        let reply = hub.reply(&poll, &Publication::default(), now);
         let bytes = bytes(&reply);
-        if let Some(listing) = reply.server_list {
-            self.listing = self.listing.apply(listing).expect("about the list held");
+        if let Some(server_list) = reply.server_list {
+            self.server_list = self
+                .server_list
+                .apply(server_list)
+                .expect("an update of this list");
         }
-        if let Some(news) = reply.membership {
-            self.roll = self.roll.apply(news).expect("about the roll held");
+        if let Some(update) = reply.membership {
+            self.membership = self
+                .membership
+                .apply(update)
+                .expect("an update of this membership");
         }
         bytes
     }
 }
 
 fn bytes(reply: &Reply) -> usize {
-    postcard::to_stdvec(reply).expect("encoded").len()
+    postcard::to_stdvec(reply)
+        .expect("an encodable reply")
+        .len()
 }
 
-/// Gateways that hold what a hub with so many servers has told them.
-fn fleet(servers: &[Server]) -> (Hub, Vec<Asker>) {
+/// Creates a hub with `servers` and gateways that are up to date with it.
+fn fleet(servers: &[Server]) -> (Hub, Vec<GatewayState>) {
     let mut hub = Hub::new(Tuning::default(), ms(0));
     hub.set_server_list(Arc::new(ServerList::new(servers.to_vec())));
-    let mut askers: Vec<_> = (0..GATEWAYS)
-        .map(|place| Asker {
-            place,
+    let mut gateways: Vec<_> = (0..GATEWAYS)
+        .map(|index| GatewayState {
+            index,
             ready: true,
-            ..Asker::default()
+            ..GatewayState::default()
         })
         .collect();
     for round in [100, 200] {
-        for asker in &mut askers {
-            asker.ask(&mut hub, ms(round));
+        for gateway in &mut gateways {
+            gateway.update(&mut hub, ms(round));
         }
     }
-    (hub, askers)
+    (hub, gateways)
 }
 
-fn ask_all(hub: &mut Hub, askers: &mut [Asker], now: Instant) -> usize {
-    askers.iter_mut().map(|asker| asker.ask(hub, now)).sum()
+fn update_all(hub: &mut Hub, gateways: &mut [GatewayState], now: Instant) -> usize {
+    gateways
+        .iter_mut()
+        .map(|gateway| gateway.update(hub, now))
+        .sum()
 }
 
 fn servers(count: usize) -> Vec<Server> {
@@ -122,66 +134,77 @@
 }
 
 #[test]
-fn one_server_leaves() {
+fn sends_one_leaving_server() {
     let mut servers = servers(SERVERS);
-    let (mut hub, mut askers) = fleet(&servers);
-    let quiet = ask_all(&mut hub, &mut askers, ms(300));
+    let (mut hub, mut gateways) = fleet(&servers);
+    let idle_bytes = update_all(&mut hub, &mut gateways, ms(300));
     servers[17].leaving = true;
     hub.set_server_list(Arc::new(ServerList::new(servers.clone())));
-    let told = ask_all(&mut hub, &mut askers, ms(400)) - quiet;
-    // The whole list to all of them is 25 MB.
-    assert!(told < 50_000, "{told} B for one server of {SERVERS}");
-    let mut held = askers.iter().flat_map(|asker| &asker.listing.servers);
+    let sent_bytes = update_all(&mut hub, &mut gateways, ms(400)) - idle_bytes;
+    // The whole list for all of them is 25 MB.
     assert!(
-        held.all(|held| held.leaving == (held.incarnation == servers[17].incarnation)),
-        "who may send to it knows that it leaves"
+        sent_bytes < 50_000,
+        "{sent_bytes} B for one of {SERVERS} servers"
+    );
+    let mut listed = gateways
+        .iter()
+        .flat_map(|gateway| &gateway.server_list.servers);
+    assert!(
+        listed.all(|listed| listed.leaving == (listed.incarnation == servers[17].incarnation)),
+        "gateways with the server in their subset know that it leaves"
     );
 }
 
 #[test]
-fn busy_servers() {
+fn sends_loads_of_subset() {
     let servers = servers(SERVERS);
-    let (mut hub, mut askers) = fleet(&servers);
-    for (place, asker) in askers.iter().enumerate() {
-        let loads = servers[place * 10..][..10].iter();
+    let (mut hub, mut gateways) = fleet(&servers);
+    for (index, gateway) in gateways.iter().enumerate() {
+        let loads = servers[index * 10..][..10].iter();
         let loads = loads.map(|server| Load {
             incarnation: Arc::clone(&server.incarnation),
             requests: 5,
             prefill_tokens: Tokens(1_000),
         });
-        hub.on_poll(&asker.question(loads.collect()), ms(300));
+        hub.on_poll(&gateway.poll(loads.collect()), ms(300));
     }
-    let answer = askers[0].ask(&mut hub, ms(301));
-    assert!(answer < 1_000, "{answer} B, and 48,000 of all servers");
+    let reply_bytes = gateways[0].update(&mut hub, ms(301));
+    assert!(
+        reply_bytes < 1_000,
+        "{reply_bytes} B; all servers would take 48,000 B"
+    );
 }
 
 #[test]
-fn one_gateway_goes() {
-    let (mut hub, mut askers) = fleet(&servers(1));
-    let quiet = ask_all(&mut hub, &mut askers, ms(300));
-    askers[3].ready = false;
-    askers[3].ask(&mut hub, ms(400));
-    ask_all(&mut hub, &mut askers[..1], ms(500));
-    let told = ask_all(&mut hub, &mut askers, ms(600)) - quiet;
-    // The whole roll to all of them is 0.7 MB.
-    assert!(told < 10_000, "{told} B for one gateway of {GATEWAYS}");
+fn sends_one_removed_gateway() {
+    let (mut hub, mut gateways) = fleet(&servers(1));
+    let idle_bytes = update_all(&mut hub, &mut gateways, ms(300));
+    gateways[3].ready = false;
+    gateways[3].update(&mut hub, ms(400));
+    update_all(&mut hub, &mut gateways[..1], ms(500));
+    let sent_bytes = update_all(&mut hub, &mut gateways, ms(600)) - idle_bytes;
+    // The whole membership for all of them is 0.7 MB.
+    assert!(
+        sent_bytes < 10_000,
+        "{sent_bytes} B for one of {GATEWAYS} gateways"
+    );
     assert!(
-        askers
+        gateways
             .iter()
-            .all(|asker| asker.roll.gateways.len() == GATEWAYS - 1)
+            .all(|gateway| gateway.membership.gateways.len() == GATEWAYS - 1)
     );
 }
 
 #[test]
-fn any_rolls() {
+fn memberships_converge() {
     for seed in 0..40 {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut hub = Hub::new(Tuning::default(), ms(0));
-        let mut askers: Vec<_> = (0..12)
-            .map(|place| Asker {
-                place,
+        let mut gateways: Vec<_> = (0..12)
+            .map(|index| GatewayState {
+                index,
                 ready: true,
-                ..Asker::default()
+                ..GatewayState::default()
             })
             .collect();
         for step in 0..600 {
@@ -189,52 +212,61 @@
             if random.random_range(0..200) == 0 {
                 hub = Hub::new(Tuning::default(), now);
             }
-            let place = random.random_range(0..askers.len());
-            let asker = &mut askers[place];
-            asker.ready = random.random_range(0..4) > 0;
-            let question = asker.question(Vec::new());
-            hub.on_poll(&question, now);
-            let reply = hub.reply(&question, &Publication::default(), now);
+            let index = random.random_range(0..gateways.len());
+            let gateway = &mut gateways[index];
+            gateway.ready = random.random_range(0..4) > 0;
+            let poll = gateway.poll(Vec::new());
+            hub.on_poll(&poll, now);
+            let reply = hub.reply(&poll, &Publication::default(), now);
             let is_lost = random.random_range(0..3) == 0;
-            let Some(news) = reply.membership.filter(|_| !is_lost) else {
+            let Some(update) = reply.membership.filter(|_| !is_lost) else {
                 continue;
             };
-            // News of a roll that is not held any more are seen as such.
-            let stale = Membership::default().apply(news.clone());
-            assert!(stale.is_none_or(|roll| roll == Membership::new(roll.gateways.clone())));
-            let after = asker.roll.apply(news).expect("about the roll held");
-            assert_eq!(after, Membership::new(after.gateways.clone()));
-            asker.roll = after;
+            // An update of another membership is recognized as such.
+            let stale = Membership::default().apply(update.clone());
+            assert!(stale.is_none_or(
+                |membership| membership == Membership::new(membership.gateways.clone())
+            ));
+            let updated = gateway
+                .membership
+                .apply(update)
+                .expect("an update of this membership");
+            assert_eq!(updated, Membership::new(updated.gateways.clone()));
+            gateway.membership = updated;
         }
         let now = ms(600 * 30 + 100);
-        for asker in &mut askers {
-            asker.ready = true;
-            asker.ask(&mut hub, now);
+        for gateway in &mut gateways {
+            gateway.ready = true;
+            gateway.update(&mut hub, now);
         }
-        for asker in &mut askers {
-            asker.ask(&mut hub, now + Duration::from_millis(100));
-            assert_eq!(asker.roll.gateways.len(), 12, "seed {seed}");
+        for gateway in &mut gateways {
+            gateway.update(&mut hub, now + Duration::from_millis(100));
+            assert_eq!(gateway.membership.gateways.len(), 12, "seed {seed}");
         }
     }
 }
 
 #[test]
-fn small_service_whole() {
-    let listing = ServerList::new(servers(128));
+fn small_services_are_whole() {
+    let server_list = ServerList::new(servers(128));
     let host = "g".parse().expect("a name");
-    assert_eq!(listing.subset(&host), listing);
+    assert_eq!(server_list.subset(&host), server_list);
 }
 
 #[test]
-fn even_subsets() {
-    let (_, askers) = fleet(&servers(SERVERS));
+fn subsets_are_even() {
+    let (_, gateways) = fleet(&servers(SERVERS));
     let mut counts = std::collections::BTreeMap::new();
-    for server in askers.iter().flat_map(|asker| &asker.listing.servers) {
+    for server in gateways
+        .iter()
+        .flat_map(|gateway| &gateway.server_list.servers)
+    {
         *counts.entry(&server.incarnation).or_insert(0) += 1;
     }
-    let told = counts.values().sum::<usize>();
-    assert_eq!(told, GATEWAYS * 32);
-    // 3.2 gateways a server in the mean; drawn evenly, one in 30 servers is nobody's.
+    let total = counts.values().sum::<usize>();
+    assert_eq!(total, GATEWAYS * 32);
+    // There are 3.2 gateways per server on average. With even random subsets, one in 30 servers is
+    // in none of them.
     assert!(
         counts.len() > SERVERS * 94 / 100,
         "{} servers",
@@ -244,40 +276,40 @@
 }
 
 #[test]
-fn whole_beside_replicas() {
-    let listing = ServerList::new(servers(SERVERS));
+fn sends_whole_list_beside_replicas() {
+    let server_list = ServerList::new(servers(SERVERS));
     let mut hub = Hub::new(Tuning::default(), ms(0));
-    hub.set_server_list(Arc::new(listing.clone()));
-    let mut question = Asker::default().question(Vec::new());
-    question.wants_whole_list = true;
-    hub.on_poll(&question, ms(1));
-    let told = hub.reply(&question, &Publication::default(), ms(1));
+    hub.set_server_list(Arc::new(server_list.clone()));
+    let mut poll = GatewayState::default().poll(Vec::new());
+    poll.wants_whole_list = true;
+    hub.on_poll(&poll, ms(1));
+    let reply = hub.reply(&poll, &Publication::default(), ms(1));
     assert_eq!(
-        told.server_list,
-        Some(ServerListUpdate::Whole(listing.clone()))
+        reply.server_list,
+        Some(ServerListUpdate::Whole(server_list.clone()))
     );
-    question.server_list_version = listing.version;
-    hub.on_poll(&question, ms(2));
-    let told = hub.reply(&question, &Publication::default(), ms(2));
-    assert_eq!(told.server_list, None);
+    poll.server_list_version = server_list.version;
+    hub.on_poll(&poll, ms(2));
+    let reply = hub.reply(&poll, &Publication::default(), ms(2));
+    assert_eq!(reply.server_list, None);
 }
 
 #[test]
-fn old_list_kept_back() {
-    // The first list that a gateway fetched, before there were servers, was told to a later hub in place
-    // of the present one, and nobody got a place for 0.7 s.
-    let present = ServerList::new(servers(SERVERS));
+fn withholds_outdated_list() {
+    // A gateway sent a later hub the first list that it had fetched, before there were servers, in
+    // place of the current one, and no request got a slot for 0.7 s.
+    let current = ServerList::new(servers(SERVERS));
     let host: curlewlift_core::id::Host = "g".parse().expect("a name");
-    let mut holding = ServerListCache::new(host.clone(), false);
-    holding.set_whole(ServerList::new(Vec::new()));
-    holding.drop_fetched();
-    holding.apply(ServerListUpdate::Whole(present.subset(&host)));
-    assert_eq!(holding.for_hub(0), None);
-    let mut beside = ServerListCache::new(host, true);
-    beside.set_whole(ServerList::new(Vec::new()));
-    beside.drop_fetched();
-    beside.apply(ServerListUpdate::Whole(present.clone()));
-    assert_eq!(beside.for_hub(0), Some(&present));
-    assert_eq!(beside.for_hub(present.version), None);
-    assert_eq!(beside.get_subset().servers.len(), 32);
+    let mut cache = ServerListCache::new(host.clone(), false);
+    cache.set_whole(ServerList::new(Vec::new()));
+    cache.drop_fetched();
+    cache.apply(ServerListUpdate::Whole(current.subset(&host)));
+    assert_eq!(cache.for_hub(0), None);
+    let mut replica_cache = ServerListCache::new(host, true);
+    replica_cache.set_whole(ServerList::new(Vec::new()));
+    replica_cache.drop_fetched();
+    replica_cache.apply(ServerListUpdate::Whole(current.clone()));
+    assert_eq!(replica_cache.for_hub(0), Some(&current));
+    assert_eq!(replica_cache.for_hub(current.version), None);
+    assert_eq!(replica_cache.get_subset().servers.len(), 32);
 }
