--- a/crates/core/tests/thousand_gateways.rs
+++ b/crates/core/tests/thousand_gateways.rs
@@ -1,5 +1,6 @@
-//! A thousand gateways before three thousand servers: who is told what, and when; what is done without a leader; further
-//! sendings that one gateway's part is too small for.
+//! Tests a thousand gateways with three thousand servers: which updates the hub sends to whom and
+//! when, what gateways do without a leader, and retries of gateways whose own share is too small
+//! for one.
 
 mod support;
 
@@ -41,269 +42,281 @@
     Instant::default() + Duration::from_millis(count)
 }
 
-fn host(place: usize) -> id::Host {
-    format!("g{place}").parse().expect("a name")
+fn host(index: usize) -> id::Host {
+    format!("g{index}").parse().expect("a name")
 }
 
-fn server(service: &str, place: usize) -> Server {
+fn server(service: &str, index: usize) -> Server {
     Server {
         service: service.parse().expect("a name"),
-        ..incarnations::incarnation(&format!("{service}-{place:05}"), 1)
+        ..incarnations::incarnation(&format!("{service}-{index:05}"), 1)
     }
 }
 
-/// A large service, and a small one that every gateway is told whole.
+/// Creates the servers of a large service, and of a small one that every gateway receives whole.
 fn servers() -> Vec<Server> {
-    let large = (0..2_890).map(|place| server("chat", place));
-    let small = (0..108).map(|place| server("quotes", place));
+    let large = (0..2_890).map(|index| server("chat", index));
+    let small = (0..108).map(|index| server("quotes", index));
     large.chain(small).collect()
 }
 
-/// A gateway and what it holds.
-struct Asker {
+/// A gateway and its state.
+struct GatewayState {
     host: id::Host,
     ready: bool,
     callers: Gateway,
-    holding: ServerListCache,
-    roll: Membership,
+    cache: ServerListCache,
+    membership: Membership,
 }
 
-impl Asker {
-    fn new(place: usize) -> Self {
-        let host = host(place);
+impl GatewayState {
+    fn new(index: usize) -> Self {
+        let host = host(index);
         Self {
             ready: true,
             callers: Gateway {
                 hall: "a".into(),
-                callers: format!("10.0.{}.{}:80", place / 200, place % 200)
+                callers: format!("10.0.{}.{}:80", index / 200, index % 200)
                     .parse()
                     .expect("an address"),
             },
-            holding: ServerListCache::new(host.clone(), false),
-            roll: Membership::default(),
+            cache: ServerListCache::new(host.clone(), false),
+            membership: Membership::default(),
             host,
         }
     }
 
-    fn question(&self) -> Poll {
+    fn poll(&self) -> Poll {
         Poll {
             gateway: self.callers.clone(),
             ready: self.ready,
-            server_list_version: self.holding.get_version(),
-            membership_version: self.roll.version,
+            server_list_version: self.cache.get_version(),
+            membership_version: self.membership.version,
             ..messages::poll(&self.host)
         }
     }
 
-    fn hear(&self, hub: &mut Hub, now: Instant) -> Reply {
-        let question = self.question();
-        hub.on_poll(&question, now);
-        hub.reply(&question, &Publication::default(), now)
+    fn receive(&self, hub: &mut Hub, now: Instant) -> Reply {
+        let poll = self.poll();
+        hub.on_poll(&poll, now);
+        hub.reply(&poll, &Publication::default(), now)
     }
 
-    /// Asks, takes the answer up, and tells how many bytes it had.
-    fn ask(&mut self, hub: &mut Hub, now: Instant) -> usize {
-        let reply = self.hear(hub, now);
-        let bytes = postcard::to_stdvec(&reply).expect("encoded").len();
-        if let Some(news) = reply.server_list {
-            self.holding.apply(news);
+    /// Polls the hub, applies the reply and returns its size in bytes.
+    fn update(&mut self, hub: &mut Hub, now: Instant) -> usize {
+        let reply = self.receive(hub, now);
+        let bytes = postcard::to_stdvec(&reply)
+            .expect("an encodable reply")
+            .len();
+        if let Some(update) = reply.server_list {
+            self.cache.apply(update);
         }
-        if let Some(news) = reply.membership {
-            self.roll = self.roll.apply(news).expect("about the roll held");
+        if let Some(update) = reply.membership {
+            self.membership = self
+                .membership
+                .apply(update)
+                .expect("an update of this membership");
         }
         bytes
     }
 }
 
-/// Gateways that hold what the hub has told them.
-fn fleet(servers: &[Server], gateways: usize) -> (Hub, Vec<Asker>) {
+/// Creates a hub with `servers` and gateways that are up to date with it.
+fn fleet(servers: &[Server], gateways: usize) -> (Hub, Vec<GatewayState>) {
     let mut hub = Hub::new(Tuning::default(), ms(0));
     hub.set_server_list(Arc::new(ServerList::new(servers.to_vec())));
-    let mut askers: Vec<_> = (0..gateways).map(Asker::new).collect();
+    let mut gateways: Vec<_> = (0..gateways).map(GatewayState::new).collect();
     for round in [100, 200] {
-        for asker in &mut askers {
-            asker.ask(&mut hub, ms(round));
+        for gateway in &mut gateways {
+            gateway.update(&mut hub, ms(round));
         }
     }
-    (hub, askers)
+    (hub, gateways)
 }
 
-/// A server of a small service concerns all gateways; each is told that server, not the 140 that it holds.
+/// A server of a small service concerns all gateways. Each of them receives that server, not the
+/// 140 that it already has.
 #[test]
-fn small_service_changes() {
+fn sends_changed_server() {
     let mut servers = servers();
-    let (mut hub, mut askers) = fleet(&servers, GATEWAYS);
-    let quiet: usize = askers
+    let (mut hub, mut gateways) = fleet(&servers, GATEWAYS);
+    let idle_bytes: usize = gateways
         .iter_mut()
-        .map(|asker| asker.ask(&mut hub, ms(300)))
+        .map(|gateway| gateway.update(&mut hub, ms(300)))
         .sum();
     servers.last_mut().expect("some").leaving = true;
     hub.set_server_list(Arc::new(ServerList::new(servers.clone())));
-    let told: usize = askers
+    let sent_bytes: usize = gateways
         .iter_mut()
-        .map(|asker| asker.ask(&mut hub, ms(400)))
+        .map(|gateway| gateway.update(&mut hub, ms(400)))
         .sum();
-    let each = (told - quiet) / GATEWAYS;
-    assert!(each < 200, "{each} B for one server to each");
+    let bytes_per_reply = (sent_bytes - idle_bytes) / GATEWAYS;
+    assert!(
+        bytes_per_reply < 200,
+        "{bytes_per_reply} B per gateway for one server"
+    );
 }
 
-/// A server of a large service concerns few gateways; the others are not woken.
+/// A server of a large service concerns few gateways. The others get no update.
 #[test]
-fn few_are_concerned() {
+fn updates_concerned_gateways() {
     let mut servers = servers();
-    let (mut hub, askers) = fleet(&servers, GATEWAYS);
+    let (mut hub, gateways) = fleet(&servers, GATEWAYS);
     servers[17].leaving = true;
     hub.set_server_list(Arc::new(ServerList::new(servers.clone())));
     let mut concerned = 0;
-    for asker in &askers {
-        let question = asker.question();
-        hub.on_poll(&question, ms(300));
-        concerned += usize::from(hub.has_update(&question));
+    for gateway in &gateways {
+        let poll = gateway.poll();
+        hub.on_poll(&poll, ms(300));
+        concerned += usize::from(hub.has_update(&poll));
     }
-    assert!((1..40).contains(&concerned), "{concerned} of {GATEWAYS}");
+    assert!(
+        (1..40).contains(&concerned),
+        "{concerned} of {GATEWAYS} gateways"
+    );
 }
 
-/// Whatever comes, goes and changes, and whichever answers are lost, each gateway comes to hold its subset.
+/// Whatever is added, removed and changed, and whichever replies are lost, each gateway ends up
+/// with its subset.
 #[test]
-fn any_lists() {
+fn subsets_converge() {
     for seed in 0..20 {
         let mut random = SmallRng::seed_from_u64(seed);
         let all: Vec<_> = (0..200)
-            .map(|place| server("chat", place))
-            .chain((0..20).map(|place| server("quotes", place)))
+            .map(|index| server("chat", index))
+            .chain((0..20).map(|index| server("quotes", index)))
             .collect();
         let mut listed: Vec<_> = all.iter().take(180).cloned().collect();
-        let (mut hub, mut askers) = fleet(&listed, 8);
+        let (mut hub, mut gateways) = fleet(&listed, 8);
         let mut now = 300;
         for _ in 0..120 {
             now += 30;
             for _ in 0..random.random_range(0..3) {
                 let server = &all[random.random_range(0..all.len())];
-                let place = listed
+                let index = listed
                     .iter()
                     .position(|other| other.incarnation == server.incarnation);
-                match place {
-                    Some(place) if random.random() => listed[place].leaving ^= true,
-                    Some(place) => drop(listed.remove(place)),
+                match index {
+                    Some(index) if random.random() => listed[index].leaving ^= true,
+                    Some(index) => drop(listed.remove(index)),
                     None => listed.push(server.clone()),
                 }
             }
             hub.set_server_list(Arc::new(ServerList::new(listed.clone())));
-            let place = random.random_range(0..askers.len());
+            let index = random.random_range(0..gateways.len());
             if random.random_range(0..4) == 0 {
-                askers[place].hear(&mut hub, ms(now));
+                gateways[index].receive(&mut hub, ms(now));
             } else {
-                askers[place].ask(&mut hub, ms(now));
+                gateways[index].update(&mut hub, ms(now));
             }
         }
-        let listing = ServerList::new(listed);
-        for asker in &mut askers {
+        let server_list = ServerList::new(listed);
+        for gateway in &mut gateways {
             for _ in 0..2 {
                 now += 30;
-                asker.ask(&mut hub, ms(now));
+                gateway.update(&mut hub, ms(now));
             }
-            let host = asker.host.clone();
+            let host = gateway.host.clone();
             assert_eq!(
-                *asker.holding.get_subset(),
-                listing.subset(&host),
+                *gateway.cache.get_subset(),
+                server_list.subset(&host),
                 "seed {seed}"
             );
         }
     }
 }
 
-/// Half of the hosts start again, a few every 20 ms: each answer tells what has changed since the last.
+/// Half of the hosts restart, a few every 20 ms. Each reply carries what has changed since the last
+/// one.
 #[test]
-fn hosts_come_and_go() {
-    let (mut hub, mut askers) = fleet(&servers()[..1], GATEWAYS);
+fn sends_membership_changes() {
+    let (mut hub, mut gateways) = fleet(&servers()[..1], GATEWAYS);
     let mut bytes = 0;
-    let mut answers = 0;
+    let mut replies = 0;
     for step in 0..250_usize {
         let now = ms(300 + 20 * step as u64);
-        askers[step * 4].ready = false;
-        if let Some(back) = step.checked_sub(100) {
-            askers[back * 4].ready = true;
+        gateways[step * 4].ready = false;
+        if let Some(restarted) = step.checked_sub(100) {
+            gateways[restarted * 4].ready = true;
         }
-        // Each asks every 260 ms.
-        for asker in askers.iter_mut().skip(step % 13).step_by(13) {
-            bytes += asker.ask(&mut hub, now);
-            answers += 1;
+        // Each gateway polls every 260 ms.
+        for gateway in gateways.iter_mut().skip(step % 13).step_by(13) {
+            bytes += gateway.update(&mut hub, now);
+            replies += 1;
         }
     }
-    // 13 to 26 hosts have changed between two answers; the whole roll is 14 KB.
-    let each = bytes / answers;
-    assert!(each < 800, "{each} B an answer");
+    // Between two replies 13 to 26 hosts have changed. The whole membership is 14 KB.
+    let bytes_per_reply = bytes / replies;
+    assert!(bytes_per_reply < 800, "{bytes_per_reply} B per reply");
     let now = ms(300 + 20 * 260);
-    for asker in &mut askers {
-        asker.ready = true;
-        asker.ask(&mut hub, now);
+    for gateway in &mut gateways {
+        gateway.ready = true;
+        gateway.update(&mut hub, now);
     }
-    for asker in &mut askers {
-        asker.ask(&mut hub, now + Duration::from_millis(100));
-        assert_eq!(asker.roll.gateways.len(), GATEWAYS);
+    for gateway in &mut gateways {
+        gateway.update(&mut hub, now + Duration::from_millis(100));
+        assert_eq!(gateway.membership.gateways.len(), GATEWAYS);
     }
 }
 
-/// A new hub: all want the list and the roll at once, and are told one after the other, in the order in which they asked
-/// first, however often they ask again.
+/// After a change of the hub all gateways need the server list and the membership at once. They
+/// receive them one after the other in the order in which they asked first, however often they ask
+/// again.
 #[test]
-fn turns_in_order() {
-    let mut pace = BulkSchedule::default();
+fn bulk_updates_take_turns() {
+    let mut schedule = BulkSchedule::default();
     let first: Vec<_> = (0..GATEWAYS)
-        .map(|place| pace.reserve(&host(place), ms(0)))
+        .map(|index| schedule.reserve(&host(index), ms(0)))
         .collect();
     assert!(first.windows(2).all(|two| two[0] < two[1]));
-    assert!(first[GATEWAYS - 1] <= ms(1_000), "all within a second");
-    for (place, turn) in first.iter().enumerate().skip(300) {
-        assert_eq!(pace.reserve(&host(place), ms(250)), *turn);
+    assert!(
+        first[GATEWAYS - 1] <= ms(1_000),
+        "all gateways have their time slot within a second"
+    );
+    for (index, time_slot) in first.iter().enumerate().skip(300) {
+        assert_eq!(schedule.reserve(&host(index), ms(250)), *time_slot);
     }
-    pace.finish(&host(0));
+    schedule.finish(&host(0));
     assert_eq!(
-        pace.reserve(&host(0), ms(10)),
+        schedule.reserve(&host(0), ms(10)),
         ms(1_000),
-        "behind all others"
-    );
-    let gone = pace.reserve(&host(1), ms(6_100));
-    assert!(
-        gone >= ms(6_100),
-        "a turn that was not used is no right to go first"
+        "a later request goes behind all others"
     );
+    let late_slot = schedule.reserve(&host(1), ms(6_100));
+    assert!(late_slot >= ms(6_100), "an unused time slot expires");
 }
 
-/// What is large waits for its turn, the rest is told at once.
+/// Large updates wait for their time slot, everything else is sent at once.
 #[test]
-fn small_answers() {
+fn small_replies_are_immediate() {
     let mut hub = Hub::new(Tuning::default(), ms(0));
     hub.set_server_list(Arc::new(ServerList::new(servers())));
     let publication = Publication {
         number: 7,
         ..Publication::default()
     };
-    let askers: Vec<_> = (0..100).map(Asker::new).collect();
-    for (place, asker) in askers.iter().enumerate() {
-        let question = asker.question();
-        hub.on_poll(&question, ms(1));
-        let turn = hub.bulk_time(&question, &publication, ms(1));
-        assert_eq!(turn, Some(ms(1 + place as u64)));
-        let small = hub.small_reply(&question, &publication, ms(1));
+    let gateways: Vec<_> = (0..100).map(GatewayState::new).collect();
+    for (index, gateway) in gateways.iter().enumerate() {
+        let poll = gateway.poll();
+        hub.on_poll(&poll, ms(1));
+        let time_slot = hub.bulk_time(&poll, &publication, ms(1));
+        assert_eq!(time_slot, Some(ms(1 + index as u64)));
+        let small = hub.small_reply(&poll, &publication, ms(1));
         assert_eq!(
             (small.server_list, small.membership, small.table),
             (None, None, None)
         );
-        assert_eq!(
-            small.newest_table, 0,
-            "a table is fetched when it is its turn"
-        );
+        assert_eq!(small.newest_table, 0, "a new table waits for the time slot");
         assert!(small.poll_timeout <= Duration::from_millis(250));
         assert!(postcard::to_stdvec(&small.other_loads).is_ok_and(|bytes| bytes.len() < 100));
     }
 }
 
-/// All gateways together ask some 2,000 times a second, whatever their number, and none of them counts as silent
-/// meanwhile; few ask often.
+/// All gateways together poll about 2,000 times a second, whatever their number, and none of them
+/// times out meanwhile. A few gateways poll often.
 #[test]
-fn questions_of_all() {
-    for (gateways, most) in [
+fn total_poll_rate() {
+    for (gateway_count, max) in [
         (12, 400.0),
         (300, 1_300.0),
         (1_000, 2_100.0),
@@ -311,42 +324,49 @@
     ] {
         let mut hub = Hub::new(Tuning::default(), ms(0));
         hub.set_server_list(Arc::new(ServerList::new(servers()[..1].to_vec())));
-        let askers: Vec<_> = (0..gateways).map(Asker::new).collect();
-        for asker in &askers {
-            hub.on_poll(&asker.question(), ms(1));
+        let gateways: Vec<_> = (0..gateway_count).map(GatewayState::new).collect();
+        for gateway in &gateways {
+            hub.on_poll(&gateway.poll(), ms(1));
         }
-        let wait = hub.poll_timeout(&askers[0].question());
-        let each = 1.0 / wait.as_secs_f64();
-        let all = each * f64::from(u32::try_from(gateways).expect("few"));
-        assert!(all <= most, "{gateways}: {all} questions a second");
-        let last = ms(1) + wait * 2;
-        let question = askers[1].question();
-        hub.on_poll(&question, last);
-        let reply = hub.reply(&question, &Publication::default(), last);
-        let Some(gateway::MembershipUpdate::Whole(roll)) = reply.membership else {
-            panic!("no roll: {:?}", reply.membership);
+        let timeout = hub.poll_timeout(&gateways[0].poll());
+        let polls_per_second = 1.0 / timeout.as_secs_f64();
+        let total =
+            polls_per_second * f64::from(u32::try_from(gateway_count).expect("a small number"));
+        assert!(
+            total <= max,
+            "{gateway_count} gateways: {total} polls a second"
+        );
+        let second_poll_at = ms(1) + timeout * 2;
+        let poll = gateways[1].poll();
+        hub.on_poll(&poll, second_poll_at);
+        let reply = hub.reply(&poll, &Publication::default(), second_poll_at);
+        let Some(gateway::MembershipUpdate::Whole(membership)) = reply.membership else {
+            panic!("no whole membership: {:?}", reply.membership);
         };
-        assert_eq!(roll.gateways.len(), gateways);
+        assert_eq!(membership.gateways.len(), gateway_count);
     }
 }
 
-/// No leader for 10 s: all gateways together ask the ten replicas for it some 2,000 times a second, whatever they know of
-/// their number, and first of all quickly.
+/// There is no leader for 10 s. All gateways together call the ten replicas about 2,000 times a
+/// second, whether or not they know their own number, and start with short pauses.
 #[test]
-fn no_leader() {
-    for known in [0, GATEWAYS] {
+fn leader_search_rate() {
+    for known_gateways in [0, GATEWAYS] {
         let mut random = SmallRng::seed_from_u64(1);
-        let mut asked = [0; 10];
+        let mut calls_per_second = [0; 10];
         for _ in 0..GATEWAYS {
             let mut search = LeaderSearch::default();
-            let mut at = Duration::ZERO;
-            while at < Duration::from_secs(10) {
-                asked[usize::try_from(at.as_secs()).expect("few")] += 1;
+            let mut elapsed = Duration::ZERO;
+            while elapsed < Duration::from_secs(10) {
+                calls_per_second[usize::try_from(elapsed.as_secs()).expect("a small number")] += 1;
                 search.missed();
-                at += search.pause(known, random.random());
+                elapsed += search.pause(known_gateways, random.random());
             }
         }
-        assert!(asked[1..].iter().all(|asked| *asked < 2_500), "{asked:?}");
+        assert!(
+            calls_per_second[1..].iter().all(|calls| *calls < 2_500),
+            "{calls_per_second:?}"
+        );
     }
     let mut search = LeaderSearch::default();
     search.missed();
@@ -356,50 +376,51 @@
     assert!(search.pause(GATEWAYS, 1.0) < Duration::from_millis(100));
 }
 
-/// Gateways that hear no hub stay within half of what the platform takes, with any number of them.
+/// Gateways without a hub use no more than half of the platform's call rate, with any number of
+/// them.
 #[test]
-fn calls_of_all() {
+fn platform_call_rate() {
     for gateways in [12, 300, 1_000, 2_000] {
-        let call_interval = call_interval(gateways, 190.0);
-        let calls =
-            1.0 / call_interval.as_secs_f64() * f64::from(u32::try_from(gateways).expect("few"));
-        assert!(calls <= 96.0, "{gateways}: {calls} calls a second");
+        let interval = call_interval(gateways, 190.0);
+        let calls = 1.0 / interval.as_secs_f64()
+            * f64::from(u32::try_from(gateways).expect("a small number"));
+        assert!(calls <= 96.0, "{gateways} gateways: {calls} calls a second");
     }
     assert_eq!(
         call_interval(1_000, 0.0),
         Duration::ZERO,
-        "no rate is known"
+        "the rate is unknown"
     );
 }
 
-/// A table is handed to as many gateways as a hundredth of a second of the leader's link bears; one that asks no more
-/// makes room.
+/// A table is sent to as many gateways at a time as the leader's link carries in a hundredth of a
+/// second. A gateway that stops requesting chunks makes room for another one.
 #[test]
-fn handed_out() {
-    for (link, most) in [(0.0, 6), (12.5e6, 6), (125e6, 61)] {
-        let mut handout = Distribution::new(link);
+fn limits_concurrent_transfers() {
+    for (link, max) in [(0.0, 6), (12.5e6, 6), (125e6, 61)] {
+        let mut distribution = Distribution::new(link);
         let admitted = (0..GATEWAYS)
-            .filter(|place| handout.admit(&host(*place), ms(0)))
+            .filter(|index| distribution.admit(&host(*index), ms(0)))
             .count();
-        assert_eq!(admitted, most, "{link}");
-        assert_eq!(handout.expire(ms(100)), 0);
-        assert_eq!(handout.expire(ms(700)), most, "none has asked for long");
-        assert!(handout.admit(&host(999), ms(700)));
+        assert_eq!(admitted, max, "link of {link} B/s");
+        assert_eq!(distribution.expire(ms(100)), 0);
+        assert_eq!(distribution.expire(ms(700)), max, "all transfers are idle");
+        assert!(distribution.admit(&host(999), ms(700)));
     }
 }
 
-const ALLOWED: Allowed = Allowed {
+const RETRY_ALLOWANCE: Allowed = Allowed {
     ratio: 0.2,
     floor: 1_040.0,
     window: Duration::from_secs(10),
 };
 
-/// A gateway whose own requests have earned less than one further sending draws it at the hub; all of them, over hubs
-/// that follow each other, get no more than is allowed in any window.
+/// A gateway whose own requests have earned less than one retry acquires it from the hub. Over a
+/// series of hubs, all gateways together get no more than is allowed in any window.
 #[test]
-fn further_sendings() {
+fn hub_grants_retries() {
     let tuning = Tuning {
-        retries: Some(ALLOWED),
+        retries: Some(RETRY_ALLOWANCE),
         ..Tuning::default()
     };
     let new_hub = |now| {
@@ -410,55 +431,56 @@
     for seed in 0..5 {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut hub = new_hub(ms(0));
-        let mut budgets = vec![Budget::new(ALLOWED); GATEWAYS];
-        let mut firsts: VecDeque<Instant> = VecDeque::new();
-        let mut further: VecDeque<Instant> = VecDeque::new();
-        let (mut wanted, mut granted) = (0, 0);
+        let mut budgets = vec![Budget::new(RETRY_ALLOWANCE); GATEWAYS];
+        let mut first_attempts: VecDeque<Instant> = VecDeque::new();
+        let mut retries: VecDeque<Instant> = VecDeque::new();
+        let (mut needed_retries, mut sent_retries) = (0, 0);
         for step in 0..6_000_u64 {
             let now = ms(step * 10);
             if random.random_range(0..800) == 0 {
                 hub = new_hub(now);
             }
-            // A spell in which nearly everything fails.
-            let fails = if (2_000..2_600).contains(&step) {
+            // A period in which nearly every attempt fails.
+            let failure_rate = if (2_000..2_600).contains(&step) {
                 0.9
             } else {
                 0.01
             };
             for _ in 0..5 {
-                let place = random.random_range(0..GATEWAYS);
-                budgets[place].first(now);
-                firsts.push_back(now);
-                if !random.random_bool(fails) {
+                let index = random.random_range(0..GATEWAYS);
+                budgets[index].first(now);
+                first_attempts.push_back(now);
+                if !random.random_bool(failure_rate) {
                     continue;
                 }
-                wanted += 1;
-                let is_sent = budgets[place].take(1.0 / 1_119.0, now) || {
-                    let want = SlotRequest {
+                needed_retries += 1;
+                let is_sent = budgets[index].take(1.0 / 1_119.0, now) || {
+                    let request = SlotRequest {
                         needs_retry: true,
-                        ..messages::slot_request(&host(place))
+                        ..messages::slot_request(&host(index))
                     };
-                    matches!(hub.request_slot(want, now), SlotDecision::Queued(..))
+                    matches!(hub.request_slot(request, now), SlotDecision::Queued(..))
                 };
                 if is_sent {
-                    granted += 1;
-                    further.push_back(now);
+                    sent_retries += 1;
+                    retries.push_back(now);
                 }
             }
-            let is_old = |at: &Instant| now.since(*at) >= ALLOWED.window;
-            while firsts.front().is_some_and(is_old) {
-                firsts.pop_front();
+            let is_old = |sent_at: &Instant| now.since(*sent_at) >= RETRY_ALLOWANCE.window;
+            while first_attempts.front().is_some_and(is_old) {
+                first_attempts.pop_front();
             }
-            while further.front().is_some_and(is_old) {
-                further.pop_front();
+            while retries.front().is_some_and(is_old) {
+                retries.pop_front();
             }
-            let count = |all: &VecDeque<_>| f64::from(u32::try_from(all.len()).expect("few"));
-            let most = ALLOWED.floor + ALLOWED.ratio * count(&firsts);
-            assert!(count(&further) <= most, "seed {seed}");
+            let count =
+                |all: &VecDeque<_>| f64::from(u32::try_from(all.len()).expect("a small number"));
+            let max = RETRY_ALLOWANCE.floor + RETRY_ALLOWANCE.ratio * count(&first_attempts);
+            assert!(count(&retries) <= max, "seed {seed}");
             if step == 1_999 {
                 assert!(
-                    granted * 100 >= wanted * 95,
-                    "{granted} of {wanted} on a calm day"
+                    sent_retries * 100 >= needed_retries * 95,
+                    "{sent_retries} of {needed_retries} retries sent before most attempts fail"
                 );
             }
         }
