--- a/crates/core/tests/server_incarnations.rs
+++ b/crates/core/tests/server_incarnations.rs
@@ -1,4 +1,5 @@
-//! Servers that start again under the name that they had: nothing of the former start comes back.
+//! Tests servers that restart under the same name: a late copy of the list must not bring back the
+//! former incarnation or what was known of it.
 
 mod support;
 
@@ -16,8 +17,8 @@
 
 const SEEDS: u64 = 1_000;
 
-fn births(listing: &ServerList) -> Vec<u64> {
-    listing
+fn start_times(server_list: &ServerList) -> Vec<u64> {
+    server_list
         .servers
         .iter()
         .map(|server| server.started_ms)
@@ -25,81 +26,92 @@
 }
 
 #[test]
-fn late_copies() {
-    let mut lives = Incarnations::default();
-    let copy = |born| ServerList::new(vec![incarnation("s1", born)]);
-    assert_eq!(births(&lives.apply(copy(10))), [10]);
-    assert_eq!(births(&lives.apply(copy(20))), [20]);
-    assert_eq!(births(&lives.apply(copy(10))), [20], "a late copy");
-    assert_eq!(births(&lives.apply(copy(20))), [20]);
-    // A server whose clock went back still has begun anew.
-    assert_eq!(births(&lives.apply(copy(5))), [5]);
-    assert_eq!(births(&lives.apply(copy(20))), [5]);
+fn ignores_late_copies() {
+    let mut incarnations = Incarnations::default();
+    let copy = |started_ms| ServerList::new(vec![incarnation("s1", started_ms)]);
+    assert_eq!(start_times(&incarnations.apply(copy(10))), [10]);
+    assert_eq!(start_times(&incarnations.apply(copy(20))), [20]);
+    assert_eq!(
+        start_times(&incarnations.apply(copy(10))),
+        [20],
+        "a late copy is ignored"
+    );
+    assert_eq!(start_times(&incarnations.apply(copy(20))), [20]);
+    // A server whose clock was set back has restarted all the same.
+    assert_eq!(start_times(&incarnations.apply(copy(5))), [5]);
+    assert_eq!(start_times(&incarnations.apply(copy(20))), [5]);
 }
 
-/// A late copy from before a server was to leave does not take it back; three in a row do.
+/// One or two late copies from before a server was leaving do not revert that, three in a row do.
 #[test]
-fn late_leaving() {
-    let mut lives = Incarnations::default();
+fn keeps_leaving_servers() {
+    let mut incarnations = Incarnations::default();
     let copy = |leaving| {
         ServerList::new(vec![Server {
             leaving,
             ..incarnation("s1", 10)
         }])
     };
-    let mut leaves = |leaving| lives.apply(copy(leaving)).servers[0].leaving;
-    assert!(!leaves(false));
-    assert!(leaves(true));
-    assert!(leaves(false) && leaves(false), "two late copies");
-    assert!(leaves(true));
-    assert!(leaves(false) && leaves(false));
-    assert!(!leaves(false), "it stays after all");
+    let mut is_leaving = |leaving| incarnations.apply(copy(leaving)).servers[0].leaving;
+    assert!(!is_leaving(false));
+    assert!(is_leaving(true));
+    assert!(
+        is_leaving(false) && is_leaving(false),
+        "two late copies are ignored"
+    );
+    assert!(is_leaving(true));
+    assert!(is_leaving(false) && is_leaving(false));
+    assert!(!is_leaving(false), "the third copy in a row is believed");
 }
 
 #[test]
-fn two_entries() {
-    let mut lives = Incarnations::default();
+fn picks_newest_entry() {
+    let mut incarnations = Incarnations::default();
     let both = || ServerList::new(vec![incarnation("s1", 10), incarnation("s1", 20)]);
-    assert_eq!(births(&lives.apply(both())), [20]);
-    lives.apply(ServerList::new(vec![incarnation("s1", 5)]));
-    assert_eq!(births(&lives.apply(both())), [10], "20 has ended");
+    assert_eq!(start_times(&incarnations.apply(both())), [20]);
+    incarnations.apply(ServerList::new(vec![incarnation("s1", 5)]));
+    assert_eq!(
+        start_times(&incarnations.apply(both())),
+        [10],
+        "the incarnation 20 is a former one"
+    );
 }
 
-/// Restarts between any two copies, of which two in a row may be late ones: what is given is the life that was
-/// begun last.
+/// Servers restart between any two copies of which up to two in a row are late. The list always has
+/// the incarnation that started last.
 #[test]
-fn any_order() {
+fn restarts_in_any_order() {
     for seed in 0..SEEDS {
         let mut random = SmallRng::seed_from_u64(seed);
-        let mut lives = Incarnations::default();
-        let mut told = vec![100];
-        let mut late = 0;
-        lives.apply(ServerList::new(vec![incarnation("s1", 100)]));
+        let mut incarnations = Incarnations::default();
+        let mut starts = vec![100];
+        let mut late_copies = 0;
+        incarnations.apply(ServerList::new(vec![incarnation("s1", 100)]));
         for _ in 0..60 {
-            let newest = *told.last().expect("one");
-            let is_late = late < 2 && random.random_ratio(1, 3);
-            late = if is_late { late + 1 } else { 0 };
-            let born = if is_late {
-                told[told.len().saturating_sub(random.random_range(1..6))]
+            let newest = *starts.last().expect("at least one start");
+            let is_late = late_copies < 2 && random.random_ratio(1, 3);
+            late_copies = if is_late { late_copies + 1 } else { 0 };
+            let started_ms = if is_late {
+                starts[starts.len().saturating_sub(random.random_range(1..6))]
             } else if random.random_ratio(1, 4) {
-                // The clock of a host may go back: births have no order.
+                // The clock of a host may be set back, so start times have no order.
                 random.random_range(1..1_000_000)
             } else {
                 newest
             };
-            let given = lives.apply(ServerList::new(vec![incarnation("s1", born)]));
-            let present = if is_late { newest } else { born };
-            assert_eq!(births(&given), [present], "seed {seed}");
-            if !is_late && born != newest {
-                told.push(born);
+            let applied = incarnations.apply(ServerList::new(vec![incarnation("s1", started_ms)]));
+            let expected = if is_late { newest } else { started_ms };
+            assert_eq!(start_times(&applied), [expected], "seed {seed}");
+            if !is_late && started_ms != newest {
+                starts.push(started_ms);
             }
         }
     }
 }
 
-/// What was believed of the former start is not believed of the next.
+/// A new incarnation does not inherit what was known of the former one.
 #[test]
-fn nothing_believed() {
+fn resets_health_on_restart() {
     use std::sync::Arc;
 
     use curlewlift_core::pool::End;
@@ -119,13 +131,17 @@
         let mut avoided = pool.avoided(&[], now);
         avoided.any(|(incarnation, _)| *incarnation == *"s1/20")
     };
-    assert!(!avoided(&pool), "trusted as any new one");
-    assert_eq!(pool.loads().count(), 1, "what runs at the former one");
+    assert!(!avoided(&pool), "a new incarnation is not avoided");
+    assert_eq!(
+        pool.loads().count(),
+        1,
+        "requests at the former incarnation still count"
+    );
     pool.ended(&former.incarnation, End::Broken, now);
     assert_eq!(
         pool.avoided(&[], now).count(),
         0,
-        "a late word of the former"
+        "a late report of the former incarnation"
     );
     assert_eq!(pool.loads().count(), 0);
 }
