--- a/crates/core/src/gateway/server_list.rs
+++ b/crates/core/src/gateway/server_list.rs
@@ -133,8 +133,8 @@
     ///     leaving: false,
     ///     cold: false,
     /// };
-    /// let listing = ServerList::new(vec![server]);
-    /// assert_eq!(listing.subset(&"g1".parse()?), listing);
+    /// let server_list = ServerList::new(vec![server]);
+    /// assert_eq!(server_list.subset(&"g1".parse()?), server_list);
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
     #[must_use]
--- a/crates/core/src/gateway/server_list_cache.rs
+++ b/crates/core/src/gateway/server_list_cache.rs
@@ -89,9 +89,7 @@
     /// Applies an update from the hub.
     pub fn apply(&mut self, update: ServerListUpdate) {
         match update {
-            ServerListUpdate::Whole(server_list) if self.stores_whole => {
-                self.set_whole(server_list)
-            }
+            ServerListUpdate::Whole(list) if self.stores_whole => self.set_whole(list),
             update => match self.subset.apply(update) {
                 Some(updated) => {
                     self.subset = updated;
