--- a/crates/core/src/gateway/version.rs
+++ b/crates/core/src/gateway/content_hash.rs
@@ -1,4 +1,4 @@
-//! Versions derived from content.
+//! Hashes that serve as versions of content.
 
 use std::hash::Hash;
 use std::hash::Hasher;
@@ -6,7 +6,7 @@
 use twox_hash::XxHash64;
 
 /// Hashes `content` to a number that is the same on every host.
-pub(crate) fn version(content: &impl Hash) -> u64 {
+pub(crate) fn content_hash(content: &impl Hash) -> u64 {
     let mut hasher = XxHash64::default();
     content.hash(&mut hasher);
     hasher.finish()
--- a/crates/core/src/gateway/membership.rs
+++ b/crates/core/src/gateway/membership.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 use super::Gateway;
-use super::version::version;
+use super::content_hash::content_hash;
 
 /// Number of changes that are stored for gateways with a former membership. With one change in each
 /// scan of the hub (20 ms), they cover 5 s, several times the longest poll.
@@ -28,7 +28,7 @@
     #[must_use]
     pub fn new(mut gateways: Vec<Gateway>) -> Self {
         gateways.sort_by(order);
-        let version = version(&gateways);
+        let version = content_hash(&gateways);
         Self { version, gateways }
     }
 
--- a/crates/core/src/gateway/mod.rs
+++ b/crates/core/src/gateway/mod.rs
@@ -6,6 +6,7 @@
 //! servers, the gateway membership, and the load over all gateways.
 
 mod bulk_schedule;
+mod content_hash;
 mod dispatch;
 mod distribution;
 mod grant;
@@ -25,9 +26,9 @@
 mod slots;
 mod subset;
 mod sync;
-mod version;
 
 pub use bulk_schedule::BulkSchedule;
+pub(crate) use content_hash::content_hash;
 pub use dispatch::Ticket;
 pub use distribution::Chunk;
 pub use distribution::Distribution;
@@ -58,4 +59,3 @@
 pub use sync::Poll;
 pub use sync::Reply;
 pub use sync::Standbys;
-pub(crate) use version::version;
--- a/crates/core/src/gateway/server_list.rs
+++ b/crates/core/src/gateway/server_list.rs
@@ -12,8 +12,8 @@
 use crate::id;
 use crate::rollout::Version;
 
+use super::content_hash::content_hash;
 use super::subset::SubsetSelector;
-use super::version::version;
 
 /// One incarnation of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -146,5 +146,5 @@
 /// Computes the version of a list of servers, owned or borrowed, in their order.
 pub(super) fn version_of<S: Hash>(servers: &[S]) -> u64 {
     // 0 stands for a missing list.
-    version(&servers).max(1)
+    content_hash(&servers).max(1)
 }
--- a/crates/core/src/gateway/shares.rs
+++ b/crates/core/src/gateway/shares.rs
@@ -11,7 +11,7 @@
 use crate::id::Host;
 use crate::quota;
 
-use super::version::version;
+use super::content_hash::content_hash;
 
 /// Minimum time between two changes of the shares, and before a leader's first one. Each change is
 /// an entry of the log, and after a start of all hosts, the gateways appear within about 300 ms.
@@ -244,7 +244,7 @@
 /// Selects up to `max_holders` of the new hosts by hash, as hosts with adjacent names tend to fail
 /// together.
 fn select(mut new_holders: Vec<Host>, max_holders: usize) -> BTreeSet<Host> {
-    new_holders.sort_by_key(|host| version(&host.as_str()));
+    new_holders.sort_by_key(|host| content_hash(&host.as_str()));
     new_holders.truncate(max_holders);
     new_holders.into_iter().collect()
 }
--- a/crates/core/src/gateway/subset.rs
+++ b/crates/core/src/gateway/subset.rs
@@ -7,9 +7,9 @@
 use crate::id;
 
 use super::ServerList;
+use super::content_hash::content_hash;
 use super::server_list::Change;
 use super::server_list::version_of;
-use super::version::version;
 
 /// Size of the largest service of which each gateway receives all servers: at 60 B each, about 8 KB
 /// whenever one of them changes.
@@ -35,7 +35,7 @@
         let mut services: HashMap<_, Vec<_>> = HashMap::new();
         for (index, server) in server_list.servers.iter().enumerate() {
             let servers = services.entry(server.service.clone()).or_default();
-            servers.push((version(&server.incarnation), index));
+            servers.push((content_hash(&server.incarnation), index));
         }
         Self { services }
     }
@@ -43,7 +43,7 @@
     /// Selects the subset of the gateway on `host`. Returns the indexes of its servers in ascending
     /// order, and for each large service the rank limit below which a server belongs to the subset.
     fn select(&self, host: &id::Host) -> (Vec<usize>, HashMap<id::Service, u64>) {
-        let host = version(&host.as_str());
+        let host = content_hash(&host.as_str());
         let mut indexes = Vec::new();
         let mut rank_limits = HashMap::new();
         for (service, servers) in &self.services {
@@ -109,7 +109,7 @@
                     .insert(Arc::clone(&server.incarnation));
             } else {
                 let added = delta.added.entry(server.service.clone()).or_default();
-                added.push(version(&server.incarnation));
+                added.push(content_hash(&server.incarnation));
             }
         }
         for server in remaining.into_values() {
@@ -170,8 +170,8 @@
 }
 
 impl Subset {
-    /// Returns whether it belongs to the list from which `delta` starts.
-    fn precedes(&self, delta: &ServerListDelta) -> bool {
+    /// Returns whether it is a subset of the list from which `delta` starts.
+    fn is_base_of(&self, delta: &ServerListDelta) -> bool {
         self.list_version == delta.from_version && self.list_version != 0
     }
 
@@ -182,7 +182,7 @@
         delta: &ServerListDelta,
         host: &id::Host,
     ) -> bool {
-        let is_same = self.precedes(delta) && !delta.affects(self, version(&host.as_str()));
+        let is_same = self.is_base_of(delta) && !delta.affects(self, content_hash(&host.as_str()));
         if is_same {
             self.list_version = server_list.version;
         }
@@ -200,9 +200,9 @@
         if self.is_current(server_list, delta, host) {
             return;
         }
-        let is_successive = self.precedes(delta);
+        let has_base = self.is_base_of(delta);
         let mut next = Self::select(server_list, selector, host);
-        if is_successive {
+        if has_base {
             next.last_change = self.changes_to(&next, delta);
         }
         *self = next;
--- a/crates/core/src/gateway/sync.rs
+++ b/crates/core/src/gateway/sync.rs
@@ -18,7 +18,7 @@
 use super::MembershipUpdate;
 use super::ServerList;
 use super::ServerListUpdate;
-use super::version::version;
+use super::content_hash::content_hash;
 
 /// A gateway to which callers can be directed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -53,7 +53,7 @@
     /// Creates the set of standbys on `hosts`.
     #[must_use]
     pub fn new(hosts: Vec<id::Host>) -> Self {
-        let version = version(&hosts);
+        let version = content_hash(&hosts);
         Self { version, hosts }
     }
 }
--- a/crates/core/src/pool/on_trial.rs
+++ b/crates/core/src/pool/on_trial.rs
@@ -12,7 +12,7 @@
 
 use crate::clock::Instant;
 use crate::gateway::Server;
-use crate::gateway::version;
+use crate::gateway::content_hash;
 use crate::rollout::Version;
 
 use super::Ask;
@@ -76,7 +76,7 @@
         let order = |known: &Known| {
             let load = known.in_flight();
             let is_idle = f64::from(load) < usual;
-            let lot = version(&(second, &known.server.incarnation));
+            let lot = content_hash(&(second, &known.server.incarnation));
             let busy = if is_idle { 0 } else { load };
             (Reverse(is_idle), busy, known.trust.grade(), lot)
         };
--- a/crates/core/src/rollout/policy.rs
+++ b/crates/core/src/rollout/policy.rs
@@ -9,7 +9,7 @@
 
 use crate::evacuation::Halls;
 use crate::gateway::Server;
-use crate::gateway::version;
+use crate::gateway::content_hash;
 use crate::id;
 
 use super::Phase;
@@ -67,7 +67,7 @@
 
     fn number(mut self) -> Self {
         self.version = 0;
-        self.version = version(&self).max(1);
+        self.version = content_hash(&self).max(1);
         self
     }
 
