--- a/crates/core/src/gateway/dispatch.rs
+++ b/crates/core/src/gateway/dispatch.rs
@@ -134,7 +134,7 @@
 
     /// Records what a gateway has in flight.
     pub(super) fn report(&mut self, host: &id::Host, last_grant: GrantId, loads: &[Load]) {
-        let last_seen = if last_grant.hub == self.hub_id {
+        let last_seen = if last_grant.hub_id == self.hub_id {
             last_grant.number
         } else {
             0
@@ -383,7 +383,7 @@
             prefill_tokens: assignment.prompt,
         };
         let id = GrantId {
-            hub: self.hub_id,
+            hub_id: self.hub_id,
             number: self.occupancy.grant(&host, load, now),
         };
         let permit = reservation.permit.as_ref().map(|permit| permit.number);
--- a/crates/core/src/gateway/grant.rs
+++ b/crates/core/src/gateway/grant.rs
@@ -91,7 +91,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantId {
     /// The random number of the hub that gave the grant, or 0 for none.
-    pub hub: u64,
+    pub hub_id: u64,
     /// A number that rises with each grant of the hub.
     pub number: u64,
 }
@@ -100,7 +100,7 @@
     /// Returns whether this grant was given after `former`, or by another hub.
     #[must_use]
     pub fn follows(self, former: Self) -> bool {
-        self.hub != former.hub || self.number > former.number
+        self.hub_id != former.hub_id || self.number > former.number
     }
 }
 
--- a/crates/core/src/limit/local.rs
+++ b/crates/core/src/limit/local.rs
@@ -222,7 +222,7 @@
         let lives = next.iter().chain([&key]);
         let mut limits = lives.filter_map(|key| self.get(key));
         // A later grant of the same hub was given once it had heard that the limit is lifted.
-        limits.any(|limit| mark.hub != self.held.0 || mark.number <= limit.from)
+        limits.any(|limit| mark.hub_id != self.held.0 || mark.number <= limit.from)
     }
 
     /// The version of the table that it holds, and whose.
--- a/crates/core/src/limit/table.rs
+++ b/crates/core/src/limit/table.rs
@@ -135,7 +135,8 @@
     /// Takes one word; whether it says something of a limit.
     fn take(&mut self, word: &Word, last: u64, now: Instant) -> bool {
         let entry = self.entries.get_mut(&word.key);
-        let is_newer = |entry: &Entry| word.mark.hub == self.hub && word.mark.number > entry.since;
+        let is_newer =
+            |entry: &Entry| word.mark.hub_id == self.hub && word.mark.number > entry.since;
         let Some(rate) = word.rate else {
             // An answer that may be older than the word says nothing.
             let lifts = entry.is_some_and(|entry| is_newer(entry));
@@ -145,7 +146,7 @@
             }
             return lifts;
         };
-        let confirmed = word.mark.hub == self.hub;
+        let confirmed = word.mark.hub_id == self.hub;
         if let Some(entry) = entry {
             entry.limit.confirmed |= confirmed;
             // Of two that may have been named in either order the one that allows less counts.
--- a/crates/core/tests/hub_slots.rs
+++ b/crates/core/tests/hub_slots.rs
@@ -88,7 +88,10 @@
 
 fn report(host: &str, number: u64, in_flight: u32) -> Report {
     Report {
-        last_grant: GrantId { hub: HUB, number },
+        last_grant: GrantId {
+            hub_id: HUB,
+            number,
+        },
         loads: vec![Load {
             incarnation: "s1".into(),
             requests: in_flight,
@@ -155,7 +158,7 @@
     let (mut hub, _) = full_hub();
     enqueue(&mut hub, "gg", 1, ms(2));
     let mut foreign = report("g", 1_000, 0);
-    foreign.last_grant.hub = HUB + 1;
+    foreign.last_grant.hub_id = HUB + 1;
     hub.report(&foreign, ms(3));
     assert!(
         hub.grant_slots(ms(3)).is_empty(),
--- a/crates/core/tests/limit_words.rs
+++ b/crates/core/tests/limit_words.rs
@@ -35,7 +35,10 @@
 }
 
 fn mark(number: u64) -> GrantId {
-    GrantId { hub: HUB, number }
+    GrantId {
+        hub_id: HUB,
+        number,
+    }
 }
 
 fn host() -> id::Host {
@@ -105,7 +108,16 @@
     let mut hub = Hub::new();
     hub.hear("s", Some("3"), 5, 10);
     let server = incarnation("s", 1);
-    for (number, mark) in [(2, GrantId { hub: 1, number: 99 }), (3, GrantId::default())] {
+    for (number, mark) in [
+        (
+            2,
+            GrantId {
+                hub_id: 1,
+                number: 99,
+            },
+        ),
+        (3, GrantId::default()),
+    ] {
         let word = Word {
             number,
             key: Key::of(&server),
@@ -146,12 +158,27 @@
     first.hear(&host(), &local.words(), 9, at(3));
     let _ = local.heard(1, upto, None, at(4));
     assert!(local.words().words.is_empty());
-    assert!(local.closes(&server, GrantId { hub: 1, number: 9 }));
+    assert!(local.closes(
+        &server,
+        GrantId {
+            hub_id: 1,
+            number: 9
+        }
+    ));
     first.publish(at(5));
     let news = first.since(local.get_held());
     let _ = local.heard(1, upto, news.as_ref(), at(6));
-    assert!(local.closes(&server, GrantId { hub: 1, number: 9 }));
-    let later = GrantId { hub: 1, number: 10 };
+    assert!(local.closes(
+        &server,
+        GrantId {
+            hub_id: 1,
+            number: 9
+        }
+    ));
+    let later = GrantId {
+        hub_id: 1,
+        number: 10,
+    };
     assert!(!local.closes(&server, later), "given once it was known");
     // The next hub is told.
     let news = Table::new(2).since(local.get_held());
--- a/crates/core/tests/support/limited.rs
+++ b/crates/core/tests/support/limited.rs
@@ -766,7 +766,7 @@
         let any_lifts = self.flaw == Some(Flaw::AnyLifts);
         let mark = match self.nodes[place].hub {
             Some((hub, _)) if any_lifts => GrantId {
-                hub,
+                hub_id: hub,
                 number: u64::MAX,
             },
             _ => mark,
