--- a/crates/core/src/pool/trial_version.rs
+++ b/crates/core/src/pool/trial_version.rs
@@ -12,7 +12,7 @@
 
 use crate::clock::Instant;
 use crate::gateway::Server;
-use crate::gateway::version;
+use crate::gateway::content_hash;
 use crate::rollout::Version;
 
 use super::Pool;
@@ -78,7 +78,7 @@
         let order = |state: &ServerState| {
             let load = state.in_flight();
             let is_below_mean = f64::from(load) < mean_load;
-            let shuffled = version(&(second, &state.server.incarnation));
+            let shuffled = content_hash(&(second, &state.server.incarnation));
             let excess_load = if is_below_mean { 0 } else { load };
             (
                 Reverse(is_below_mean),
--- a/crates/core/src/rollout/policy.rs
+++ b/crates/core/src/rollout/policy.rs
@@ -9,7 +9,7 @@
 
 use crate::evacuation::EvacuatedHalls;
 use crate::gateway::Server;
-use crate::gateway::version;
+use crate::gateway::content_hash;
 use crate::id;
 
 use super::Phase;
@@ -76,7 +76,7 @@
     /// Sets the version to the hash of the content.
     fn with_content_version(mut self) -> Self {
         self.version = 0;
-        self.version = version(&self).max(1);
+        self.version = content_hash(&self).max(1);
         self
     }
 
--- a/crates/core/tests/cold_servers.rs
+++ b/crates/core/tests/cold_servers.rs
@@ -27,7 +27,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use support::lives;
+use support::incarnations;
 use support::messages;
 
 const STEP: Duration = Duration::from_millis(10);
@@ -56,7 +56,7 @@
     Server {
         slots: 1_000,
         cold,
-        ..lives::life(name, 0)
+        ..incarnations::incarnation(name, 0)
     }
 }
 
@@ -112,7 +112,10 @@
             _ => {}
         }
         for _ in 0..load {
-            leader.request_slot(messages::want(&"g".parse().expect("a valid name")), now);
+            leader.request_slot(
+                messages::slot_request(&"g".parse().expect("a valid name")),
+                now,
+            );
         }
         for (_, grant) in leader.grant_slots(now) {
             let sent = sent.entry(grant.server.incarnation).or_default();
@@ -153,7 +156,10 @@
         let mut granted = 0;
         for _ in 0..1_000 {
             now = now + STEP;
-            hub.request_slot(messages::want(&"g".parse().expect("a valid name")), now);
+            hub.request_slot(
+                messages::slot_request(&"g".parse().expect("a valid name")),
+                now,
+            );
             granted += hub.grant_slots(now).len();
             hub.reject_doomed(now);
         }
--- a/crates/core/tests/limit_reports.rs
+++ b/crates/core/tests/limit_reports.rs
@@ -22,7 +22,7 @@
 use curlewlift_core::limit::Reports;
 use curlewlift_core::limit::Table;
 
-use support::lives::life;
+use support::incarnations::incarnation;
 
 const HUB: u64 = 77;
 
@@ -39,7 +39,10 @@
 }
 
 fn grant_id(number: u64) -> GrantId {
-    GrantId { hub: HUB, number }
+    GrantId {
+        hub_id: HUB,
+        number,
+    }
 }
 
 fn host() -> id::Host {
@@ -65,7 +68,7 @@
     /// grant.
     fn report(&mut self, name: &str, limit: Option<&str>, granted: u64, last_grant: u64) {
         self.report_number += 1;
-        let server = life(name, 1);
+        let server = incarnation(name, 1);
         let report = Report {
             number: self.report_number,
             key: Key::from_server(&server),
@@ -131,8 +134,17 @@
 fn other_hubs_grants() {
     let mut hub = Hub::new();
     hub.report("s", Some("3"), 5, 10);
-    let server = life("s", 1);
-    for (number, grant_id) in [(2, GrantId { hub: 1, number: 99 }), (3, GrantId::default())] {
+    let server = incarnation("s", 1);
+    for (number, grant_id) in [
+        (
+            2,
+            GrantId {
+                hub_id: 1,
+                number: 99,
+            },
+        ),
+        (3, GrantId::default()),
+    ] {
         let report = Report {
             number,
             key: Key::from_server(&server),
@@ -149,7 +161,13 @@
 fn resent_reports() {
     let mut hub = Hub::new();
     let mut local = LocalReports::new(1);
-    local.record_response(&life("s", 1), &limited("3"), grant_id(1), at(0), at(1));
+    local.record_response(
+        &incarnation("s", 1),
+        &limited("3"),
+        grant_id(1),
+        at(0),
+        at(1),
+    );
     let pending = local.pending_reports();
     hub.receive(pending.reports.clone(), 1);
     assert!(hub.limit("s").is_some());
@@ -162,7 +180,7 @@
 /// A gateway applies a limit until the hub lifts it, also through a change of the hub.
 #[test]
 fn kept_until_lifted() {
-    let server = life("s", 1);
+    let server = incarnation("s", 1);
     let (mut local, mut first_hub) = (LocalReports::new(1), Table::new(1));
     local.record_response(&server, &limited("3"), GrantId::default(), at(0), at(1));
     assert!(local.blocks(&server, grant_id(1)));
@@ -179,12 +197,27 @@
     first_hub.record(&host(), &local.pending_reports(), 9, at(3));
     let _ = local.apply_reply(1, last_number, None, at(4));
     assert!(local.pending_reports().reports.is_empty());
-    assert!(local.blocks(&server, GrantId { hub: 1, number: 9 }));
+    assert!(local.blocks(
+        &server,
+        GrantId {
+            hub_id: 1,
+            number: 9
+        }
+    ));
     first_hub.publish(at(5));
     let update = first_hub.update_since(local.get_table_version());
     let _ = local.apply_reply(1, last_number, update.as_ref(), at(6));
-    assert!(local.blocks(&server, GrantId { hub: 1, number: 9 }));
-    let later = GrantId { hub: 1, number: 10 };
+    assert!(local.blocks(
+        &server,
+        GrantId {
+            hub_id: 1,
+            number: 9
+        }
+    ));
+    let later = GrantId {
+        hub_id: 1,
+        number: 10,
+    };
     assert!(
         !local.blocks(&server, later),
         "granted after the hub knew of the limit"
@@ -234,7 +267,7 @@
     assert_eq!(hub.table.service_limits(&service).count(), 4_096);
     let mut local = LocalReports::new(1);
     let invalid = Announcement::Invalid("few".to_owned());
-    let server = life("s", 1);
+    let server = incarnation("s", 1);
     let announcement = local.record_response(&server, &invalid, grant_id(1), at(0), at(1));
     assert_eq!(announcement, Some(invalid.clone()));
     assert_eq!(
@@ -266,7 +299,7 @@
 /// can tell that the limit is gone.
 #[test]
 fn announced_rate() {
-    let server = life("s", 1);
+    let server = incarnation("s", 1);
     for (rate, expected) in [("0", 2), ("0.2", 2), ("3", 30), ("40", 400)] {
         let mut limiter = RateLimiter::granting();
         limiter.set_limit(&Key::from_server(&server), Some(&limit(rate)), at(0));
@@ -285,7 +318,7 @@
 /// have come from the next one.
 #[test]
 fn another_incarnation() {
-    let (former, next) = (life("s", 1), life("s", 2));
+    let (former, next) = (incarnation("s", 1), incarnation("s", 2));
     for (seen_at, is_blocked) in [(4_999, true), (5_000, false)] {
         let mut local = LocalReports::new(1);
         local.record_response(&former, &limited("3"), grant_id(1), at(0), at(0));
@@ -315,7 +348,7 @@
 /// once the response has confirmed the limit.
 #[test]
 fn unconfirmed_limit() {
-    let server = life("s", 1);
+    let server = incarnation("s", 1);
     let mut limiter = RateLimiter::granting();
     let unconfirmed = Limit {
         confirmed: false,
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -5,8 +5,8 @@
 pub(crate) mod ending;
 pub(crate) mod gateways;
 pub(crate) mod history;
+pub(crate) mod incarnations;
 pub(crate) mod limited;
-pub(crate) mod lives;
 pub(crate) mod members;
 pub(crate) mod messages;
 pub(crate) mod replicas;
