--- a/crates/core/tests/server_pool.rs
+++ b/crates/core/tests/server_pool.rs
@@ -1,4 +1,5 @@
-//! A gateway's choice among servers: room, pace, failures, leaving, order.
+//! A pool assigns queued requests to servers by free slots, latency, failures and backoffs, and in order of rank and
+//! arrival. Servers that are draining or no longer listed get nothing.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,9 +20,9 @@
         incarnation: name.into(),
         name: name.into(),
         born: 0,
-        version: "v1".parse().expect("a version"),
-        service: "chat".parse().expect("a name"),
-        address: "127.0.0.1:1".parse().expect("an address"),
+        version: "v1".parse().expect("valid version"),
+        service: "chat".parse().expect("valid name"),
+        address: "127.0.0.1:1".parse().expect("valid address"),
         hall: "a".into(),
         slots: 2,
         leaving,
@@ -29,6 +30,7 @@
     })
 }
 
+/// A pool of servers with two slots each, whose queue has room for four requests.
 fn pool(names: &[&str]) -> Pool {
     let tuning = Tuning {
         extra_in_flight: 0,
@@ -40,55 +42,59 @@
     pool
 }
 
-fn ask(pool: &mut Pool, rank: u8, arrived: u64) -> Ticket {
-    let ask = Request {
+fn enqueue(pool: &mut Pool, rank: u8, arrived: u64) -> Ticket {
+    let request = Request {
         rank: rank.into(),
         arrived: Instant(arrived),
         ..Request::default()
     };
-    pool.enqueue(ask, Instant(arrived)).0
+    pool.enqueue(request, Instant(arrived)).0
 }
 
-/// Who gets a turn, and where.
-fn served(pool: &mut Pool, now: Instant) -> Vec<(Ticket, String)> {
-    let turns = pool.assign(now).into_iter();
-    let named = turns.map(|turn| (turn.ticket, turn.server.incarnation.to_string()));
+/// Assigns queued requests; returns each ticket with the incarnation that it is assigned to.
+fn assign(pool: &mut Pool, now: Instant) -> Vec<(Ticket, String)> {
+    let assignments = pool.assign(now).into_iter();
+    let named = assignments
+        .map(|assignment| (assignment.ticket, assignment.server.incarnation.to_string()));
     named.collect()
 }
 
-const GOOD: AttemptOutcome = AttemptOutcome::Answered {
+const ANSWERED: AttemptOutcome = AttemptOutcome::Answered {
     first_byte: Duration::from_millis(50),
     gap: None,
 };
 
 #[test]
-fn room_only() {
+fn free_slots_only() {
     let mut pool = pool(&["s1", "s2"]);
-    for place in 0..6 {
+    for arrived in 0..6 {
         pool.enqueue(
             Request {
-                arrived: Instant(place),
+                arrived: Instant(arrived),
                 ..Request::default()
             },
             Instant(0),
         );
-        if place < 4 {
-            assert_eq!(served(&mut pool, Instant(place)).len(), 1);
+        if arrived < 4 {
+            assert_eq!(assign(&mut pool, Instant(arrived)).len(), 1);
         }
     }
-    assert!(served(&mut pool, Instant(9)).is_empty(), "both are full");
-    pool.finish_attempt("s1", GOOD, Instant(9));
-    assert_eq!(served(&mut pool, Instant(9))[0].1, "s1");
+    assert!(
+        assign(&mut pool, Instant(9)).is_empty(),
+        "both servers are full"
+    );
+    pool.finish_attempt("s1", ANSWERED, Instant(9));
+    assert_eq!(assign(&mut pool, Instant(9))[0].1, "s1");
 }
 
 #[test]
 fn rank_then_arrival() {
     let mut pool = pool(&[]);
-    let low = ask(&mut pool, 2, 1);
-    let late = ask(&mut pool, 0, 9);
-    let early = ask(&mut pool, 0, 3);
+    let low = enqueue(&mut pool, 2, 1);
+    let late = enqueue(&mut pool, 0, 9);
+    let early = enqueue(&mut pool, 0, 3);
     pool.update_servers(vec![server("s1", false), server("s2", false)]);
-    let order: Vec<_> = served(&mut pool, Instant(10))
+    let order: Vec<_> = assign(&mut pool, Instant(10))
         .into_iter()
         .map(|(ticket, _)| ticket)
         .collect();
@@ -96,18 +102,18 @@
 }
 
 #[test]
-fn last_turned_away() {
+fn full_queue_rejects_last() {
     let mut pool = pool(&[]);
-    let low = ask(&mut pool, 2, 1);
-    for place in 0..3 {
-        ask(&mut pool, 1, place);
+    let low = enqueue(&mut pool, 2, 1);
+    for arrived in 0..3 {
+        enqueue(&mut pool, 1, arrived);
     }
-    let (_, turned_away) = pool.enqueue(Request::default(), Instant(0));
-    assert_eq!(turned_away, Some(low));
+    let (_, rejected) = pool.enqueue(Request::default(), Instant(0));
+    assert_eq!(rejected, Some(low));
 }
 
 #[test]
-fn others_count() {
+fn other_gateways_load() {
     let mut pool = pool(&["s1", "s2"]);
     let load = Load {
         incarnation: "s1".into(),
@@ -115,56 +121,63 @@
         reading: Tokens(0),
     };
     pool.update_other_loads(&[load]);
-    ask(&mut pool, 0, 1);
-    assert_eq!(served(&mut pool, Instant(1))[0].1, "s2");
+    enqueue(&mut pool, 0, 1);
+    assert_eq!(assign(&mut pool, Instant(1))[0].1, "s2");
 }
 
 #[test]
-fn leaving_takes_none() {
+fn draining_gets_none() {
     let mut pool = pool(&["s1"]);
-    ask(&mut pool, 0, 1);
-    assert_eq!(served(&mut pool, Instant(1)).len(), 1);
+    enqueue(&mut pool, 0, 1);
+    assert_eq!(assign(&mut pool, Instant(1)).len(), 1);
     pool.update_servers(vec![server("s1", true)]);
-    ask(&mut pool, 0, 2);
-    assert!(served(&mut pool, Instant(2)).is_empty());
+    enqueue(&mut pool, 0, 2);
+    assert!(assign(&mut pool, Instant(2)).is_empty());
     assert!(!pool.accepts_work());
 }
 
 #[test]
-fn gone_takes_none() {
+fn unlisted_gets_none() {
     let mut pool = pool(&["s1"]);
-    ask(&mut pool, 0, 1);
-    assert_eq!(served(&mut pool, Instant(1)).len(), 1);
+    enqueue(&mut pool, 0, 1);
+    assert_eq!(assign(&mut pool, Instant(1)).len(), 1);
     pool.update_servers(Vec::new());
-    assert_eq!(pool.loads().count(), 1, "what it runs still counts");
-    ask(&mut pool, 0, 2);
-    assert!(served(&mut pool, Instant(2)).is_empty());
-    pool.finish_attempt("s1", GOOD, Instant(3));
+    assert_eq!(
+        pool.loads().count(),
+        1,
+        "requests in flight at an unlisted server still count"
+    );
+    enqueue(&mut pool, 0, 2);
+    assert!(assign(&mut pool, Instant(2)).is_empty());
+    pool.finish_attempt("s1", ANSWERED, Instant(3));
     assert_eq!(pool.loads().count(), 0);
 }
 
 #[test]
-fn broken_is_left_alone() {
+fn broken_server_avoided() {
     let mut pool = pool(&["s1", "s2"]);
     let second = Duration::from_secs(1);
     let start = Instant::default() + second;
     pool.observe("s1", AttemptOutcome::Broken, start);
-    for place in 0..2 {
-        ask(&mut pool, 0, place);
+    for arrived in 0..2 {
+        enqueue(&mut pool, 0, arrived);
     }
-    let places = served(&mut pool, start);
-    assert!(places.iter().all(|(_, name)| name == "s2"), "{places:?}");
-    ask(&mut pool, 0, 9);
-    assert!(served(&mut pool, start).is_empty());
+    let assigned = assign(&mut pool, start);
+    assert!(
+        assigned.iter().all(|(_, name)| name == "s2"),
+        "{assigned:?}"
+    );
+    enqueue(&mut pool, 0, 9);
+    assert!(assign(&mut pool, start).is_empty());
     assert_eq!(
-        served(&mut pool, start + second)[0].1,
+        assign(&mut pool, start + second)[0].1,
         "s1",
-        "it is tried again"
+        "the broken server is probed again"
     );
 }
 
-/// Servers that have answered, with so many milliseconds between the pieces of their streams.
-fn paced(gaps: &[(&str, u64)], now: Instant) -> Pool {
+/// A pool of servers that have answered with streams, and the time between their chunks in milliseconds.
+fn pool_with_gaps(gaps: &[(&str, u64)], now: Instant) -> Pool {
     let names: Vec<_> = gaps.iter().map(|(name, _)| *name).collect();
     let mut pool = pool(&names);
     for (name, gap) in gaps {
@@ -178,24 +191,24 @@
 }
 
 #[test]
-fn fast_one_gets_more() {
+fn faster_server_preferred() {
     let now = Instant::default();
-    let mut pool = paced(&[("s1", 10), ("s2", 40)], now);
-    let mut first = 0;
-    for place in 0..50 {
-        ask(&mut pool, 0, place);
-        let turn = served(&mut pool, now);
-        first += u32::from(turn[0].1 == "s1");
-        pool.finish_attempt(&turn[0].1, AttemptOutcome::Unknown, now);
+    let mut pool = pool_with_gaps(&[("s1", 10), ("s2", 40)], now);
+    let mut faster = 0;
+    for arrived in 0..50 {
+        enqueue(&mut pool, 0, arrived);
+        let assigned = assign(&mut pool, now);
+        faster += u32::from(assigned[0].1 == "s1");
+        pool.finish_attempt(&assigned[0].1, AttemptOutcome::Unknown, now);
     }
-    assert_eq!(first, 50);
+    assert_eq!(faster, 50);
 }
 
-/// A long prompt waits for none: it goes to the fast one even where that is busier.
+/// A request with a long prompt goes to the faster server, even if that is busier.
 #[test]
-fn long_prompt_to_fast() {
+fn long_prompt_to_faster() {
     let now = Instant::default();
-    let mut pool = paced(&[("s1", 10), ("s2", 30)], now);
+    let mut pool = pool_with_gaps(&[("s1", 10), ("s2", 30)], now);
     let load = Load {
         incarnation: "s1".into(),
         requests: 1,
@@ -210,14 +223,14 @@
             },
             Instant(0),
         );
-        let turn = served(&mut pool, now);
-        assert_eq!(turn[0].1, "s1");
+        let assigned = assign(&mut pool, now);
+        assert_eq!(assigned[0].1, "s1");
         pool.finish_attempt("s1", AttemptOutcome::Unknown, now);
     }
 }
 
 #[test]
-fn tried_goes_elsewhere() {
+fn tried_servers_excluded() {
     let mut pool = pool(&["s1", "s2"]);
     pool.enqueue(
         Request {
@@ -226,7 +239,7 @@
         },
         Instant(0),
     );
-    assert_eq!(served(&mut pool, Instant(1))[0].1, "s2");
+    assert_eq!(assign(&mut pool, Instant(1))[0].1, "s2");
     pool.enqueue(
         Request {
             tried: vec!["s1".into(), "s2".into()],
@@ -234,45 +247,45 @@
         },
         Instant(0),
     );
-    assert!(served(&mut pool, Instant(1)).is_empty());
-    ask(&mut pool, 0, 9);
+    assert!(assign(&mut pool, Instant(1)).is_empty());
+    enqueue(&mut pool, 0, 9);
     assert_eq!(
-        served(&mut pool, Instant(1)).len(),
+        assign(&mut pool, Instant(1)).len(),
         1,
-        "it holds up nobody else"
+        "a request without a server left does not block others"
     );
 }
 
-/// Where every server has broken, a break or two tell none from another.
+/// If every server has broken, those that broke only once or twice are still used.
 #[test]
-fn all_broke() {
+fn all_servers_broken() {
     let mut pool = pool(&["s1", "s2"]);
-    let broke = |pool: &mut Pool, name: &str, now| {
+    let record_break = |pool: &mut Pool, name: &str, now| {
         pool.observe(name, AttemptOutcome::Broken, Instant(now));
     };
-    broke(&mut pool, "s1", 0);
-    broke(&mut pool, "s2", 1);
-    broke(&mut pool, "s2", 2);
+    record_break(&mut pool, "s1", 0);
+    record_break(&mut pool, "s2", 1);
+    record_break(&mut pool, "s2", 2);
     assert_eq!(pool.avoided(&[], Instant(3)).count(), 0);
-    ask(&mut pool, 0, 2);
-    let again = served(&mut pool, Instant(3));
-    assert_eq!(again[0].1, "s1", "it has broken less");
-    broke(&mut pool, "s2", 4);
+    enqueue(&mut pool, 0, 2);
+    let assigned = assign(&mut pool, Instant(3));
+    assert_eq!(assigned[0].1, "s1", "it has broken less often");
+    record_break(&mut pool, "s2", 4);
     let avoided: Vec<_> = pool.avoided(&[], Instant(5)).collect();
     assert_eq!(avoided.len(), 1);
-    assert_eq!(&*avoided[0].0, "s2", "it breaks every time");
+    assert_eq!(&*avoided[0].0, "s2", "it broke three times in a row");
 }
 
-/// A request that has tried all others goes to the one that is left, suspect or not.
+/// A request that has tried all other servers goes to the remaining one, even if that is suspect.
 #[test]
-fn last_one_left() {
+fn only_suspect_left() {
     let mut pool = pool(&["s1", "s2"]);
     pool.observe("s2", AttemptOutcome::Broken, Instant(0));
-    ask(&mut pool, 0, 1);
+    enqueue(&mut pool, 0, 1);
     assert_eq!(
-        served(&mut pool, Instant(1))[0].1,
+        assign(&mut pool, Instant(1))[0].1,
         "s1",
-        "the other is free"
+        "s1 is not suspect"
     );
     pool.enqueue(
         Request {
@@ -281,31 +294,31 @@
         },
         Instant(0),
     );
-    assert_eq!(served(&mut pool, Instant(2))[0].1, "s2");
+    assert_eq!(assign(&mut pool, Instant(2))[0].1, "s2");
 }
 
-/// A server that still reads long prompts is passed over, until its answers have begun.
+/// A server that still reads long prompts is avoided until their answers have begun.
 #[test]
-fn reading_counts() {
+fn unread_prompts_count() {
     let mut pool = pool(&["s1", "s2"]);
-    let load = |incarnation: &str, reading| Load {
+    let load = |incarnation: &str, unread| Load {
         incarnation: incarnation.into(),
         requests: 1,
-        reading: Tokens(reading),
+        reading: Tokens(unread),
     };
-    let first = |pool: &mut Pool| {
-        ask(pool, 0, 1);
-        let turn = served(pool, Instant(1));
-        pool.finish_attempt(&turn[0].1, AttemptOutcome::Unknown, Instant(1));
-        turn[0].1.clone()
+    let chosen = |pool: &mut Pool| {
+        enqueue(pool, 0, 1);
+        let assigned = assign(pool, Instant(1));
+        pool.finish_attempt(&assigned[0].1, AttemptOutcome::Unknown, Instant(1));
+        assigned[0].1.clone()
     };
     for _ in 0..20 {
         pool.update_other_loads(&[load("s1", 6_000), load("s2", 0)]);
-        assert_eq!(first(&mut pool), "s2");
+        assert_eq!(chosen(&mut pool), "s2");
         pool.update_other_loads(&[load("s1", 0), load("s2", 6_000)]);
-        assert_eq!(first(&mut pool), "s1");
+        assert_eq!(chosen(&mut pool), "s1");
     }
-    let own: Vec<_> = (0..2)
+    let chosen: Vec<_> = (0..2)
         .map(|_| {
             pool.update_other_loads(&[]);
             pool.enqueue(
@@ -315,87 +328,91 @@
                 },
                 Instant(0),
             );
-            served(&mut pool, Instant(2))[0].1.clone()
+            assign(&mut pool, Instant(2))[0].1.clone()
         })
         .collect();
-    assert_ne!(own[0], own[1], "what is sent from here counts too");
-    pool.record_first_byte(&own[0], Tokens(6_000));
-    let reading: Vec<_> = pool.loads().map(|load| load.reading.0).collect();
-    assert!(
-        reading.contains(&0) && reading.contains(&6_000),
-        "{reading:?}"
-    );
+    assert_ne!(chosen[0], chosen[1], "requests sent from here count too");
+    pool.record_first_byte(&chosen[0], Tokens(6_000));
+    let unread: Vec<_> = pool.loads().map(|load| load.reading.0).collect();
+    assert!(unread.contains(&0) && unread.contains(&6_000), "{unread:?}");
 }
 
-/// A server that asked for rest is given requests one by one until it has answered one.
+/// After a backoff a server gets requests one by one until it has answered one.
 #[test]
-fn one_by_one() {
+fn one_by_one_after_backoff() {
     let mut pool = pool(&["s1"]);
-    let (over, later) = (Instant(120_000), Instant(240_000));
+    let (probe, next_probe) = (Instant(120_000), Instant(240_000));
     pool.observe(
         "s1",
         AttemptOutcome::Backoff(Duration::from_secs(3)),
         Instant(0),
     );
     for arrived in 0..4 {
-        ask(&mut pool, 0, arrived);
+        enqueue(&mut pool, 0, arrived);
     }
-    assert_eq!(served(&mut pool, over).len(), 1);
-    assert!(served(&mut pool, over).is_empty());
-    pool.finish_attempt("s1", AttemptOutcome::Full, over);
-    assert_eq!(served(&mut pool, later).len(), 1);
-    pool.finish_attempt("s1", GOOD, later);
-    assert_eq!(served(&mut pool, later).len(), 2, "as any other");
+    assert_eq!(assign(&mut pool, probe).len(), 1);
+    assert!(assign(&mut pool, probe).is_empty());
+    pool.finish_attempt("s1", AttemptOutcome::Full, probe);
+    assert_eq!(assign(&mut pool, next_probe).len(), 1);
+    pool.finish_attempt("s1", ANSWERED, next_probe);
+    assert_eq!(
+        assign(&mut pool, next_probe).len(),
+        2,
+        "it is treated like any other server"
+    );
 }
 
-/// What a host was asked for by a server holds in its line, and no other word ends it.
+/// A backoff that a server asked this host for applies to the whole queue, and neither an answer, a new list nor a slot
+/// grant ends it.
 #[test]
-fn rest_holds() {
+fn backoff_persists() {
     let mut pool = pool(&["s1", "s2"]);
-    let rest = Notice::Backoff(Duration::from_secs(3));
-    pool.record_notice(&server("s1", false), rest, Instant(0));
-    pool.finish_attempt("s1", GOOD, Instant(0));
+    let backoff = Notice::Backoff(Duration::from_secs(3));
+    pool.record_notice(&server("s1", false), backoff, Instant(0));
+    pool.finish_attempt("s1", ANSWERED, Instant(0));
     pool.update_servers(vec![server("s1", false), server("s2", false)]);
     assert!(!pool.accept_grant(&server("s1", false), Tokens(0), Instant(1)));
     for arrived in 0..4 {
-        ask(&mut pool, 0, arrived);
+        enqueue(&mut pool, 0, arrived);
     }
-    let turns = served(&mut pool, Instant(1));
-    assert!(turns.iter().all(|(_, server)| server == "s2"));
-    assert_eq!(turns.len(), 2);
-    assert_eq!(served(&mut pool, Instant(3_000_000)).len(), 2);
+    let assigned = assign(&mut pool, Instant(1));
+    assert!(assigned.iter().all(|(_, server)| server == "s2"));
+    assert_eq!(assigned.len(), 2);
+    assert_eq!(assign(&mut pool, Instant(3_000_000)).len(), 2);
 }
 
-/// Whoever can only wait for servers that rest for longer hears so at once, whatever its rank; the others wait.
+/// A request that could only wait for servers that back off for longer than it waits is removed at once, whatever its rank;
+/// others stay queued.
 #[test]
-fn rests_for_longer() {
+fn backoff_outlasts_wait() {
     let mut pool = pool(&["s1", "s2"]);
     for name in ["s1", "s2"] {
-        let rest = Notice::Backoff(Duration::from_secs(3));
-        pool.record_notice(&server(name, false), rest, Instant(0));
+        let backoff = Notice::Backoff(Duration::from_secs(3));
+        pool.record_notice(&server(name, false), backoff, Instant(0));
     }
     assert_eq!(
         pool.all_backing_off_for(Instant(0)),
         Some(Duration::from_secs(3))
     );
-    let patient = |until| Request {
+    let waiting_until = |until| Request {
         wait_until: Instant(until),
         ..Request::default()
     };
-    let (hopeless, _) = pool.enqueue(patient(1_000_000), Instant(0));
-    pool.enqueue(patient(4_000_000), Instant(0));
-    assert_eq!(pool.remove_doomed(Instant(0)), [hopeless]);
-    assert_eq!(served(&mut pool, Instant(3_000_000)).len(), 1);
+    let (doomed, _) = pool.enqueue(waiting_until(1_000_000), Instant(0));
+    pool.enqueue(waiting_until(4_000_000), Instant(0));
+    assert_eq!(pool.remove_doomed(Instant(0)), [doomed]);
+    assert_eq!(assign(&mut pool, Instant(3_000_000)).len(), 1);
 }
 
-/// Of thousands of servers that were asked once each, those that are known to be fast get what there is.
+/// Among thousands of servers, of which a thousand have answered once each, the few that are known to be fast get most
+/// requests.
 #[test]
-fn fast_among_many() {
-    let names: Vec<_> = (0..2_000).map(|place| format!("s{place:04}")).collect();
+fn fastest_of_thousands() {
+    let names: Vec<_> = (0..2_000).map(|index| format!("s{index:04}")).collect();
     let names: Vec<_> = names.iter().map(String::as_str).collect();
     let mut pool = pool(&names);
-    for (place, name) in names.iter().enumerate().take(1_000) {
-        let first_byte = Duration::from_millis(if place.is_multiple_of(50) { 20 } else { 60 });
+    for (index, name) in names.iter().enumerate().take(1_000) {
+        let first_byte = Duration::from_millis(if index.is_multiple_of(50) { 20 } else { 60 });
         pool.observe(
             name,
             AttemptOutcome::Answered {
@@ -407,10 +424,13 @@
     }
     let mut fast = 0;
     for number in 0..40 {
-        ask(&mut pool, 1, 2 + number);
-        let turns = served(&mut pool, Instant(2 + number));
-        let place: usize = turns[0].1[1..].parse().expect("a number");
-        fast += usize::from(place < 1_000 && place.is_multiple_of(50));
+        enqueue(&mut pool, 1, 2 + number);
+        let assigned = assign(&mut pool, Instant(2 + number));
+        let index: usize = assigned[0].1[1..].parse().expect("valid number");
+        fast += usize::from(index < 1_000 && index.is_multiple_of(50));
     }
-    assert!(fast >= 36, "{fast} of 40 went to one of the 20 fast ones");
+    assert!(
+        fast >= 36,
+        "only {fast} of 40 requests went to one of the 20 fast servers"
+    );
 }
