--- a/crates/core/tests/queue_forecast.rs
+++ b/crates/core/tests/queue_forecast.rs
@@ -1,4 +1,5 @@
-//! Who waits for a turn and who is told at once that none will come.
+//! Requests that cannot be served in time are removed from the queue at once, so that their callers need not wait in vain;
+//! the others stay queued.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +13,7 @@
 use curlewlift_core::pool::Tuning;
 use curlewlift_core::route::Rank;
 
-const GOOD: AttemptOutcome = AttemptOutcome::Answered {
+const ANSWERED: AttemptOutcome = AttemptOutcome::Answered {
     first_byte: Duration::from_millis(5),
     gap: None,
 };
@@ -32,9 +33,9 @@
         incarnation: "s1".into(),
         name: "s1".into(),
         born: 0,
-        version: "v1".parse().expect("a version"),
-        service: "chat".parse().expect("a name"),
-        address: "127.0.0.1:1".parse().expect("an address"),
+        version: "v1".parse().expect("valid version"),
+        service: "chat".parse().expect("valid name"),
+        address: "127.0.0.1:1".parse().expect("valid address"),
         hall: "a".into(),
         slots: 1,
         leaving: false,
@@ -43,154 +44,171 @@
     pool
 }
 
-/// Asks at `now` for a turn within `wanted` milliseconds, and waits for `until`.
-fn ask(pool: &mut Pool, rank: u8, now: u64, wanted: u64, until: u64) -> Ticket {
-    let ask = Request {
+/// Enqueues a request at `now` that should be sent within `send_within` and waits for `max_wait` milliseconds.
+fn enqueue(pool: &mut Pool, rank: u8, now: u64, send_within: u64, max_wait: u64) -> Ticket {
+    let request = Request {
         rank: rank.into(),
         arrived: ms(now),
-        send_by: ms(now + wanted),
-        wait_until: ms(now + until),
+        send_by: ms(now + send_within),
+        wait_until: ms(now + max_wait),
         ..Request::default()
     };
-    pool.enqueue(ask, ms(now)).0
+    pool.enqueue(request, ms(now)).0
 }
 
-/// A turn every 20 ms for a second, all of them taken by rank 1; the server is taken at the end.
-fn busy(pool: &mut Pool) -> u64 {
+/// Assigns a request of rank 1 every 20 ms for a second, so that the forecast knows the rate. The server is full at the
+/// end; returns the time of the end in milliseconds.
+fn keep_busy(pool: &mut Pool) -> u64 {
     for step in 0..=50 {
-        pool.finish_attempt("s1", GOOD, ms(step * 20));
-        ask(pool, 1, step * 20, 1_000, 1_000);
+        pool.finish_attempt("s1", ANSWERED, ms(step * 20));
+        enqueue(pool, 1, step * 20, 1_000, 1_000);
         assert_eq!(pool.assign(ms(step * 20)).len(), 1);
     }
     1_000
 }
 
-/// Waits of 20 ms each: the last in a long line cannot be served in time, and hears so at once.
+/// With an assignment every 20 ms, the last requests of a long queue cannot be served in time and are removed at once.
 #[test]
-fn hopeless_told_at_once() {
+fn doomed_removed_at_once() {
     let mut pool = pool();
-    let now = busy(&mut pool);
-    let line: Vec<_> = (0..10).map(|_| ask(&mut pool, 0, now, 100, 100)).collect();
-    let told = pool.remove_doomed(ms(now));
-    assert!(!told.is_empty() && told.len() < 8, "{told:?}");
-    let kept = line.len() - told.len();
-    assert_eq!(told, line[kept..], "the last in line");
-    assert_eq!(pool.queue_len(), kept);
+    let now = keep_busy(&mut pool);
+    let queued: Vec<_> = (0..10)
+        .map(|_| enqueue(&mut pool, 0, now, 100, 100))
+        .collect();
+    let doomed = pool.remove_doomed(ms(now));
+    assert!(!doomed.is_empty() && doomed.len() < 8, "{doomed:?}");
+    let remaining = queued.len() - doomed.len();
+    assert_eq!(doomed, queued[remaining..], "the last in the queue");
+    assert_eq!(pool.queue_len(), remaining);
     assert!(
         pool.remove_doomed(ms(now)).is_empty(),
-        "the others may hope"
+        "the others can be served in time"
     );
 }
 
-/// What the higher ranks take is not there for the lower ones.
+/// The forecast for lower ranks leaves out the assignments that higher ranks will use.
 #[test]
-fn higher_ranks_take_theirs() {
+fn higher_ranks_first() {
     let mut pool = pool();
-    let now = busy(&mut pool);
-    let low = ask(&mut pool, 2, now, 500, 500);
-    let high = ask(&mut pool, 0, now, 500, 500);
+    let now = keep_busy(&mut pool);
+    let low = enqueue(&mut pool, 2, now, 500, 500);
+    let high = enqueue(&mut pool, 0, now, 500, 500);
     assert_eq!(pool.remove_doomed(ms(now)), [low]);
-    pool.finish_attempt("s1", GOOD, ms(now));
+    pool.finish_attempt("s1", ANSWERED, ms(now));
     assert_eq!(pool.assign(ms(now))[0].ticket, high);
 }
 
-/// Who is late waits on behind those who are not, of the same rank, and before lower ranks.
+/// A request whose answer can no longer begin in time goes behind others of its rank, but before lower ranks.
 #[test]
-fn late_behind_their_rank() {
+fn late_behind_same_rank() {
     let mut pool = pool();
-    ask(&mut pool, 1, 0, 100, 100);
+    enqueue(&mut pool, 1, 0, 100, 100);
     assert_eq!(pool.assign(ms(0)).len(), 1);
-    let late = ask(&mut pool, 1, 10, 50, 900);
-    let low = ask(&mut pool, 2, 20, 500, 900);
-    let fresh = ask(&mut pool, 1, 90, 500, 900);
+    let late = enqueue(&mut pool, 1, 10, 50, 900);
+    let low = enqueue(&mut pool, 2, 20, 500, 900);
+    let on_time = enqueue(&mut pool, 1, 90, 500, 900);
     let mut order = Vec::new();
     for _ in 0..3 {
-        pool.finish_attempt("s1", GOOD, ms(100));
-        order.extend(pool.assign(ms(100)).into_iter().map(|turn| turn.ticket));
+        pool.finish_attempt("s1", ANSWERED, ms(100));
+        order.extend(
+            pool.assign(ms(100))
+                .into_iter()
+                .map(|assignment| assignment.ticket),
+        );
     }
-    assert_eq!(order, [fresh, late, low]);
+    assert_eq!(order, [on_time, late, low]);
 }
 
-/// With too few turns to tell, nobody is told anything.
+/// With too few assignments for a forecast, no request is removed.
 #[test]
-fn nothing_known() {
+fn too_few_assignments() {
     let mut pool = pool();
     pool.update_servers(Vec::new());
     for _ in 0..50 {
-        ask(&mut pool, 1, 0, 10, 10);
+        enqueue(&mut pool, 1, 0, 10, 10);
     }
     assert!(pool.remove_doomed(ms(0)).is_empty());
 }
 
-/// Who has tried every server there is does not wait for another.
+/// A request that has tried every server is removed. One that avoids a server for a time stays queued.
 #[test]
-fn tried_all() {
+fn all_servers_tried() {
     let mut pool = pool();
-    let again = |tried: &[&str]| Request {
+    let retried = |tried: &[&str]| Request {
         send_by: ms(500),
         wait_until: ms(500),
         tried: tried.iter().map(|name| (*name).into()).collect(),
         ..Request::default()
     };
-    let told = pool.enqueue(again(&["s1"]), ms(0)).0;
-    pool.enqueue(again(&["s0"]), ms(0));
-    // Who avoids one for a while may have it later.
-    let mut avoids = again(&["s0"]);
-    avoids.avoid = vec![("s1".into(), ms(100))];
-    pool.enqueue(avoids, ms(0));
-    assert_eq!(pool.remove_doomed(ms(0)), [told]);
-    assert_eq!(pool.assign(ms(99)).len(), 1, "the one that may go there");
-    pool.finish_attempt("s1", GOOD, ms(100));
+    let doomed = pool.enqueue(retried(&["s1"]), ms(0)).0;
+    pool.enqueue(retried(&["s0"]), ms(0));
+    let mut avoiding = retried(&["s0"]);
+    avoiding.avoid = vec![("s1".into(), ms(100))];
+    pool.enqueue(avoiding, ms(0));
+    assert_eq!(pool.remove_doomed(ms(0)), [doomed]);
+    assert_eq!(
+        pool.assign(ms(99)).len(),
+        1,
+        "the request that may go to s1 now"
+    );
+    pool.finish_attempt("s1", ANSWERED, ms(100));
     assert_eq!(pool.assign(ms(100)).len(), 1);
 }
 
-/// Where a server with room is left alone for a while, the line is not too long.
+/// If a server has room but is avoided for a while after failures, no queued request is removed.
 #[test]
-fn left_alone() {
+fn avoided_server_is_room() {
     let mut pool = pool();
-    let now = busy(&mut pool);
+    let now = keep_busy(&mut pool);
     pool.finish_attempt("s1", AttemptOutcome::Broken, ms(now));
     pool.observe("s1", AttemptOutcome::Broken, ms(now));
     pool.observe("s1", AttemptOutcome::Broken, ms(now));
-    ask(&mut pool, 2, now, 500, 900);
-    assert!(pool.assign(ms(now)).is_empty(), "it has just broken");
+    enqueue(&mut pool, 2, now, 500, 900);
+    assert!(
+        pool.assign(ms(now)).is_empty(),
+        "the server has just broken"
+    );
     assert!(pool.remove_doomed(ms(now)).is_empty());
 }
 
-/// A service that stood still for long tells nothing by what it did before.
+/// After a long time without assignments, the earlier rate is no longer used.
 #[test]
-fn forecast_fades() {
+fn forecast_decays() {
     let mut pool = pool();
-    let now = busy(&mut pool) + 5_000;
+    let now = keep_busy(&mut pool) + 5_000;
     for _ in 0..50 {
-        ask(&mut pool, 1, now, 10, 10);
+        enqueue(&mut pool, 1, now, 10, 10);
     }
     assert!(pool.remove_doomed(ms(now)).is_empty());
 }
 
-/// A customer's rank goes first; among customers of one rank their rules'.
+/// The customer's rank is compared first, and among customers of one rank the rule's.
 #[test]
-fn ranks_of_both() {
+fn customer_rank_first() {
     let mut pool = pool();
-    ask(&mut pool, 1, 0, 500, 500);
+    enqueue(&mut pool, 1, 0, 500, 500);
     assert_eq!(pool.assign(ms(0)).len(), 1);
-    let mut ask = |customer, rule| {
-        let ask = Request {
+    let mut enqueue = |customer, rule| {
+        let request = Request {
             rank: Rank { customer, rule },
             arrived: ms(1),
             send_by: ms(500),
             wait_until: ms(500),
             ..Request::default()
         };
-        pool.enqueue(ask, ms(1)).0
+        pool.enqueue(request, ms(1)).0
     };
-    let last = ask(2, 0);
-    let second = ask(1, 2);
-    let first = ask(1, 0);
+    let last = enqueue(2, 0);
+    let second = enqueue(1, 2);
+    let first = enqueue(1, 0);
     let mut order = Vec::new();
     for _ in 0..3 {
-        pool.finish_attempt("s1", GOOD, ms(2));
-        order.extend(pool.assign(ms(2)).into_iter().map(|turn| turn.ticket));
+        pool.finish_attempt("s1", ANSWERED, ms(2));
+        order.extend(
+            pool.assign(ms(2))
+                .into_iter()
+                .map(|assignment| assignment.ticket),
+        );
     }
     assert_eq!(order, [first, second, last]);
 }
--- a/crates/core/tests/wait_limits.rs
+++ b/crates/core/tests/wait_limits.rs
@@ -1,4 +1,5 @@
-//! How long requests are held, and when callers are to come back.
+//! How long requests are queued, when rejected callers should retry, and the estimated time to the first byte that this
+//! depends on.
 
 use std::time::Duration;
 
@@ -9,8 +10,9 @@
     Duration::from_millis(count)
 }
 
-/// A request whose answer is wanted within a second, takes 300 ms to begin, and that has eight.
-fn patience(waited: Duration) -> WaitLimit {
+/// The limits of a request with an objective of one second, 300 ms to the first byte and eight seconds until its
+/// deadline.
+fn wait_limit(waited: Duration) -> WaitLimit {
     WaitLimit {
         objective: ms(1_000),
         waited,
@@ -20,70 +22,81 @@
 }
 
 #[test]
-fn in_time() {
-    // Whatever it has waited for before, for its customer's allowance or for a first table.
+fn sent_in_time() {
+    // A request may already have waited for its customer's quota or for the first routing table.
     for waited in (0..1_000).step_by(10).map(ms) {
-        let sent = waited + patience(waited).send_within();
+        let sent = waited + wait_limit(waited).send_within();
         assert!(
             sent + ms(300) <= ms(1_000).max(waited + ms(300)),
             "{waited:?}"
         );
     }
-    assert_eq!(patience(ms(100)).send_within(), ms(600));
-    assert_eq!(patience(ms(900)).send_within(), ms(0));
+    assert_eq!(wait_limit(ms(100)).send_within(), ms(600));
+    assert_eq!(wait_limit(ms(900)).send_within(), ms(0));
 }
 
 #[test]
-fn little_time_left() {
-    let patience = WaitLimit {
+fn half_of_remaining() {
+    let short = WaitLimit {
         remaining: ms(60),
-        ..patience(ms(0))
+        ..wait_limit(ms(0))
     };
-    assert_eq!(patience.max_wait(), ms(30));
+    assert_eq!(short.max_wait(), ms(30));
 }
 
-/// Nobody is held for as long as callers wait for a stream's first event.
+/// Requests are queued for less time than callers wait for a stream's first event.
 #[test]
-fn held_for_less() {
-    assert!(patience(ms(0)).max_wait() <= ms(1_000));
-    assert!(patience(ms(900)).max_wait() > ms(100), "late, but of use");
+fn max_wait_bounded() {
+    assert!(wait_limit(ms(0)).max_wait() <= ms(1_000));
+    assert!(
+        wait_limit(ms(900)).max_wait() > ms(100),
+        "a request that misses its objective is still queued"
+    );
 }
 
 #[test]
-fn come_back_later() {
-    // A caller keeps to it up to a third of the time that it has left.
-    assert_eq!(patience(ms(0)).retry_after(), ms(2_000));
+fn retry_after() {
+    // Callers respect a retry time of up to a third of their remaining time.
+    assert_eq!(wait_limit(ms(0)).retry_after(), ms(2_000));
     let short = WaitLimit {
         remaining: ms(200),
-        ..patience(ms(0))
+        ..wait_limit(ms(0))
     };
     assert!(
         short.retry_after() >= ms(300),
-        "not before a place can be free"
+        "no retry before a slot can be free"
     );
 }
 
-/// Answers that take longer and longer to begin are wanted earlier and earlier.
+/// The estimate follows answers that take longer to begin.
 #[test]
-fn lead_follows() {
-    let mut lead = FirstByteTime::default();
+fn estimate_follows_change() {
+    let mut first_byte = FirstByteTime::default();
     for _ in 0..40 {
-        lead.add(ms(50));
+        first_byte.add(ms(50));
     }
-    let steady = lead.estimate();
+    let steady = first_byte.estimate();
     assert!(steady >= ms(50) && steady < ms(60), "{steady:?}");
     for _ in 0..8 {
-        lead.add(ms(400));
+        first_byte.add(ms(400));
     }
-    assert!(lead.estimate() > ms(250), "{:?}", lead.estimate());
+    assert!(
+        first_byte.estimate() > ms(250),
+        "{:?}",
+        first_byte.estimate()
+    );
 }
 
-/// Uneven ones count more than their mean.
+/// The estimate for times that vary is higher than their mean.
 #[test]
-fn lead_of_uneven() {
-    let mut lead = FirstByteTime::default();
-    for turn in 0..100 {
-        lead.add(ms(if turn % 2 == 0 { 50 } else { 150 }));
+fn estimate_exceeds_mean() {
+    let mut first_byte = FirstByteTime::default();
+    for answer in 0..100 {
+        first_byte.add(ms(if answer % 2 == 0 { 50 } else { 150 }));
     }
-    assert!(lead.estimate() > ms(130), "{:?}", lead.estimate());
+    assert!(
+        first_byte.estimate() > ms(130),
+        "{:?}",
+        first_byte.estimate()
+    );
 }
