--- a/crates/core/tests/evacuated_halls.rs
+++ b/crates/core/tests/evacuated_halls.rs
@@ -1,4 +1,5 @@
-//! Data halls that are evacuated, and requests that must stay in some halls: no way to a server passes them by.
+//! Evacuated data halls get no new requests, and requests that must stay in some halls go nowhere else, whether the hub
+//! or a gateway chooses the server.
 
 mod support;
 
@@ -60,8 +61,8 @@
     halls
 }
 
-/// Where the hub gives places to one request.
-fn given(hub: &mut Hub, want: Want, now: Instant) -> Vec<String> {
+/// The servers at which the hub grants slots after one more request.
+fn granted_servers(hub: &mut Hub, want: Want, now: Instant) -> Vec<String> {
     assert!(matches!(hub.want(want, now), Wanted::Line(..)));
     let grants = hub.serve(now).into_iter();
     grants
@@ -70,12 +71,13 @@
 }
 
 fn want() -> Want {
-    messages::want(&"g".parse().expect("a name"))
+    messages::want(&"g".parse().expect("valid name"))
 }
 
-/// What waits in line when a hall is evacuated goes elsewhere; gateways are told, and again when it ends.
+/// While a hall is evacuated, the hub grants slots elsewhere. Gateways get another policy when the evacuation starts and
+/// when it ends.
 #[test]
-fn no_places() {
+fn no_slots_granted() {
     let mut hub = hub();
     let mut policies = Vec::new();
     for (step, halls) in [
@@ -88,86 +90,106 @@
     {
         hub.adopt_evacuated(halls);
         let now = ms(1_000 * (step as u64 + 1));
-        let mut places: Vec<_> = (0..2).flat_map(|_| given(&mut hub, want(), now)).collect();
-        places.sort();
-        let all = if halls.is_evacuated("a") {
+        let mut servers: Vec<_> = (0..2)
+            .flat_map(|_| granted_servers(&mut hub, want(), now))
+            .collect();
+        servers.sort();
+        let expected = if halls.is_evacuated("a") {
             ["s2", "s2"]
         } else {
             ["s1", "s2"]
         };
-        assert_eq!(places, all, "{step}");
-        let mut question = messages::question(&"g".parse().expect("a name"));
+        assert_eq!(servers, expected, "step {step}");
+        let mut question = messages::question(&"g".parse().expect("valid name"));
         question.policy = policies.last().map_or(0, |policy: &Policy| policy.version);
         hub.hear(&question, now);
         assert!(hub.has_news(&question));
         let reply = hub.answer(&question, &<_>::default(), now);
-        policies.push(reply.policy.expect("another policy"));
+        policies.push(reply.policy.expect("new policy"));
     }
     assert_eq!(policies[0], policies[2]);
     assert!(policies[1].closes("a") && !policies[1].closes("b"));
     assert!(!policies[1].is_open(&server("s1", "a")));
 }
 
-/// Orders that come again change nothing, and what was agreed is in a snapshot of the log.
+/// Repeated orders change nothing, and the committed set of halls is part of snapshots of the log.
 #[test]
-fn agreed_once() {
+fn orders_are_idempotent() {
     let mut machine = Machine::default();
     for (given_ms, action) in [(5, Action::Start), (9, Action::Start)] {
         let order = order("a", action, given_ms);
         machine
             .apply(&Record::Evacuation(order.clone()))
-            .expect("taken");
+            .expect("accepted order");
         assert!(machine.get_evacuated().is_applied(&order));
     }
-    let machine = Machine::decode(&machine.encode()).expect("a machine");
+    let machine = Machine::decode(&machine.encode()).expect("valid snapshot");
     let since: Vec<_> = machine.get_evacuated().iter().collect();
-    assert_eq!(since, [(&"a".into(), 5)], "the first order counts");
+    assert_eq!(
+        since,
+        [(&"a".into(), 5)],
+        "the time of the first order stays"
+    );
     let mut halls = machine.get_evacuated().clone();
     halls.apply(&order("b", Action::End, 10));
-    assert!(halls.is_evacuated("a"), "another hall's end");
+    assert!(
+        halls.is_evacuated("a"),
+        "ending the evacuation of another hall changes nothing"
+    );
     halls.apply(&order("a", Action::End, 11));
     assert_eq!(halls, EvacuatedHalls::default());
 }
 
-/// A request that must stay in a hall goes nowhere else, and is told when nothing there can take it; those behind it in
-/// line go on.
+/// A request that must stay in a hall goes nowhere else, and is removed from the queue if no server there accepts work.
+/// Requests behind it in the queue are not delayed.
 #[test]
-fn stays_home() {
+fn request_stays_in_hall() {
     let mut hub = hub();
-    let bound = |halls: &[&str]| Want {
+    let restricted = |halls: &[&str]| Want {
         halls: Some(halls.iter().map(|hall| (*hall).into()).collect()),
         ..want()
     };
     for time in 1..4 {
-        assert_eq!(given(&mut hub, bound(&["b"]), ms(time)), ["s2"]);
+        assert_eq!(
+            granted_servers(&mut hub, restricted(&["b"]), ms(time)),
+            ["s2"]
+        );
     }
     hub.adopt_evacuated(&evacuated("b"));
-    assert!(given(&mut hub, bound(&["b"]), ms(10)).is_empty());
-    assert_eq!(given(&mut hub, want(), ms(10)), ["s1"], "others go on");
+    assert!(granted_servers(&mut hub, restricted(&["b"]), ms(10)).is_empty());
+    assert_eq!(
+        granted_servers(&mut hub, want(), ms(10)),
+        ["s1"],
+        "other requests are served"
+    );
     assert_eq!(
         hub.give_up(ms(11)).len(),
         1,
-        "no server of its halls is left"
+        "no server in its halls is left"
     );
 }
 
-/// The same where a gateway chooses by itself.
+/// The same if a gateway chooses servers without the hub.
 #[test]
-fn stays_home_alone() {
+fn local_choice_stays_in_hall() {
     let mut pool = Pool::new(pool::Tuning::default(), 1);
     pool.update_servers(vec![
         Arc::new(server("s1", "a")),
         Arc::new(server("s2", "b")),
     ]);
     for _ in 0..2 {
-        let ask = Request {
+        let request = Request {
             allowed_halls: Some(["b".into()].into()),
             wait_until: ms(1_000),
             ..Request::default()
         };
-        pool.enqueue(ask, ms(0));
+        pool.enqueue(request, ms(0));
     }
-    let turns = pool.assign(ms(0));
-    assert_eq!(turns.len(), 2);
-    assert!(turns.iter().all(|turn| &*turn.server.name == "s2"));
+    let assignments = pool.assign(ms(0));
+    assert_eq!(assignments.len(), 2);
+    assert!(
+        assignments
+            .iter()
+            .all(|assignment| &*assignment.server.name == "s2")
+    );
 }
--- a/crates/core/tests/route_tables.rs
+++ b/crates/core/tests/route_tables.rs
@@ -1,4 +1,5 @@
-//! Routing tables: valid whole or refused whole; the longest prefix; keys.
+//! Routing tables are accepted or refused as a whole. Requests match the rule with the longest prefix, are spread over
+//! weighted targets, and are identified by keys.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,7 +18,7 @@
 
 fn target(service: &str, weight: f64) -> Target {
     Target {
-        service: service.parse().expect("a name"),
+        service: service.parse().expect("valid name"),
         weight,
     }
 }
@@ -39,9 +40,9 @@
     }
 }
 
-fn account(name: &str, keys: &[&str]) -> CustomerPolicy {
+fn customer(name: &str, keys: &[&str]) -> CustomerPolicy {
     CustomerPolicy {
-        name: name.parse().expect("a name"),
+        name: name.parse().expect("valid name"),
         keys: keys.iter().map(|key| (*key).to_owned()).collect(),
         rank: None,
         quota: Quota {
@@ -54,23 +55,26 @@
 }
 
 fn parts(rules: Vec<Rule>) -> Parts {
-    let provider = ServicePolicy {
+    let policy = ServicePolicy {
         max_connections: 10,
         health_path: "/health".into(),
         cold_rate: None,
     };
-    let services = ["chat", "pay"].map(|name| (name.parse().expect("a name"), provider.clone()));
+    let services = ["chat", "pay"].map(|name| (name.parse().expect("valid name"), policy.clone()));
     Parts {
         number: 3,
         rules,
         services: BTreeMap::from(services),
-        customers: Some(vec![account("ann", &["k1", "k2"]), account("ben", &["k3"])]),
+        customers: Some(vec![
+            customer("ann", &["k1", "k2"]),
+            customer("ben", &["k3"]),
+        ]),
         ..Parts::default()
     }
 }
 
 fn refused(parts: Parts) -> bool {
-    Table::new(parts).is_err_and(|why| why.get_code() == Code::BadValue)
+    Table::new(parts).is_err_and(|refusal| refusal.get_code() == Code::BadValue)
 }
 
 #[test]
@@ -80,7 +84,7 @@
         rule("a", "/a/"),
         rule("ab", "/a/b/"),
     ]);
-    let table = Table::new(table).expect("valid");
+    let table = Table::new(table).expect("valid table");
     let found = |host: &str, path: &str| table.find(host, path).map(|rule| rule.name.to_string());
     assert_eq!(found("shop.example", "/a/b/c").as_deref(), Some("ab"));
     assert_eq!(found("shop.example", "/a/bc").as_deref(), Some("a"));
@@ -90,19 +94,21 @@
 }
 
 #[test]
-fn bad_rules() {
-    let with = |change: fn(&mut Rule)| {
-        let mut one = rule("one", "/a/");
-        change(&mut one);
-        parts(vec![one])
+fn invalid_rules() {
+    let with_change = |change: fn(&mut Rule)| {
+        let mut changed = rule("one", "/a/");
+        change(&mut changed);
+        parts(vec![changed])
     };
-    assert!(refused(with(|rule| rule.targets[0] = target("none", 1.0))));
-    assert!(refused(with(|rule| rule.targets[0].weight = 0.0)));
-    assert!(refused(with(|rule| rule.targets[0].weight = -1.0)));
-    assert!(refused(with(|rule| rule.targets.clear())));
-    assert!(refused(with(|rule| rule.timeout = Duration::ZERO)));
-    assert!(refused(with(|rule| rule.attempts = 0)));
-    assert!(refused(with(|rule| rule.prefix = "/a".into())));
+    assert!(refused(with_change(
+        |rule| rule.targets[0] = target("none", 1.0)
+    )));
+    assert!(refused(with_change(|rule| rule.targets[0].weight = 0.0)));
+    assert!(refused(with_change(|rule| rule.targets[0].weight = -1.0)));
+    assert!(refused(with_change(|rule| rule.targets.clear())));
+    assert!(refused(with_change(|rule| rule.timeout = Duration::ZERO)));
+    assert!(refused(with_change(|rule| rule.attempts = 0)));
+    assert!(refused(with_change(|rule| rule.prefix = "/a".into())));
     assert!(refused(parts(vec![rule("one", "/a/"), rule("two", "/a/")])));
     assert!(!refused(parts(vec![
         rule("one", "/a/"),
@@ -112,36 +118,40 @@
 
 #[test]
 fn shared_key() {
-    let mut both = parts(vec![rule("one", "/")]);
-    both.customers = Some(vec![account("ann", &["k1"]), account("ben", &["k1"])]);
-    assert!(refused(both));
+    let mut shared = parts(vec![rule("one", "/")]);
+    shared.customers = Some(vec![customer("ann", &["k1"]), customer("ben", &["k1"])]);
+    assert!(refused(shared));
 }
 
 #[test]
-fn known_keys() {
-    let table = Table::new(parts(vec![rule("one", "/")])).expect("valid");
-    let name = |key| table.customer(key).map(|account| account.name.to_string());
+fn customers_by_key() {
+    let table = Table::new(parts(vec![rule("one", "/")])).expect("valid table");
+    let name = |key| {
+        table
+            .customer(key)
+            .map(|customer| customer.name.to_string())
+    };
     assert_eq!(name("k2").as_deref(), Some("ann"));
     assert_eq!(name("k3").as_deref(), Some("ben"));
     assert_eq!(name("k4"), None);
-    let open = Parts {
+    let without_keys = Parts {
         customers: None,
         ..parts(vec![rule("one", "/")])
     };
-    assert!(!Table::new(open).expect("valid").needs_key());
+    assert!(!Table::new(without_keys).expect("valid table").needs_key());
 }
 
 #[test]
 fn weighted_targets() {
-    let mut split = rule("one", "/");
-    split.targets = vec![
+    let mut weighted = rule("one", "/");
+    weighted.targets = vec![
         target("chat", 90.0),
         target("pay", 0.0),
         target("pay", 10.0),
     ];
-    let drawn = |lot| split.pick_target(lot).map(ToString::to_string);
-    assert_eq!(drawn(0.0).as_deref(), Some("chat"));
-    assert_eq!(drawn(0.89).as_deref(), Some("chat"));
-    assert_eq!(drawn(0.95).as_deref(), Some("pay"));
-    assert_eq!(drawn(0.999_999).as_deref(), Some("pay"));
+    let picked = |random| weighted.pick_target(random).map(ToString::to_string);
+    assert_eq!(picked(0.0).as_deref(), Some("chat"));
+    assert_eq!(picked(0.89).as_deref(), Some("chat"));
+    assert_eq!(picked(0.95).as_deref(), Some("pay"));
+    assert_eq!(picked(0.999_999).as_deref(), Some("pay"));
 }
