--- a/crates/curlewlift/src/gateway/services.rs
+++ b/crates/curlewlift/src/gateway/services.rs
@@ -117,7 +117,7 @@
     /// Takes note that a server has read a request's prompt, or will not.
     pub(super) fn begun(&self, name: &id::Service, incarnation: &str, prompt: Tokens) {
         self.with_service(name, |service| {
-            service.pool.record_first_byte(incarnation, prompt)
+            service.pool.record_first_byte(incarnation, prompt);
         });
         self.reports.notify_one();
     }
@@ -132,7 +132,7 @@
     ) {
         let now = self.now();
         self.with_service(name, |service| {
-            service.pool.finish_attempt(incarnation, end, now)
+            service.pool.finish_attempt(incarnation, end, now);
         });
         self.tell(name, incarnation, end, watched);
         self.serve(name);
