--- a/crates/core/src/gateway/hub.rs
+++ b/crates/core/src/gateway/hub.rs
@@ -195,8 +195,8 @@
 
     /// Takes up a newer table's allowances.
     pub fn adopt(&mut self, table: &Table, now: Instant) {
-        if table.get_number() > self.table {
-            self.table = table.get_number();
+        if table.get_version() > self.table {
+            self.table = table.get_version();
             let accounts = table.customers();
             let accounts = accounts.map(|account| (&account.name, account.quota));
             self.desk.adopt(accounts, now);
--- a/crates/core/src/pool/doomed.rs
+++ b/crates/core/src/pool/doomed.rs
@@ -38,7 +38,8 @@
         doomed
     }
 
-    /// Whether the servers that `may` be used have no room, and not all of them are merely avoided after failures.
+    /// Whether requests wait because the servers that they `may` go to are full, rather than because those are avoided
+    /// after failures.
     fn is_full(&self, may: impl Fn(&Server) -> bool, now: Instant) -> bool {
         let is_usable = |state: &ServerState| may(&state.server) && !state.health.is_suspect(now);
         let mut free = self.servers.free().iter();
--- a/crates/core/src/pool/retry_budget.rs
+++ b/crates/core/src/pool/retry_budget.rs
@@ -5,8 +5,8 @@
 
 use crate::clock::Instant;
 
-/// The share of the minimum number of retries that gateways divide among themselves. The hub grants some of the rest,
-/// and a gateway that restarts no longer knows what it used before.
+/// The share of the minimum number of retries that gateways divide among themselves. The rest is a reserve, because the
+/// hub grants some retries as well, and because a gateway that restarts no longer knows how many it used before.
 const GATEWAY_SHARE: f64 = 0.5;
 
 /// How many steps the window is divided into for counting.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -1,4 +1,4 @@
-//! Routing tables: which requests go to which services. A table is replaced as a whole, under a rising version number.
+//! Routing tables: which requests go to which services. A table is replaced as a whole, under a rising version.
 
 mod customer;
 mod homes;
--- a/crates/core/src/route/table.rs
+++ b/crates/core/src/route/table.rs
@@ -52,8 +52,8 @@
 /// The parts of a table, before they are validated.
 #[derive(Clone, Debug, Default)]
 pub struct Parts {
-    /// The version number of the table.
-    pub number: u64,
+    /// The version of the table.
+    pub version: u64,
     /// The rules.
     pub rules: Vec<Rule>,
     /// The services.
@@ -67,7 +67,7 @@
 /// A validated routing table.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    number: u64,
+    version: u64,
     hosts: HashMap<Arc<str>, Vec<Arc<Rule>>>,
     services: BTreeMap<id::Service, ServicePolicy>,
     limits: Limits,
@@ -103,7 +103,7 @@
             .customers
             .map(|customers| customers.into_iter().map(Arc::new).collect());
         Ok(Self {
-            number: parts.number,
+            version: parts.version,
             hosts,
             services: parts.services,
             limits: parts.limits,
@@ -112,10 +112,10 @@
         })
     }
 
-    /// Its version number.
+    /// The version of the table.
     #[must_use]
-    pub fn get_number(&self) -> u64 {
-        self.number
+    pub fn get_version(&self) -> u64 {
+        self.version
     }
 
     /// Limits on what callers may send.
--- a/crates/core/tests/cold_servers.rs
+++ b/crates/core/tests/cold_servers.rs
@@ -65,7 +65,7 @@
         cold_rate: Some(rate()),
     };
     let table = Table::new(Parts {
-        number: 1,
+        version: 1,
         rules: Vec::new(),
         services: [("chat".parse().expect("a name"), provider)].into(),
         limits: Limits::default(),
--- a/crates/core/tests/route_tables.rs
+++ b/crates/core/tests/route_tables.rs
@@ -62,7 +62,7 @@
     };
     let services = ["chat", "pay"].map(|name| (name.parse().expect("valid name"), policy.clone()));
     Parts {
-        number: 3,
+        version: 3,
         rules,
         services: BTreeMap::from(services),
         customers: Some(vec![
--- a/crates/core/tests/support/gateways.rs
+++ b/crates/core/tests/support/gateways.rs
@@ -179,7 +179,7 @@
             homes: Homes::default(),
         };
         let table = Table::new(curlewlift_core::route::Parts {
-            number: self.table,
+            version: self.table,
             rules: Vec::new(),
             services: [].into(),
             limits: Limits::default(),
--- a/crates/curlewlift/src/gateway/admit.rs
+++ b/crates/curlewlift/src/gateway/admit.rs
@@ -136,7 +136,7 @@
     let within = call.patience.unwrap_or(rule.timeout).min(rule.timeout);
     let deadline = Deadline::new(node.clock.clone(), arrived, within);
     let halls = halls(node, &rule, account.as_deref())?;
-    let number = table.get_number();
+    let number = table.get_version();
     let limits = table.get_limits();
     drop(table);
     let (head, body) = request.into_parts();
@@ -228,7 +228,7 @@
     let path = request.uri().path();
     let rule = table.find(host, path).cloned();
     rule.ok_or_else(|| {
-        let why = format!("table {} has no rule for {host}{path}", table.get_number());
+        let why = format!("table {} has no rule for {host}{path}", table.get_version());
         Refused::new(Code::UnknownPath, why)
     })
 }
@@ -243,7 +243,10 @@
         return Ok(known.cloned());
     }
     known.cloned().map(Some).ok_or_else(|| {
-        let why = format!("table {} has no customer with this key", table.get_number());
+        let why = format!(
+            "table {} has no customer with this key",
+            table.get_version()
+        );
         Refused::new(Code::WrongKey, why)
     })
 }
--- a/crates/curlewlift/src/gateway/node.rs
+++ b/crates/curlewlift/src/gateway/node.rs
@@ -268,7 +268,7 @@
 
     /// The number of the table in force here; 0 before the first one has come.
     pub(super) fn held_table(&self) -> u64 {
-        self.table().map_or(0, |table| table.get_number())
+        self.table().map_or(0, |table| table.get_version())
     }
 
     /// The number of the newest table that it knows of.
@@ -306,7 +306,7 @@
 impl Node {
     /// Puts a table in force that is newer than the one held.
     pub(super) fn adopt_table(&self, table: Table) {
-        let number = table.get_number();
+        let number = table.get_version();
         let held = self.held_table();
         if number <= held {
             return;
--- a/crates/curlewlift/src/platform/document.rs
+++ b/crates/curlewlift/src/platform/document.rs
@@ -118,7 +118,7 @@
         accounts.collect::<Result<Vec<_>, _>>()
     });
     Table::new(Parts {
-        number: document.version,
+        version: document.version,
         rules,
         services,
         limits: document
--- a/crates/curlewlift/src/platform/operator.rs
+++ b/crates/curlewlift/src/platform/operator.rs
@@ -53,7 +53,7 @@
         Err(refusal) => return http::refused(&refusal),
     };
     let number = match document::decode(&text) {
-        Ok(table) => table.get_number(),
+        Ok(table) => table.get_version(),
         Err(refusal) => {
             note(Kind::Command)
                 .with("answer", "invalid")
