--- a/crates/core/src/pool/server_health.rs
+++ b/crates/core/src/pool/server_health.rs
@@ -86,8 +86,8 @@
             .map_or(Duration::ZERO, |until| until.since(now))
     }
 
-    /// Whether it may be sent a request at `now`. If all servers are suspect, one or two breaks do not distinguish them,
-    /// and trying one is better than rejecting the request.
+    /// Whether it may be sent a request at `now`. If all servers are suspect, one or two breaks do not distinguish
+    /// them, and trying one is better than rejecting the request.
     #[must_use]
     pub fn is_usable(&self, all_suspect: bool, now: Instant) -> bool {
         !self.is_suspect(now)
--- a/crates/core/tests/evacuated_halls.rs
+++ b/crates/core/tests/evacuated_halls.rs
@@ -74,8 +74,8 @@
     messages::want(&"g".parse().expect("valid name"))
 }
 
-/// While a hall is evacuated, the hub grants slots elsewhere. Gateways get another policy when the evacuation starts and
-/// when it ends.
+/// While a hall is evacuated, the hub grants slots elsewhere. Gateways get another policy when the evacuation starts
+/// and when it ends.
 #[test]
 fn no_slots_granted() {
     let mut hub = hub();
--- a/crates/core/tests/queue_forecast.rs
+++ b/crates/core/tests/queue_forecast.rs
@@ -1,5 +1,5 @@
-//! Requests that cannot be served in time are removed from the queue at once, so that their callers need not wait in vain;
-//! the others stay queued.
+//! Requests that cannot be served in time are removed from the queue at once, so that their callers need not wait in
+//! vain; the others stay queued.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/core/tests/retry_budget.rs
+++ b/crates/core/tests/retry_budget.rs
@@ -68,9 +68,9 @@
     assert_eq!(acquired(&mut budget, Instant(10_000_001)), 30);
 }
 
-/// A step's retries count until the last of them leaves the window. They once left with the beginning of the step, so that
-/// retries made at its end were granted again within the same window: servers that rejected everything got 645 retries in
-/// 10 s where 643 were allowed.
+/// A step's retries count until the last of them leaves the window. They once left with the beginning of the step, so
+/// that retries made at its end were granted again within the same window: servers that rejected everything got 645
+/// retries in 10 s where 643 were allowed.
 #[test]
 fn no_step_too_early() {
     let mut budget = RetryBudget::new(ALLOWANCE);
--- a/crates/core/tests/server_notices.rs
+++ b/crates/core/tests/server_notices.rs
@@ -72,8 +72,9 @@
     }
 }
 
-/// All servers ask for a backoff at the same time, and still have no room when it ends. The queued requests must not all
-/// reach them at once only to be rejected again: when all free slots were used, seven or eight arrived within 0.1 s.
+/// All servers ask for a backoff at the same time, and still have no room when it ends. The queued requests must not
+/// all reach them at once only to be rejected again: when all free slots were used, seven or eight arrived within
+/// 0.1 s.
 #[test]
 fn no_burst_after_backoff() {
     for seed in 0..20 {
@@ -107,8 +108,8 @@
     assert!(!notices.excludes("i-1/1", at(7)));
 }
 
-/// A backoff of a year, or of the longest representable time, is cut to ten minutes. A time that cannot be parsed has no
-/// effect, and is reported only once.
+/// A backoff of a year, or of the longest representable time, is cut to ten minutes. A time that cannot be parsed has
+/// no effect, and is reported only once.
 #[test]
 fn invalid_backoff_times() {
     let mut notices = Notices::default();
--- a/crates/core/tests/server_pool.rs
+++ b/crates/core/tests/server_pool.rs
@@ -381,8 +381,8 @@
     assert_eq!(assign(&mut pool, Instant(3_000_000)).len(), 2);
 }
 
-/// A request that could only wait for servers that back off for longer than it waits is removed at once, whatever its rank;
-/// others stay queued.
+/// A request that could only wait for servers that back off for longer than it waits is removed at once, whatever its
+/// rank; others stay queued.
 #[test]
 fn backoff_outlasts_wait() {
     let mut pool = pool(&["s1", "s2"]);
