--- a/crates/core/src/gateway/hub.rs
+++ b/crates/core/src/gateway/hub.rs
@@ -198,8 +198,8 @@
 
     /// Applies the quotas and cold rates of a newer table.
     pub fn apply_table(&mut self, table: &Table, now: Instant) {
-        if table.get_number() > self.table_number {
-            self.table_number = table.get_number();
+        if table.get_version() > self.table_number {
+            self.table_number = table.get_version();
             let policies = table.customers();
             let policies = policies.map(|policy| (&policy.name, policy.quota));
             self.limiter.set_quotas(policies, now);
--- a/crates/core/tests/cold_servers.rs
+++ b/crates/core/tests/cold_servers.rs
@@ -67,7 +67,7 @@
         cold_rate: Some(rate()),
     };
     let table = Table::new(Parts {
-        number: 1,
+        version: 1,
         rules: Vec::new(),
         services: [("chat".parse().expect("a valid name"), provider)].into(),
         limits: Limits::default(),
