--- a/crates/core/src/rollout/baseline.rs
+++ b/crates/core/src/rollout/baseline.rs
@@ -1,9 +1,10 @@
-//! What answers of a service usually look like, as a measure for those of another version.
+//! The typical responses of the version that serves, as the baseline for those of a version on trial.
 //!
-//! Load pattern: servers of several generations, of which some are 2.7 times as fast as others and get most
-//! of the work; a burst makes all answers slow; some servers fail for reasons of their own. Against the mean
-//! of all answers a version whose servers are all of the slower generation looks bad, and under a burst every
-//! version does. So each server of the other version counts alike, and what they show now is the measure.
+//! Load pattern: servers are of several generations, some of which are 2.7 times as fast as others and get most
+//! of the requests; a burst makes all responses slow; some servers fail for reasons of their own.
+//! Compared with the mean of all responses, a version whose servers are all of a slower generation would look
+//! faulty, and during a burst every version would. So every server of the serving version has the same weight,
+//! and only the newest responses count.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -13,139 +14,156 @@
 
 use crate::pool::End;
 
-/// How many answers of one server to requests of one rule count: one fast server must not outvote the rest.
-const EACH: usize = 6;
+/// The number of responses of one server that count for a rule: a fast server must not outweigh the others.
+const MAX_RESPONSES_PER_SERVER: usize = 6;
 
-/// How many answers count for a rule, newest first: some 2 s of a busy rule, so that a burst which slows all
-/// is in the measure before a trial's few answers show it.
-const NEWEST: usize = 256;
+/// The number of newest responses that count for a rule.
+///
+/// That is some 2 s of a busy rule, so that a burst which slows all servers shows in the baseline before it shows
+/// in the few responses of a trial.
+const MAX_RESPONSES_PER_RULE: usize = 256;
 
-/// From how many answers on there is a measure.
-const ENOUGH: usize = 12;
+/// The minimum number of responses for a median, and for a rule to be busy. The baseline of a rule is computed
+/// again after as many new ones.
+const MIN_RESPONSES: usize = 12;
 
-/// One of so many answers, at least, belongs to a rule that is often asked.
-const BUSY: usize = 20;
+/// A rule is busy if at least one in so many responses belongs to it.
+const BUSY_RULE_SHARE_DIVISOR: usize = 20;
 
-/// How many times the usual time makes an answer slow: above what one generation takes more than another
-/// (2.7), below what several times slower means.
-const SLOW: f64 = 3.0;
+/// A response is slow if it takes so many times the typical time.
+///
+/// This is above the ratio between two generations of servers (2.7), and below the slowdown of a faulty version.
+const SLOW_FACTOR: f64 = 3.0;
 
-/// The least and the most part of bad answers that is taken for usual.
-const USUAL: (f64, f64) = (0.01, 0.6);
+/// The minimum and the maximum rate of bad responses that is taken for typical.
+const BAD_RATE_RANGE: (f64, f64) = (0.01, 0.6);
 
-/// What an answer showed.
+/// The outcome of one attempt, with the rule and the server.
 #[derive(Clone, Debug)]
 pub struct Sample {
-    /// The rule that its request came under.
+    /// The rule that the request matched.
     pub rule: Arc<str>,
-    /// The incarnation that answered.
+    /// The incarnation of the server.
     pub server: Arc<str>,
-    /// How it ended.
+    /// The outcome of the attempt.
     pub outcome: End,
 }
 
-/// The times of one answer.
+/// What an attempt shows of the version.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Shown {
+enum Observation {
+    /// The server failed.
     Failed,
-    /// The time to the first byte, and between two pieces of a stream, in seconds.
-    Answered(f64, Option<f64>),
+    /// The server responded, with this time to the first byte and, for a stream, this mean time between two
+    /// chunks, in seconds.
+    Completed(f64, Option<f64>),
 }
 
-impl Shown {
-    /// None where the end says nothing of the version.
-    fn of(end: End) -> Option<Self> {
-        match end {
+impl Observation {
+    /// Converts an outcome; `None` if it shows nothing of the version.
+    fn from_outcome(outcome: End) -> Option<Self> {
+        match outcome {
             End::Good { first, gap } => {
                 let gap = gap.as_ref().map(Duration::as_secs_f64);
-                Some(Self::Answered(first.as_secs_f64(), gap))
+                Some(Self::Completed(first.as_secs_f64(), gap))
             }
             End::Failed | End::Broken | End::Silent => Some(Self::Failed),
             End::Full | End::Rests(_) | End::Gone | End::Nothing => None,
         }
     }
 
-    /// Whether it failed, or took many times what is usual.
-    fn is_bad(self, usual: Usual) -> bool {
+    /// Whether the attempt failed, or took many times the typical time.
+    fn is_bad(self, baseline: RuleBaseline) -> bool {
         match self {
             Self::Failed => true,
-            Self::Answered(first, gap) => {
-                let slow =
-                    |time: f64, usual: Option<f64>| usual.is_some_and(|usual| time > usual * SLOW);
-                slow(first, usual.first) || gap.is_some_and(|gap| slow(gap, usual.gap))
+            Self::Completed(first_byte, gap) => {
+                let is_slow = |time: f64, typical: Option<f64>| {
+                    typical.is_some_and(|typical| time > typical * SLOW_FACTOR)
+                };
+                is_slow(first_byte, baseline.first_byte)
+                    || gap.is_some_and(|gap| is_slow(gap, baseline.gap))
             }
         }
     }
 }
 
-/// The usual times of a rule, in seconds, and the part of its answers that are bad by them.
+/// The typical times of a rule, in seconds, and the rate of bad responses.
 #[derive(Clone, Copy, Debug, Default)]
-struct Usual {
-    first: Option<f64>,
+struct RuleBaseline {
+    /// The median time to the first byte; `None` if there are too few responses.
+    first_byte: Option<f64>,
+    /// The median time between two chunks; `None` if there are too few streams.
     gap: Option<f64>,
-    bad: f64,
+    /// The rate of responses that failed, or are slow compared with the medians.
+    bad_rate: f64,
 }
 
-/// The newest answers to requests of a rule.
+/// The newest responses under one rule.
 #[derive(Clone, Debug, Default)]
-struct Kept {
-    newest: VecDeque<(Arc<str>, Shown)>,
-    counts: HashMap<Arc<str>, usize>,
-    usual: Usual,
-    /// How many came in all.
-    all: usize,
-    /// How many came since the usual was worked out.
-    since: usize,
+struct RuleWindow {
+    newest: VecDeque<(Arc<str>, Observation)>,
+    counts_by_server: HashMap<Arc<str>, usize>,
+    baseline: RuleBaseline,
+    /// The number of all responses so far.
+    total: usize,
+    /// The number of responses since the baseline was computed.
+    since_update: usize,
 }
 
-impl Kept {
-    fn add(&mut self, server: &Arc<str>, shown: Shown) {
-        let count = self.counts.entry(Arc::clone(server)).or_default();
+impl RuleWindow {
+    fn add(&mut self, server: &Arc<str>, observation: Observation) {
+        let count = self.counts_by_server.entry(Arc::clone(server)).or_default();
         *count += 1;
-        if *count > EACH {
+        if *count > MAX_RESPONSES_PER_SERVER {
             let oldest = self.newest.iter().position(|(other, _)| other == server);
-            oldest.map(|place| self.newest.remove(place));
+            oldest.map(|index| self.newest.remove(index));
             *count -= 1;
         }
-        self.newest.push_back((Arc::clone(server), shown));
-        if self.newest.len() > NEWEST
+        self.newest.push_back((Arc::clone(server), observation));
+        if self.newest.len() > MAX_RESPONSES_PER_RULE
             && let Some((server, _)) = self.newest.pop_front()
-            && let Some(count) = self.counts.get_mut(&server)
+            && let Some(count) = self.counts_by_server.get_mut(&server)
         {
             *count -= 1;
             if *count == 0 {
-                self.counts.remove(&server);
+                self.counts_by_server.remove(&server);
             }
         }
-        self.all += 1;
-        self.since += 1;
-        // Sorting 256 numbers for each of 1,000 answers a second would take a hundredth of a core.
-        if self.since >= ENOUGH {
-            self.since = 0;
-            self.usual = self.work_out();
+        self.total += 1;
+        self.since_update += 1;
+        // Computing the medians of 256 numbers for each of 1,000 responses a second would take 1% of a core.
+        if self.since_update >= MIN_RESPONSES {
+            self.since_update = 0;
+            self.baseline = self.compute_baseline();
         }
     }
 
-    fn work_out(&self) -> Usual {
-        let answered = self.newest.iter().filter_map(|(_, shown)| match shown {
-            Shown::Answered(first, gap) => Some((*first, *gap)),
-            Shown::Failed => None,
-        });
-        let (firsts, gaps): (Vec<_>, Vec<_>) = answered.unzip();
-        let mut usual = Usual {
-            first: median(firsts),
+    fn compute_baseline(&self) -> RuleBaseline {
+        let completed = self
+            .newest
+            .iter()
+            .filter_map(|(_, observation)| match observation {
+                Observation::Completed(first_byte, gap) => Some((*first_byte, *gap)),
+                Observation::Failed => None,
+            });
+        let (first_bytes, gaps): (Vec<_>, Vec<_>) = completed.unzip();
+        let mut baseline = RuleBaseline {
+            first_byte: median(first_bytes),
             gap: median(gaps.into_iter().flatten().collect()),
-            bad: 0.0,
+            bad_rate: 0.0,
         };
-        let bad = self.newest.iter().filter(|(_, shown)| shown.is_bad(usual));
-        usual.bad = part(bad.count(), self.newest.len());
-        usual
+        let bad = self
+            .newest
+            .iter()
+            .filter(|(_, observation)| observation.is_bad(baseline));
+        baseline.bad_rate = smoothed_fraction(bad.count(), self.newest.len());
+        baseline
     }
 }
 
-/// The number in the middle; none of fewer than [`ENOUGH`].
+/// The median; `None` of fewer than [`MIN_RESPONSES`] numbers.
 fn median(mut numbers: Vec<f64>) -> Option<f64> {
-    if numbers.len() < ENOUGH {
+    if numbers.len() < MIN_RESPONSES {
         return None;
     }
     let middle = numbers.len() / 2;
@@ -153,45 +171,54 @@
     Some(*median)
 }
 
-/// `count` of `all`, as of two more, of which half: a part that is not known is neither 0 nor 1.
+/// The fraction `count / all`, smoothed by one more sample that counts half: a rate that is hardly known must
+/// be neither 0 nor 1.
 #[allow(clippy::cast_precision_loss)]
-fn part(count: usize, all: usize) -> f64 {
+fn smoothed_fraction(count: usize, all: usize) -> f64 {
     (count as f64 + 0.5) / (all as f64 + 1.0)
 }
 
-/// What answers of a service usually look like, by rule; memory is bounded by 256 answers a rule.
+/// The typical responses of a service, by rule. Memory is bounded by 256 responses per rule.
 #[derive(Clone, Debug, Default)]
 pub struct Baseline {
-    rules: BTreeMap<Arc<str>, Kept>,
+    rules: BTreeMap<Arc<str>, RuleWindow>,
 }
 
 impl Baseline {
-    /// Takes up an answer of the version that serves; whether it showed anything.
+    /// Records a response of the serving version; returns whether it shows anything of the version.
     pub fn record(&mut self, sample: &Sample) -> bool {
-        let Some(shown) = Shown::of(sample.outcome) else {
+        let Some(observation) = Observation::from_outcome(sample.outcome) else {
             return false;
         };
-        let kept = self.rules.entry(Arc::clone(&sample.rule)).or_default();
-        kept.add(&sample.server, shown);
+        let window = self.rules.entry(Arc::clone(&sample.rule)).or_default();
+        window.add(&sample.server, observation);
         true
     }
 
-    /// Whether an answer is bad by this measure, for being slow only where times count; and the part of usual
-    /// answers that are. None where it shows nothing.
+    /// Returns whether a response is bad compared with the baseline, and the typical rate of bad responses under
+    /// its rule.
+    ///
+    /// A response that is slow is bad only if `latency_counts`. `None` if the response shows nothing of its version.
     #[must_use]
-    pub fn classify(&self, sample: &Sample, times_count: bool) -> Option<(bool, f64)> {
-        let shown = Shown::of(sample.outcome)?;
-        let usual = self.rules.get(&sample.rule).map(|kept| kept.usual);
-        let usual = usual.unwrap_or_default();
-        let is_bad = shown == Shown::Failed || (times_count && shown.is_bad(usual));
-        Some((is_bad, usual.bad.clamp(USUAL.0, USUAL.1)))
+    pub fn classify(&self, sample: &Sample, latency_counts: bool) -> Option<(bool, f64)> {
+        let observation = Observation::from_outcome(sample.outcome)?;
+        let baseline = self.rules.get(&sample.rule).map(|window| window.baseline);
+        let baseline = baseline.unwrap_or_default();
+        let is_bad =
+            observation == Observation::Failed || (latency_counts && observation.is_bad(baseline));
+        Some((
+            is_bad,
+            baseline.bad_rate.clamp(BAD_RATE_RANGE.0, BAD_RATE_RANGE.1),
+        ))
     }
 
-    /// The rules that answers often belong to.
+    /// The rules that a substantial part of the responses belongs to.
     pub fn busy_rules(&self) -> impl Iterator<Item = &Arc<str>> {
-        let all: usize = self.rules.values().map(|kept| kept.all).sum();
+        let total: usize = self.rules.values().map(|window| window.total).sum();
         let busy = self.rules.iter();
-        let busy = busy.filter(move |(_, kept)| kept.all >= ENOUGH && kept.all * BUSY >= all);
+        let busy = busy.filter(move |(_, window)| {
+            window.total >= MIN_RESPONSES && window.total * BUSY_RULE_SHARE_DIVISOR >= total
+        });
         busy.map(|(rule, _)| rule)
     }
 }
--- a/crates/core/src/rollout/plans.rs
+++ b/crates/core/src/rollout/plans.rs
@@ -1,4 +1,4 @@
-//! The roll-outs as they are agreed.
+//! The roll-outs of all services, as committed to the log.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,20 +15,20 @@
 use super::Step;
 use super::Version;
 
-/// What is agreed of one service.
+/// The committed state of one service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct ServiceRollout {
-    /// The versions that serve it; none before that is known.
+    /// The versions that serve it; empty until that is known.
     serving: BTreeSet<Version>,
-    /// The last order, and how far it has come.
+    /// The last order and its phase.
     #[serde(rename = "last")]
     last_order: Option<(Order, Phase)>,
 }
 
-/// The roll-outs of all services as they are agreed, as one value that every replica computes alike.
+/// The committed roll-outs of all services; every replica computes the same value from the log.
 ///
-/// A version serves a service because it did so when the service was first seen, or because a roll-out to it
-/// was completed: one that merely shows up gets nothing. Memory is linear in the services.
+/// A version serves a service if it did so when the service was first seen, or if a roll-out to it was completed.
+/// A version whose servers merely appear gets no requests. Memory is linear in the services.
 ///
 /// # Examples
 ///
@@ -40,7 +40,7 @@
 ///     service: "chat".parse()?,
 ///     versions: ["v1".parse()?].into(),
 /// })?;
-/// assert!(plans.get(&"chat".parse()?).is_none(), "nothing was ordered");
+/// assert!(plans.last_order(&"chat".parse()?).is_none(), "nothing was ordered");
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -50,11 +50,11 @@
 }
 
 impl Plans {
-    /// Applies one step; one that does not follow from the state changes nothing.
+    /// Applies a committed step; a step that doesn't follow from the current state changes nothing.
     ///
     /// # Errors
     ///
-    /// [`Code::Conflict`] for an order while another one of its service is under way.
+    /// [`Code::Conflict`] for an order while a roll-out of its service to another version is active.
     pub fn apply(&mut self, step: &Step) -> Result<(), Refusal> {
         match step {
             Step::Established { service, versions } => self.establish(service, versions),
@@ -68,11 +68,11 @@
         Ok(())
     }
 
-    /// Whether `order` can be taken.
+    /// Checks whether `order` can be accepted.
     ///
     /// # Errors
     ///
-    /// [`Code::Conflict`] where another one of its service is under way.
+    /// [`Code::Conflict`] if a roll-out of its service to another version is active.
     pub fn check_order(&self, order: &Order) -> Result<(), Refusal> {
         match self.last_order(&order.service) {
             Some((last, phase)) if !phase.is_final() && last.target != order.target => {
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Whether `order` is the last one of its service, given again.
+    /// Whether `order` repeats the last order of its service: the same order, or one to the same target while that
+    /// roll-out is active.
     #[must_use]
     pub fn has_order(&self, order: &Order) -> bool {
         let last = self.last_order(&order.service);
@@ -93,31 +94,31 @@
         })
     }
 
-    /// The last order of a service, and how far it has come.
+    /// The last order of a service and its phase.
     #[must_use]
     pub fn last_order(&self, service: &id::Service) -> Option<(&Order, Phase)> {
         let last = self.services.get(service)?.last_order.as_ref();
         last.map(|(order, phase)| (order, *phase))
     }
 
-    /// The versions that serve a service; none where that is not known yet.
+    /// The versions that serve a service; `None` if that is not known yet.
     #[must_use]
     pub fn serving_versions(&self, service: &id::Service) -> Option<&BTreeSet<Version>> {
         let serving = self.services.get(service).map(|rollout| &rollout.serving);
         serving.filter(|serving| !serving.is_empty())
     }
 
-    /// The orders that have not come to their end.
+    /// The orders whose roll-outs have not ended, with their phases.
     pub fn active_orders(&self) -> impl Iterator<Item = (&Order, Phase)> {
-        let last = self
+        let last_orders = self
             .services
             .values()
             .filter_map(|rollout| rollout.last_order.as_ref());
-        let under_way = last.filter(|(_, phase)| !phase.is_final());
-        under_way.map(|(order, phase)| (order, *phase))
+        let active = last_orders.filter(|(_, phase)| !phase.is_final());
+        active.map(|(order, phase)| (order, *phase))
     }
 
-    /// The services of which anything is agreed.
+    /// The services for which any step was committed.
     pub(super) fn services(&self) -> impl Iterator<Item = &id::Service> {
         self.services.keys()
     }
@@ -135,8 +136,8 @@
             return Ok(());
         }
         let rollout = self.services.entry(order.service.clone()).or_default();
-        let serves = rollout.serving.iter().eq([&order.target]);
-        let phase = if serves {
+        let serves_already = rollout.serving.iter().eq([&order.target]);
+        let phase = if serves_already {
             Phase::Completed
         } else {
             Phase::Trial
--- a/crates/core/src/rollout/trial.rs
+++ b/crates/core/src/rollout/trial.rs
@@ -1,8 +1,9 @@
-//! One roll-out under way, as the hub sees it.
+//! The state of one active roll-out at the hub.
 //!
-//! Load pattern: a version may be bad only after some seconds, or only under load, so a trial lasts as long as
-//! what runs at the former version lets it; and whoever gets a bad answer is a caller, so no more go there than
-//! it takes. Beyond the bound nothing goes there, whatever the load.
+//! Load pattern: a version may turn bad only after some seconds, or only under load. So a trial lasts as long as
+//! possible while leaving the requests that run on the former version enough time to finish. As every bad
+//! response hits a caller, the target gets no more requests than the trial needs; it never gets more than its
+//! limit, whatever the load.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,54 +15,60 @@
 use super::Phase;
 use super::Sample;
 
-/// The part of a roll-out's time after which a version that is trusted gets all new requests: what runs at the
-/// former one has the rest to end in. At 0.6 a tenth of the versions that turn slow at a third of the time came
-/// through, at 0.7 none (example `rollouts`, 40 seeds, no trouble).
-const TRIED: f64 = 0.7;
+/// The fraction of a roll-out's duration after which a trusted version gets all new requests; requests that run
+/// on the former version have the rest to finish.
+///
+/// At 0.6 a tenth of the versions that turn slow after a third of the duration passed the trial, at 0.7 none did
+/// (example `rollouts`, 40 seeds, no other faults).
+const MIN_TRIAL_FRACTION: f64 = 0.7;
 
-/// The part after which less room is enough.
-const PRESSED: f64 = 0.85;
+/// The fraction of a roll-out's duration after which the target needs only as many slots as requests are in
+/// flight, instead of [`MIN_CAPACITY_RATIO`].
+const RELAXED_CAPACITY_FRACTION: f64 = 0.85;
 
-/// How many times its time a roll-out may last without being trusted: where leaders changed, what the one before
-/// saw is not known to the next.
-const GIVEN_UP: f64 = 2.0;
+/// A roll-out whose target isn't trusted after so many times its duration is rolled back.
+///
+/// The time beyond the duration allows for a change of the leader: the new one doesn't know the responses that
+/// the former one saw.
+const MAX_DURATION_FACTOR: f64 = 2.0;
 
-/// The part of the former version's slots that the target must have to be given all requests.
-const ROOM: f64 = 0.8;
+/// The minimum ratio of the target's slots to those of the former version for the target to get all requests.
+const MIN_CAPACITY_RATIO: f64 = 0.8;
 
-/// What is borne of a version that is not trusted yet.
+/// The limits on the requests to a version that is not trusted yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// The part (0 to 1) of a service's requests that it may get.
+    /// The share (0 to 1) of a service's requests that it may get.
     pub share: f64,
-    /// The requests that it may get on top of that.
+    /// The number of requests that it may get in addition.
     pub extra_requests: f64,
 }
 
-/// What there is around a trial at a moment.
+/// The state of the service around a trial.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Conditions {
     /// The time since the order.
     pub age: Duration,
-    /// Slots of the servers of the target that take new work.
+    /// The slots of the target's servers that accept new requests.
     pub target_slots: u32,
     /// The number of these servers.
     pub target_servers: usize,
-    /// Slots of the servers of the former versions that take new work.
+    /// The slots of the former versions' servers that accept new requests.
     pub former_slots: u32,
-    /// Requests that run at the service, of whatever version.
+    /// The number of requests that run on servers of the service, of any version.
     pub in_flight: u32,
-    /// Requests that run at the former versions.
+    /// The number of requests that run on servers of the former versions.
     pub in_flight_at_former: u32,
-    /// Whether every gateway that may still send there by its own choice is heard and knows better.
+    /// Whether the hub knows that every gateway has applied the current policy, so that none sends requests to the
+    /// former versions by a local decision any more.
     pub is_policy_applied: bool,
 }
 
-/// One roll-out under way.
+/// One active roll-out.
 #[derive(Clone, Debug)]
 pub struct Trial {
-    /// Within what time it is to come to its end.
-    length: Duration,
+    /// The time within which the roll-out is to be completed.
+    duration: Duration,
     phase: Phase,
     exposure: Exposure,
     baseline: Baseline,
@@ -69,41 +76,48 @@
 }
 
 impl Trial {
-    /// A roll-out with `length` to come to its end; `is_own` where the order was taken under this hub.
+    /// Creates a roll-out in `phase` that is to be completed within `duration`.
+    ///
+    /// Only where `is_ordered_here`, that is under the hub that accepted the order, the target may get the extra
+    /// requests of `bounds`: so they are granted once, also when hubs change.
     #[must_use]
-    pub fn new(length: Duration, phase: Phase, bounds: Bounds, is_own: bool) -> Self {
-        let on_top = if is_own { bounds.extra_requests } else { 0.0 };
+    pub fn new(duration: Duration, phase: Phase, bounds: Bounds, is_ordered_here: bool) -> Self {
+        let extra_requests = if is_ordered_here {
+            bounds.extra_requests
+        } else {
+            0.0
+        };
         Self {
-            length,
+            duration,
             phase,
-            exposure: Exposure::new(bounds.share, on_top),
+            exposure: Exposure::new(bounds.share, extra_requests),
             baseline: Baseline::default(),
             judge: Judge::default(),
         }
     }
 
-    /// The roll-out has come to `phase`.
+    /// Sets the phase that was committed.
     pub fn set_phase(&mut self, phase: Phase) {
         self.phase = phase;
     }
 
-    /// Takes up an answer of a former version.
+    /// Records a response of a former version.
     pub fn record_former(&mut self, sample: &Sample) {
         if self.baseline.record(sample) {
             self.exposure.earn();
         }
     }
 
-    /// Takes up an answer of the target, which has so many `servers`.
-    pub fn record_target(&mut self, sample: &Sample, servers: usize) {
-        // Once all new requests go there, nothing tells any more how slow the load alone makes answers: beside
-        // busy hosts good versions were rolled back for it.
-        let times_count = self.phase == Phase::Trial;
+    /// Records a response of the target, which has `server_count` servers.
+    pub fn record_target(&mut self, sample: &Sample, server_count: usize) {
+        // Once all new requests go to the target, there is no baseline for how slow the load alone makes
+        // responses: on busy hosts good versions were rolled back for being slow.
+        let latency_counts = self.phase == Phase::Trial;
         self.judge
-            .record(sample, &self.baseline, servers, times_count);
+            .record(sample, &self.baseline, server_count, latency_counts);
     }
 
-    /// How many requests the target may get now; none where it has no bound any more.
+    /// The number of requests that the target may get now; `None` if there is no limit any more.
     #[must_use]
     pub fn credit(&self) -> Option<u32> {
         match self.phase {
@@ -115,20 +129,20 @@
         }
     }
 
-    /// The rules that are often asked and under which the target is not trusted yet.
+    /// The busy rules under which the target is not trusted yet.
     #[must_use]
     pub fn untrusted_rules(&self) -> Vec<Arc<str>> {
         self.judge.untrusted_rules(self.baseline.busy_rules())
     }
 
-    /// A request is given a place at the target.
+    /// Spends the credit for a request that is granted a slot of the target.
     pub fn spend(&mut self) {
         if self.phase == Phase::Trial {
             self.exposure.try_spend();
         }
     }
 
-    /// The phase that is to follow, and why, where one is.
+    /// The phase that the roll-out is to advance to, with the reason; `None` if it stays in its phase.
     #[must_use]
     pub fn next_phase(&self, conditions: &Conditions) -> Option<(Phase, String)> {
         if let Some(evidence) = self.judge.evidence_against() {
@@ -141,7 +155,7 @@
         }
     }
 
-    /// What speaks surely against the target.
+    /// The evidence on which the target is to be rejected, if there is enough.
     #[must_use]
     pub fn evidence_against(&self) -> Option<Evidence> {
         self.judge.evidence_against()
@@ -150,30 +164,31 @@
     fn after_trial(&self, conditions: &Conditions) -> Option<(Phase, String)> {
         let answers = self.judge.response_count();
         let slots = conditions.target_slots;
-        if conditions.age < self.length.mul_f64(GIVEN_UP) {
+        if conditions.age < self.duration.mul_f64(MAX_DURATION_FACTOR) {
             let why = format!("answers={answers} slots={slots}");
-            return self.is_trusted(conditions).then_some((Phase::Moving, why));
+            return self.may_move(conditions).then_some((Phase::Moving, why));
         }
         let why = format!("not trusted within its time: answers={answers} slots={slots}");
         Some((Phase::RolledBack, why))
     }
 
-    /// Whether the target is to get all new requests.
-    fn is_trusted(&self, conditions: &Conditions) -> bool {
-        let is_past = |part: f64| conditions.age >= self.length.mul_f64(part);
-        let (slots, former) = (conditions.target_slots, conditions.former_slots);
-        let has_room = if is_past(PRESSED) {
+    /// Whether the target may get all new requests.
+    fn may_move(&self, conditions: &Conditions) -> bool {
+        let is_past = |fraction: f64| conditions.age >= self.duration.mul_f64(fraction);
+        let (slots, former_slots) = (conditions.target_slots, conditions.former_slots);
+        let has_capacity = if is_past(RELAXED_CAPACITY_FRACTION) {
             slots >= conditions.in_flight.max(1)
         } else {
-            slots > 0 && f64::from(slots) >= f64::from(former) * ROOM
+            slots > 0 && f64::from(slots) >= f64::from(former_slots) * MIN_CAPACITY_RATIO
         };
         let is_compared = self.baseline.busy_rules().next().is_some();
         let is_trusted =
             is_compared && self.judge.is_trusted() && self.untrusted_rules().is_empty();
-        is_past(TRIED) && has_room && is_trusted
+        is_past(MIN_TRIAL_FRACTION) && has_capacity && is_trusted
     }
 
-    /// Whoever stops the former version once the roll-out is completed cuts off what still runs there.
+    /// Completes the roll-out only when nothing can run on the former version any more: its servers may be stopped
+    /// right after, which would break off what still runs there.
     fn after_moving(&self, conditions: &Conditions) -> Option<(Phase, String)> {
         let is_clear = conditions.in_flight_at_former == 0
             && conditions.is_policy_applied
--- a/crates/core/src/rollout/trials.rs
+++ b/crates/core/src/rollout/trials.rs
@@ -1,4 +1,4 @@
-//! The roll-outs under way, as the hub sees them.
+//! The active roll-outs of all services at the hub.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,36 +22,38 @@
 use super::Trial;
 use super::Version;
 
-/// After how long a step that was proposed and is not agreed is proposed again: some elections.
-const AGAIN: Duration = Duration::from_secs(1);
+/// The time after which a step that was proposed and not committed is proposed again: longer than several
+/// elections take.
+const REPROPOSE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A roll-out under way.
+/// An active roll-out.
 #[derive(Clone, Debug)]
 struct ActiveRollout {
     target: Version,
-    /// How old the order was when this hub first knew of it, and when that was.
-    known: (Duration, Instant),
+    /// The age of the order when this hub first learned of it, and when that was.
+    first_seen: (Duration, Instant),
     trial: Trial,
-    /// When a step of it was proposed that is not agreed yet.
-    proposed: Option<Instant>,
+    /// When a step was proposed that is not committed yet.
+    proposed_at: Option<Instant>,
 }
 
-/// The roll-outs under way; without bounds there are none, and every version serves.
+/// The active roll-outs at the hub. Without bounds there are none, and every version serves.
 #[derive(Clone, Debug, Default)]
 pub struct Trials {
     bounds: Option<Bounds>,
     plans: Plans,
     policy: Policy,
-    under_way: BTreeMap<id::Service, ActiveRollout>,
-    /// The services whose versions are to be established, and since when.
-    establishing: BTreeMap<id::Service, Instant>,
-    /// The version of the last list of which all services are established: going through 3,000 servers at every
-    /// look would take a hundredth of a small host's core.
-    settled: u64,
+    active: BTreeMap<id::Service, ActiveRollout>,
+    /// When it was proposed to establish the versions of a service, by service, until that is committed.
+    establishing_since: BTreeMap<id::Service, Instant>,
+    /// The version of the last server list of which all services are established. Scanning 3,000 servers again
+    /// each time would take a hundredth of a small host's core.
+    established_list_version: u64,
 }
 
 impl Trials {
-    /// No roll-outs yet; none ever, where no `bounds` say what is borne of a version on trial.
+    /// Creates the state without roll-outs; there will never be any if there are no `bounds` for a version on
+    /// trial.
     #[must_use]
     pub fn new(bounds: Option<Bounds>) -> Self {
         Self {
@@ -60,78 +62,80 @@
         }
     }
 
-    /// Takes up what is agreed. `now_ms` is the Unix time; `own` the order that was taken under this hub.
+    /// Applies the committed `plans`.
+    ///
+    /// `own` is the order that was accepted under this hub, `now_ms` the Unix time.
     pub fn apply_plans(&mut self, plans: &Plans, own: Option<&Order>, now_ms: u64, now: Instant) {
         let Some(bounds) = self.bounds else { return };
         self.plans = plans.clone();
         self.policy = Policy::from_plans(plans);
-        self.settled = 0;
-        self.establishing
+        self.established_list_version = 0;
+        self.establishing_since
             .retain(|service, _| plans.serving_versions(service).is_none());
-        let mut former = std::mem::take(&mut self.under_way);
+        let mut previous = std::mem::take(&mut self.active);
         for (order, phase) in plans.active_orders() {
-            let known = former.remove(&order.service);
+            let known = previous.remove(&order.service);
             let known = known.filter(|known| known.target == order.target);
-            let mut under_way = known.unwrap_or_else(|| ActiveRollout {
+            let mut rollout = known.unwrap_or_else(|| ActiveRollout {
                 target: order.target.clone(),
-                known: (order.age(now_ms), now),
+                first_seen: (order.age(now_ms), now),
                 trial: Trial::new(order.duration, phase, bounds, own == Some(order)),
-                proposed: None,
+                proposed_at: None,
             });
-            under_way.trial.set_phase(phase);
-            under_way.proposed = None;
-            self.under_way.insert(order.service.clone(), under_way);
+            rollout.trial.set_phase(phase);
+            rollout.proposed_at = None;
+            self.active.insert(order.service.clone(), rollout);
         }
     }
 
-    /// What gateways may send to by their own choice.
+    /// The versions that gateways may send requests to by a local decision.
     #[must_use]
     pub fn get_policy(&self) -> &Policy {
         &self.policy
     }
 
-    /// Whether the hub may give places at `server`.
+    /// Whether the hub may grant slots of `server`.
     #[must_use]
     pub fn admits(&self, server: &Server) -> bool {
-        let under_way = self.under_way.get(&server.service);
-        let is_target = under_way.is_some_and(|under_way| under_way.target == server.version);
+        let rollout = self.active.get(&server.service);
+        let is_target = rollout.is_some_and(|rollout| rollout.target == server.version);
         is_target || self.policy.allows(server)
     }
 
-    /// The services with a version on trial, and what it may get now.
+    /// The services with a version on trial, with the requests that it may get now.
     pub fn on_trial(&self) -> impl Iterator<Item = (&id::Service, OnTrial)> {
-        self.under_way.iter().filter_map(|(service, under_way)| {
+        self.active.iter().filter_map(|(service, rollout)| {
             let on_trial = OnTrial {
-                version: under_way.target.clone(),
-                credit: under_way.trial.credit()?,
-                lacking: under_way.trial.untrusted_rules(),
+                version: rollout.target.clone(),
+                credit: rollout.trial.credit()?,
+                lacking: rollout.trial.untrusted_rules(),
             };
             Some((service, on_trial))
         })
     }
 
-    /// A request is given a place at `server`.
+    /// Records that a request is granted a slot of `server`.
     pub fn record_grant(&mut self, server: &Server) {
-        if let Some(under_way) = self.under_way.get_mut(&server.service)
-            && under_way.target == server.version
+        if let Some(rollout) = self.active.get_mut(&server.service)
+            && rollout.target == server.version
         {
-            under_way.trial.spend();
+            rollout.trial.spend();
         }
     }
 
-    /// Whether what answers of a service show is asked for.
+    /// Whether a roll-out of `service` is active, so that the outcomes of its attempts are needed.
     #[must_use]
     pub fn is_active(&self, service: &id::Service) -> bool {
-        self.under_way.contains_key(service)
+        self.active.contains_key(service)
     }
 
-    /// Takes up how a sending ended at a server of `version`; the target has so many `servers`.
-    pub fn record_attempt_end(&mut self, ended: &Ended, version: &Version, servers: usize) {
-        let Some(under_way) = self.under_way.get_mut(&ended.service) else {
+    /// Records the end of an attempt on a server of `version`, which has `server_count` servers.
+    pub fn record_attempt_end(&mut self, ended: &Ended, version: &Version, server_count: usize) {
+        let Some(rollout) = self.active.get_mut(&ended.service) else {
             return;
         };
         let watched = ended.watched.as_ref();
-        let Some(watched) = watched.filter(|watched| watched.target == under_way.target) else {
+        let Some(watched) = watched.filter(|watched| watched.target == rollout.target) else {
             return;
         };
         let sample = Sample {
@@ -139,33 +143,38 @@
             server: Arc::clone(&ended.incarnation),
             outcome: ended.end,
         };
-        if under_way.target == *version {
-            under_way.trial.record_target(&sample, servers);
+        if rollout.target == *version {
+            rollout.trial.record_target(&sample, server_count);
         } else {
-            under_way.trial.record_former(&sample);
+            rollout.trial.record_former(&sample);
         }
     }
 
-    /// The steps that are to be agreed now, with what speaks for each; `conditions` tells what there is around a
-    /// service whose target is this version.
+    /// The steps that are to be committed now, each with its reason.
+    ///
+    /// `conditions` returns the state of a service for a roll-out to the given target version, without the age of
+    /// the order.
     pub fn propose_steps(
         &mut self,
         conditions: impl Fn(&id::Service, &Version) -> Conditions,
         now: Instant,
     ) -> Vec<(Step, String)> {
         let mut steps = Vec::new();
-        for (service, under_way) in &mut self.under_way {
-            if under_way.proposed.is_some_and(|at| now.since(at) < AGAIN) {
+        for (service, rollout) in &mut self.active {
+            if rollout
+                .proposed_at
+                .is_some_and(|at| now.since(at) < REPROPOSE_INTERVAL)
+            {
                 continue;
             }
-            let mut conditions = conditions(service, &under_way.target);
-            let (age, since) = under_way.known;
+            let mut conditions = conditions(service, &rollout.target);
+            let (age, since) = rollout.first_seen;
             conditions.age = age + now.since(since);
-            if let Some((phase, why)) = under_way.trial.next_phase(&conditions) {
-                under_way.proposed = Some(now);
+            if let Some((phase, why)) = rollout.trial.next_phase(&conditions) {
+                rollout.proposed_at = Some(now);
                 let step = Step::Advanced {
                     service: service.clone(),
-                    target: under_way.target.clone(),
+                    target: rollout.target.clone(),
                     phase,
                 };
                 steps.push((step, why));
@@ -174,12 +183,13 @@
         steps
     }
 
-    /// The steps that establish the versions of services on a list for the first time.
+    /// The steps that establish which versions serve the services that are seen on a server list for the first
+    /// time.
     ///
-    /// Whatever runs when a service is first seen serves it, but for a version that was ordered before: the
-    /// platform starts the servers of that one for the order.
+    /// All versions that run when a service is first seen serve it, except a target that was ordered before: the
+    /// platform starts its servers for the roll-out.
     pub fn propose_established(&mut self, listing: &Listing, now: Instant) -> Vec<Step> {
-        if self.bounds.is_none() || self.settled == listing.version {
+        if self.bounds.is_none() || self.established_list_version == listing.version {
             return Vec::new();
         }
         let mut seen: BTreeMap<&id::Service, BTreeSet<Version>> = BTreeMap::new();
@@ -190,7 +200,7 @@
             }
         }
         for (service, versions) in &mut seen {
-            // Where nothing else runs, nothing else can serve.
+            // If only the target runs, it has to serve: there is no other version.
             if let Some((order, _)) = self.plans.last_order(service)
                 && versions.len() > 1
             {
@@ -198,15 +208,15 @@
             }
         }
         if seen.is_empty() {
-            self.settled = listing.version;
+            self.established_list_version = listing.version;
         }
         let mut steps = Vec::new();
         for (service, versions) in seen {
-            let since = self.establishing.get(service);
-            if since.is_some_and(|since| now.since(*since) < AGAIN) {
+            let since = self.establishing_since.get(service);
+            if since.is_some_and(|since| now.since(*since) < REPROPOSE_INTERVAL) {
                 continue;
             }
-            self.establishing.insert(service.clone(), now);
+            self.establishing_since.insert(service.clone(), now);
             steps.push(Step::Established {
                 service: service.clone(),
                 versions,
