--- a/crates/core/tests/queue_order.rs
+++ b/crates/core/tests/queue_order.rs
@@ -1,10 +1,13 @@
-//! The queue against a plain one that looks at everything, and what holds over random histories.
+//! The order of the queue, compared with a plain list, and its invariants over random histories.
+//!
+//! The queue keeps several indexes of the same requests. If they diverged, requests would be granted in the wrong
+//! order, twice, or never.
 
 #![allow(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "figures for people, far below where it matters"
+    reason = "the numbers are far below the limits of the types"
 )]
 
 mod support;
@@ -31,57 +34,61 @@
 const STEPS: u64 = 300;
 const CUSTOMERS: [&str; 4] = ["a", "b", "c", "d"];
 
-/// Tokens that an answer is expected to have before anything is known: half of the most.
-const EXPECTED: u64 = 5;
+/// The tokens that a response is expected to have before any length is known: half of the maximum.
+const EXPECTED_OUTPUT: u64 = 5;
 
-/// The plain queue: a list, looked through from end to end.
+/// The reference: a list that is searched from end to end.
 #[derive(Default)]
-struct Plain {
+struct ReferenceQueue {
+    /// The arrival number and the request.
     waiting: Vec<(u64, Request)>,
-    had: BTreeMap<(u8, String), u64>,
-    floor: BTreeMap<u8, u64>,
+    /// The virtual time of each customer in each tier.
+    customer_time: BTreeMap<(u8, String), u64>,
+    /// The virtual time of each tier.
+    tier_time: BTreeMap<u8, u64>,
 }
 
-impl Plain {
-    fn push(&mut self, order: u64, request: Request) {
+impl ReferenceQueue {
+    fn push(&mut self, arrival: u64, request: Request) {
         let key = (request.rank, request.customer.to_string());
-        let floor = self.floor.get(&request.rank).copied().unwrap_or(0);
-        let idle = !self
+        let tier_time = self.tier_time.get(&request.rank).copied().unwrap_or(0);
+        let is_idle = !self
             .waiting
             .iter()
             .any(|(_, other)| (other.rank, other.customer.to_string()) == key);
-        let had = self.had.entry(key).or_insert(0);
-        if idle {
-            *had = (*had).max(floor);
+        let customer_time = self.customer_time.entry(key).or_insert(0);
+        if is_idle {
+            *customer_time = (*customer_time).max(tier_time);
         }
-        self.waiting.push((order, request));
+        self.waiting.push((arrival, request));
     }
 
     fn pop(&mut self) -> Option<Request> {
-        let rank_of = |entry: &(u64, Request)| {
-            let request = &entry.1;
-            let had = self.had[&(request.rank, request.customer.to_string())];
+        let order_of = |queued: &(u64, Request)| {
+            let request = &queued.1;
+            let customer_time = self.customer_time[&(request.rank, request.customer.to_string())];
             (
                 request.rank,
-                had,
+                customer_time,
                 request.customer.to_string(),
                 request.deadline,
-                entry.0,
+                queued.0,
             )
         };
-        let place = (0..self.waiting.len()).min_by_key(|place| rank_of(&self.waiting[*place]))?;
-        let (_, request) = self.waiting.remove(place);
-        let had = self
-            .had
+        let index = (0..self.waiting.len()).min_by_key(|index| order_of(&self.waiting[*index]))?;
+        let (_, request) = self.waiting.remove(index);
+        let customer_time = self
+            .customer_time
             .get_mut(&(request.rank, request.customer.to_string()))?;
-        let floor = self.floor.entry(request.rank).or_insert(0);
-        *floor = (*floor).max(*had);
-        *had += (request.prompt.0 + EXPECTED) * 1_000 / u64::from(request.weight);
+        let tier_time = self.tier_time.entry(request.rank).or_insert(0);
+        *tier_time = (*tier_time).max(*customer_time);
+        *customer_time += (request.prompt.0 + EXPECTED_OUTPUT) * 1_000 / u64::from(request.weight);
         Some(request)
     }
 }
 
-fn draw(g: &mut Gen, number: u64) -> Request {
+/// A random request; the customer `a` has four times the weight of the others.
+fn random_request(g: &mut Gen, number: u64) -> Request {
     let customer = CUSTOMERS[usize::arbitrary(g) % CUSTOMERS.len()];
     let mut request = request(
         number,
@@ -98,6 +105,7 @@
     request
 }
 
+/// The queue grants requests in the same order as the reference.
 #[test]
 fn same_order() {
     for seed in 0..HISTORIES {
@@ -106,15 +114,15 @@
             fleet(vec![spec("m", 1, 1_000_000, 1_000)]),
             Tokens(u64::MAX),
         );
-        let mut plain = Plain::default();
+        let mut reference = ReferenceQueue::default();
         let mut running: Option<Ticket> = None;
         for number in 0..STEPS {
             if u8::arbitrary(&mut g) < 150 {
-                let request = draw(&mut g, number);
-                plain.push(number, request.clone());
+                let request = random_request(&mut g, number);
+                reference.push(number, request.clone());
                 queue.submit(request, at(number));
             } else if let Some(ticket) = running.take() {
-                // The length of answers is not learnt here, so that costs stay as they are told.
+                // Responses without tokens teach the queue no lengths, so costs stay as the reference has them.
                 let output = Tokens(0);
                 queue.report(
                     &ticket,
@@ -127,9 +135,9 @@
             }
             for action in queue.take_actions() {
                 let Action::Grant { ticket, .. } = action else {
-                    panic!("nothing is refused")
+                    panic!("a request was refused")
                 };
-                let expected = plain.pop().expect("something waits");
+                let expected = reference.pop().expect("the reference has a request queued");
                 assert_eq!(ticket, expected.ticket, "seed {seed}");
                 running = Some(ticket);
             }
@@ -137,8 +145,9 @@
     }
 }
 
+/// A request is queued, running, or finished, never two of these; and none is shed while a lower tier has any queued.
 #[test]
-fn one_place() {
+fn one_state() {
     for seed in 0..HISTORIES {
         let mut g = Gen::from_size_and_seed(100, seed);
         let servers = vec![spec("m", 2, 100_000, 100), spec("n", 3, 50_000, 50)];
@@ -149,7 +158,7 @@
             let now = at(number * 10);
             match u8::arbitrary(&mut g) {
                 0..=139 => {
-                    let mut request = draw(&mut g, number);
+                    let mut request = random_request(&mut g, number);
                     request.deadline = at(number * 10 + 200 + u64::arbitrary(&mut g) % 2_000);
                     request.first_token_deadline = request.deadline;
                     waiting.insert(request.ticket.clone(), request.rank);
@@ -180,15 +189,18 @@
                 match action {
                     Action::Grant { ticket, .. } => {
                         assert!(waiting.remove(&ticket).is_some(), "seed {seed}: {ticket}");
-                        assert!(running.insert(ticket), "a ticket runs once");
+                        assert!(running.insert(ticket), "seed {seed}: a ticket runs twice");
                     }
                     Action::Refuse { ticket, refusal } => {
-                        let rank = waiting.remove(&ticket).expect("it waited");
-                        let lower = queue
+                        let rank = waiting.remove(&ticket).expect("it was queued");
+                        let has_lower = queue
                             .lowest_waiting_rank()
                             .is_some_and(|lowest| lowest > rank);
-                        let shed = refusal.get_code() == Code::Shed;
-                        assert!(!(shed && lower), "seed {seed}: a lower tier waits still");
+                        let is_shed = refusal.get_code() == Code::Shed;
+                        assert!(
+                            !(is_shed && has_lower),
+                            "seed {seed}: a lower tier has requests queued"
+                        );
                     }
                 }
             }
@@ -206,6 +218,7 @@
     }
 }
 
+/// While two customers both have requests queued, the tokens granted to them over their weights stay close.
 #[test]
 fn fair_shares() {
     let mut queue = Queue::new(
@@ -213,34 +226,39 @@
         Tokens(u64::MAX),
     );
     let mut g = Gen::from_size_and_seed(100, 7);
-    let mut prompts = BTreeMap::new();
+    let mut requests = BTreeMap::new();
     for number in 0..2_000 {
         let customer = ["a", "b"][number as usize % 2];
         let mut request = request(number, customer, 0, u64::arbitrary(&mut g) % 5_000 + 1);
         request.weight = if customer == "a" { 3 } else { 1 };
         request.max_waiting = 2_000;
-        prompts.insert(
+        requests.insert(
             request.ticket.clone(),
-            (customer, request.prompt.0 + EXPECTED),
+            (customer, request.prompt.0 + EXPECTED_OUTPUT),
         );
         queue.submit(request, at(0));
     }
-    let mut had = BTreeMap::from([("a", 0.0), ("b", 0.0)]);
-    // The first grant came before the others waited; from then on both always wait.
+    let mut weighted_tokens = BTreeMap::from([("a", 0.0), ("b", 0.0)]);
+    // The first request was granted before others were queued; from then on both customers always have some queued.
     for step in 0..1_000 {
         let mut granted = None;
         for action in queue.take_actions() {
             let Action::Grant { ticket, .. } = action else {
-                panic!("nothing is refused")
+                panic!("a request was refused")
             };
             granted = Some(ticket);
         }
-        let ticket = granted.expect("something is granted");
-        let (customer, cost) = prompts[&ticket];
+        let ticket = granted.expect("a request is granted");
+        let (customer, cost) = requests[&ticket];
         let weight = if customer == "a" { 3.0 } else { 1.0 };
-        *had.get_mut(customer).expect("known") += cost as f64 / weight;
-        let apart = (had["a"] - had["b"]).abs();
-        assert!(apart <= 2.0 * 5_010.0, "step {step}: {apart} tokens apart");
+        *weighted_tokens
+            .get_mut(customer)
+            .expect("the customer is known") += cost as f64 / weight;
+        let difference = (weighted_tokens["a"] - weighted_tokens["b"]).abs();
+        assert!(
+            difference <= 2.0 * 5_010.0,
+            "step {step}: the shares differ by {difference} tokens"
+        );
         queue.report(
             &ticket,
             Report::Ended {
