--- a/crates/core/src/queue/admission.rs
+++ b/crates/core/src/queue/admission.rs
@@ -18,8 +18,8 @@
 impl Queue {
     /// Checks whether a request may be queued.
     ///
-    /// Refuses it if its customer has too many requests queued, if no server is live, or if even the
-    /// fastest server couldn't meet its deadlines.
+    /// Refuses it if its customer has too many requests queued, if no server is live, or if even
+    /// the fastest server couldn't meet its deadlines.
     pub(super) fn admit(&self, request: &Request, now: Instant) -> Result<(), Refusal> {
         let waiting_count = self
             .tiers
--- a/crates/core/src/queue/customer_queue.rs
+++ b/crates/core/src/queue/customer_queue.rs
@@ -19,7 +19,8 @@
 }
 
 impl WaitingRequest {
-    /// The cost that is charged to the customer's fair share: prompt and expected response, in tokens.
+    /// The cost that is charged to the customer's fair share: prompt and expected response, in
+    /// tokens.
     pub(super) fn cost(&self) -> Tokens {
         self.request.prompt + self.expected_output
     }
--- a/crates/core/src/queue/dispatch.rs
+++ b/crates/core/src/queue/dispatch.rs
@@ -17,7 +17,8 @@
 use super::Ticket;
 use super::position::Running;
 
-/// Added to every expected response time, for the delay of messages between entry, owner and server.
+/// Added to every expected response time, for the delay of messages between entry, owner and
+/// server.
 const MESSAGE_DELAY_MARGIN: Duration = Duration::from_millis(60);
 
 /// # Dispatch
@@ -156,10 +157,12 @@
     }
 }
 
-/// Adds a safety margin to an expected time: the fraction `caution` of it, and the delay of messages.
+/// Adds a safety margin to an expected time: the fraction `caution` of it, and the delay of
+/// messages.
 ///
-/// Under overload granted requests only just meet their deadlines. Without a margin a small error in the
-/// estimate makes such a request miss its deadline, and the work on its whole prompt is wasted.
+/// Under overload granted requests only just meet their deadlines. Without a margin a small error
+/// in the estimate makes such a request miss its deadline, and the work on its whole prompt is
+/// wasted.
 fn with_margin(time: Duration, caution: f64) -> Duration {
     time.mul_f64(1.0 + caution) + MESSAGE_DELAY_MARGIN
 }
--- a/crates/core/src/queue/mod.rs
+++ b/crates/core/src/queue/mod.rs
@@ -1,8 +1,8 @@
 //! The request queue of one service, held by the entry that owns the service.
 //!
-//! Requests are ordered strictly by tier; within a tier by weighted fair shares of its customers, counted in
-//! tokens; within a customer by deadline. When the queue is full, requests are shed from the lowest tier that
-//! has any queued.
+//! Requests are ordered strictly by tier; within a tier by weighted fair shares of its customers,
+//! counted in tokens; within a customer by deadline. When the queue is full, requests are shed from
+//! the lowest tier that has any queued.
 
 mod action;
 mod admission;
--- a/crates/core/src/queue/request.rs
+++ b/crates/core/src/queue/request.rs
@@ -10,7 +10,8 @@
 use crate::id;
 use crate::unit::Tokens;
 
-/// Identifies a request in the queue by the entry that submitted it and a number chosen by that entry.
+/// Identifies a request in the queue by the entry that submitted it and a number chosen by that
+/// entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ticket {
     /// The host of the entry.
--- a/crates/core/src/queue/response_length.rs
+++ b/crates/core/src/queue/response_length.rs
@@ -11,7 +11,8 @@
 /// The expected length, as a fraction of the maximum, while there are fewer responses.
 const INITIAL_FRACTION_OF_MAX: f64 = 0.5;
 
-/// Moving averages of the length of a customer's responses and of its absolute deviation, in tokens.
+/// Moving averages of the length of a customer's responses and of its absolute deviation, in
+/// tokens.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ResponseLength {
     mean: f64,
@@ -33,7 +34,8 @@
         self.count = self.count.saturating_add(1);
     }
 
-    /// Estimates the length of a response of at most `max_output` tokens: the mean plus one mean deviation.
+    /// Estimates the length of a response of at most `max_output` tokens: the mean plus one mean
+    /// deviation.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub(super) fn estimate(&self, max_output: Tokens) -> Tokens {
         let estimate = if self.count < MIN_RESPONSES {
--- a/crates/core/src/queue/retry_budget.rs
+++ b/crates/core/src/queue/retry_budget.rs
@@ -14,8 +14,8 @@
 /// The maximum number of retries of one request.
 const MAX_RETRIES_PER_REQUEST: u8 = 3;
 
-/// The retry credit of each tier: ten first attempts earn one retry, and at most ten retries are saved up. A
-/// tier starts with that maximum.
+/// The retry credit of each tier: ten first attempts earn one retry, and at most ten retries are
+/// saved up. A tier starts with that maximum.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RetryBudget {
     credit: BTreeMap<u8, u32>,
@@ -24,8 +24,8 @@
 impl RetryBudget {
     /// Charges an attempt of a request of the tier `rank`, and returns whether it may be made.
     ///
-    /// `attempt` is 0 for a first attempt, which is always allowed and earns credit, and `n` for the `n`-th
-    /// retry.
+    /// `attempt` is 0 for a first attempt, which is always allowed and earns credit, and `n` for
+    /// the `n`-th retry.
     pub(super) fn try_acquire(&mut self, rank: u8, attempt: u8) -> bool {
         let credit = self.credit.entry(rank).or_insert(MAX_CREDIT);
         if attempt == 0 {
--- a/crates/core/src/queue/service_queue.rs
+++ b/crates/core/src/queue/service_queue.rs
@@ -27,9 +27,9 @@
 
 /// The queued and the running requests of one service, as its owner tracks them.
 ///
-/// Submitting a request and handling a report take time logarithmic in the queued requests and linear in the
-/// classes of servers. Memory is linear in the queued and running requests; it is bounded by the limit on queued
-/// work and by the customers' limits on queued requests.
+/// Submitting a request and handling a report take time logarithmic in the queued requests and
+/// linear in the classes of servers. Memory is linear in the queued and running requests; it is
+/// bounded by the limit on queued work and by the customers' limits on queued requests.
 #[derive(Clone, Debug)]
 pub struct Queue {
     pub(super) fleet: Fleet,
@@ -47,7 +47,8 @@
 
 /// # Events
 impl Queue {
-    /// Creates an empty queue for the servers of `fleet` that holds work of at most `work_limit` tokens.
+    /// Creates an empty queue for the servers of `fleet` that holds work of at most `work_limit`
+    /// tokens.
     #[must_use]
     pub fn new(fleet: Fleet, work_limit: Tokens) -> Self {
         Self {
@@ -67,8 +68,8 @@
 
     /// Submits a request for a server slot.
     ///
-    /// A ticket that is submitted again is the same request: if it is queued, nothing changes; if it runs, its
-    /// grant is repeated.
+    /// A ticket that is submitted again is the same request: if it is queued, nothing changes; if
+    /// it runs, its grant is repeated.
     pub fn submit(&mut self, request: Request, now: Instant) {
         if self.positions.contains_key(&request.ticket) {
             return;
@@ -154,8 +155,8 @@
         }
     }
 
-    /// Does the periodic work: refuses requests whose deadline has passed, checks for slow servers, and drops
-    /// the accounting of idle customers.
+    /// Does the periodic work: refuses requests whose deadline has passed, checks for slow servers,
+    /// and drops the accounting of idle customers.
     pub fn tick(&mut self, now: Instant) {
         while let Some((deadline, ticket)) = self.deadlines.first().cloned() {
             if deadline > now {
@@ -185,7 +186,8 @@
         self.shed_excess_work();
     }
 
-    /// Sets whether grants are held back, as a new owner does until it knows which requests already run.
+    /// Sets whether grants are held back, as a new owner does until it knows which requests already
+    /// run.
     pub fn set_grants_held(&mut self, grants_held: bool, now: Instant) {
         self.grants_held = grants_held;
         self.grant_available(now);
--- a/crates/core/src/queue/tier_queue.rs
+++ b/crates/core/src/queue/tier_queue.rs
@@ -15,9 +15,10 @@
 
 /// The queues of one tier's customers, served by start-time fair queueing.
 ///
-/// The customer with the lowest virtual time is next. One that had nothing queued starts at the virtual time of
-/// the tier, so that it can't save up service while idle. While two customers both have requests queued, the
-/// tokens granted to them, divided by their weights, differ by at most the cost of one request of each.
+/// The customer with the lowest virtual time is next. One that had nothing queued starts at the
+/// virtual time of the tier, so that it can't save up service while idle. While two customers both
+/// have requests queued, the tokens granted to them, divided by their weights, differ by at most
+/// the cost of one request of each.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TierQueue {
     customers: BTreeMap<id::Customer, CustomerQueue>,
@@ -95,8 +96,8 @@
         Some(waiting)
     }
 
-    /// Removes the request that is shed first: the one with the latest deadline, of the customer with the most
-    /// queued work divided by its weight.
+    /// Removes the request that is shed first: the one with the latest deadline, of the customer
+    /// with the most queued work divided by its weight.
     ///
     /// Takes time linear in the customers of the tier; it is only called when the queue is full.
     pub(super) fn shed(&mut self) -> Option<WaitingRequest> {
--- a/crates/core/src/rollout/baseline.rs
+++ b/crates/core/src/rollout/baseline.rs
@@ -1,10 +1,11 @@
-//! The typical responses of the version that serves, as the baseline for those of a version on trial.
+//! The typical responses of the version that serves, as the baseline for those of a version on
+//! trial.
 //!
-//! Load pattern: servers are of several generations, some of which are 2.7 times as fast as others and get most
-//! of the requests; a burst makes all responses slow; some servers fail for reasons of their own.
-//! Compared with the mean of all responses, a version whose servers are all of a slower generation would look
-//! faulty, and during a burst every version would. So every server of the serving version has the same weight,
-//! and only the newest responses count.
+//! Load pattern: servers are of several generations, some of which are 2.7 times as fast as others
+//! and get most of the requests; a burst makes all responses slow; some servers fail for reasons of
+//! their own. Compared with the mean of all responses, a version whose servers are all of a slower
+//! generation would look faulty, and during a burst every version would. So every server of the
+//! serving version has the same weight, and only the newest responses count.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -14,17 +15,18 @@
 
 use crate::pool::End;
 
-/// The number of responses of one server that count for a rule: a fast server must not outweigh the others.
+/// The number of responses of one server that count for a rule: a fast server must not outweigh the
+/// others.
 const MAX_RESPONSES_PER_SERVER: usize = 6;
 
 /// The number of newest responses that count for a rule.
 ///
-/// That is some 2 s of a busy rule, so that a burst which slows all servers shows in the baseline before it shows
-/// in the few responses of a trial.
+/// That is some 2 s of a busy rule, so that a burst which slows all servers shows in the baseline
+/// before it shows in the few responses of a trial.
 const MAX_RESPONSES_PER_RULE: usize = 256;
 
-/// The minimum number of responses for a median, and for a rule to be busy. The baseline of a rule is computed
-/// again after as many new ones.
+/// The minimum number of responses for a median, and for a rule to be busy. The baseline of a rule
+/// is computed again after as many new ones.
 const MIN_RESPONSES: usize = 12;
 
 /// A rule is busy if at least one in so many responses belongs to it.
@@ -32,7 +34,8 @@
 
 /// A response is slow if it takes so many times the typical time.
 ///
-/// This is above the ratio between two generations of servers (2.7), and below the slowdown of a faulty version.
+/// This is above the ratio between two generations of servers (2.7), and below the slowdown of a
+/// faulty version.
 const SLOW_FACTOR: f64 = 3.0;
 
 /// The minimum and the maximum rate of bad responses that is taken for typical.
@@ -54,8 +57,8 @@
 enum Observation {
     /// The server failed.
     Failed,
-    /// The server responded, with this time to the first byte and, for a stream, this mean time between two
-    /// chunks, in seconds.
+    /// The server responded, with this time to the first byte and, for a stream, this mean time
+    /// between two chunks, in seconds.
     Completed(f64, Option<f64>),
 }
 
@@ -131,7 +134,8 @@
         }
         self.total += 1;
         self.since_update += 1;
-        // Computing the medians of 256 numbers for each of 1,000 responses a second would take 1% of a core.
+        // Computing the medians of 256 numbers for each of 1,000 responses a second would take 1%
+        // of a core.
         if self.since_update >= MIN_RESPONSES {
             self.since_update = 0;
             self.baseline = self.compute_baseline();
@@ -171,8 +175,8 @@
     Some(*median)
 }
 
-/// The fraction `count / all`, smoothed by one more sample that counts half: a rate that is hardly known must
-/// be neither 0 nor 1.
+/// The fraction `count / all`, smoothed by one more sample that counts half: a rate that is hardly
+/// known must be neither 0 nor 1.
 #[allow(clippy::cast_precision_loss)]
 fn smoothed_fraction(count: usize, all: usize) -> f64 {
     (count as f64 + 0.5) / (all as f64 + 1.0)
@@ -195,10 +199,11 @@
         true
     }
 
-    /// Returns whether a response is bad compared with the baseline, and the typical rate of bad responses under
-    /// its rule.
+    /// Returns whether a response is bad compared with the baseline, and the typical rate of bad
+    /// responses under its rule.
     ///
-    /// A response that is slow is bad only if `latency_counts`. `None` if the response shows nothing of its version.
+    /// A response that is slow is bad only if `latency_counts`. `None` if the response shows
+    /// nothing of its version.
     #[must_use]
     pub fn classify(&self, sample: &Sample, latency_counts: bool) -> Option<(bool, f64)> {
         let observation = Observation::from_outcome(sample.outcome)?;
--- a/crates/core/src/rollout/exposure.rs
+++ b/crates/core/src/rollout/exposure.rs
@@ -1,22 +1,25 @@
 //! Limits how many requests a version on trial receives.
 //!
-//! Load pattern: all gateways request slots at the same time, hubs replace one another, and each hub knows only
-//! the requests that were reported to it. A limit that is computed from an estimate of what other hubs do is
-//! exceeded as soon as one of them can't be reached. So nothing is estimated here.
+//! Load pattern: all gateways request slots at the same time, hubs replace one another, and each
+//! hub knows only the requests that were reported to it. A limit that is computed from an estimate
+//! of what other hubs do is exceeded as soon as one of them can't be reached. So nothing is
+//! estimated here.
 
-/// The fraction of the share that is used. The rest allows for responses that broke off, which whoever checks
-/// the limit may count differently.
+/// The fraction of the share that is used. The rest allows for responses that broke off, which
+/// whoever checks the limit may count differently.
 const USED_FRACTION_OF_SHARE: f64 = 0.95;
 
-/// The fraction of the extra requests that is used, once, by the hub under which the order was accepted.
+/// The fraction of the extra requests that is used, once, by the hub under which the order was
+/// accepted.
 const USED_FRACTION_OF_EXTRA: f64 = 0.9;
 
 /// The credit for requests to a version on trial, over all gateways.
 ///
-/// Credit is earned by requests that are known to have reached the service's other versions, and spent when a
-/// slot is granted. A request is reported to one hub only, and each hub spends only the credit that it earned
-/// itself. So the sum over all hubs stays within the limit at every moment, even while two hubs both believe
-/// that they lead. A report that is lost earns nothing; a granted slot that isn't used stays spent.
+/// Credit is earned by requests that are known to have reached the service's other versions, and
+/// spent when a slot is granted. A request is reported to one hub only, and each hub spends only
+/// the credit that it earned itself. So the sum over all hubs stays within the limit at every
+/// moment, even while two hubs both believe that they lead. A report that is lost earns nothing; a
+/// granted slot that isn't used stays spent.
 ///
 /// # Examples
 ///
@@ -39,9 +42,11 @@
 }
 
 impl Exposure {
-    /// Allows a version on trial `share` (0 to 1) of all requests, and `extra_requests` in addition.
+    /// Allows a version on trial `share` (0 to 1) of all requests, and `extra_requests` in
+    /// addition.
     ///
-    /// The latter must be 0 for a hub under which the order was not accepted, so that only one hub spends them.
+    /// The latter must be 0 for a hub under which the order was not accepted, so that only one hub
+    /// spends them.
     #[must_use]
     pub fn new(share: f64, extra_requests: f64) -> Self {
         Self {
--- a/crates/core/src/rollout/judge.rs
+++ b/crates/core/src/rollout/judge.rs
@@ -1,12 +1,13 @@
 //! Judges a version by its responses, compared with those of the version it is to replace.
 //!
-//! Load pattern: the target version gets at most a tenth of a service's requests, which is a few per second for
-//! a rarely used rule, for some seconds. A faulty version fails some of its requests, or responds several times
-//! slower; from the beginning or only later, only under load, or only under one rule. So every response, good or
-//! bad (failed or slow), shifts the log odds that the version is faulty, for its rule and for all rules
-//! together. The sums never fall below zero, so that a long good period is no credit for a version that turns
-//! bad (Page's cumulative sum test). docs/design/rollouts.md compares this with fixed windows and with a
-//! posterior over the whole trial.
+//! Load pattern: the target version gets at most a tenth of a service's requests, which is a few
+//! per second for a rarely used rule, for some seconds. A faulty version fails some of its
+//! requests, or responds several times slower; from the beginning or only later, only under load,
+//! or only under one rule. So every response, good or bad (failed or slow), shifts the log odds
+//! that the version is faulty, for its rule and for all rules together. The sums never fall below
+//! zero, so that a long good period is no credit for a version that turns bad (Page's cumulative
+//! sum test). docs/design/rollouts.md compares this with fixed windows and with a posterior over
+//! the whole trial.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -18,8 +19,8 @@
 
 /// By how much the rate of bad responses of a faulty version is assumed to exceed the typical rate.
 ///
-/// A version that fails four in ten requests where one in a hundred is typical is rejected after five bad
-/// responses on average, ten at most (example `verdicts`).
+/// A version that fails four in ten requests where one in a hundred is typical is rejected after
+/// five bad responses on average, ten at most (example `verdicts`).
 const BAD_RATE_INCREASE: f64 = 0.3;
 
 /// The maximum rate of bad responses that is assumed of a faulty version.
@@ -27,22 +28,23 @@
 
 /// The log odds at which a version is rejected.
 ///
-/// None of 2,000 good versions reached them in 180 responses, with 1 or 12 in 100 requests failing for other
-/// reasons (example `verdicts`).
+/// None of 2,000 good versions reached them in 180 responses, with 1 or 12 in 100 requests failing
+/// for other reasons (example `verdicts`).
 const REJECT_LOG_ODDS: f64 = 12.0;
 
-/// The fraction of [`REJECT_LOG_ODDS`] that the responses of one server can contribute: a server that fails for a
-/// reason of its own doesn't show that its version is faulty.
+/// The fraction of [`REJECT_LOG_ODDS`] that the responses of one server can contribute: a server
+/// that fails for a reason of its own doesn't show that its version is faulty.
 const MAX_FRACTION_PER_SERVER: f64 = 0.6;
 
-/// The log odds in favour of a version, over all rules, from which on it may get all requests: 400 to 1.
+/// The log odds in favour of a version, over all rules, from which on it may get all requests: 400
+/// to 1.
 const TRUST_LOG_ODDS: f64 = 6.0;
 
 /// The same for each busy rule by itself: only 12 to 1, as some of them get one request a second.
 const TRUST_LOG_ODDS_PER_RULE: f64 = 2.5;
 
-/// The maximum of the log odds in favour: a version that was good for long must lose its trust soon when it
-/// turns bad.
+/// The maximum of the log odds in favour: a version that was good for long must lose its trust soon
+/// when it turns bad.
 const MAX_TRUST_LOG_ODDS: f64 = 8.0;
 
 /// The log odds in favour of and against a version, as cumulative sums that never fall below zero.
@@ -59,7 +61,8 @@
 }
 
 impl LogOdds {
-    /// Adds a response of `server`, one of `server_count` servers of the version, that shifts the log odds by `shift`.
+    /// Adds a response of `server`, one of `server_count` servers of the version, that shifts the
+    /// log odds by `shift`.
     fn add(&mut self, server: &Arc<str>, is_bad: bool, shift: f64, server_count: usize) {
         self.count += 1;
         self.bad += usize::from(is_bad);
@@ -177,8 +180,9 @@
     }
 }
 
-/// The amount by which a response shifts the log odds that the version is faulty: the log likelihood ratio of the
-/// response between a faulty version and one with the typical rate of bad responses.
+/// The amount by which a response shifts the log odds that the version is faulty: the log
+/// likelihood ratio of the response between a faulty version and one with the typical rate of bad
+/// responses.
 fn shift(is_bad: bool, typical_bad_rate: f64) -> f64 {
     let bad_rate = (typical_bad_rate + BAD_RATE_INCREASE).min(MAX_BAD_RATE);
     if is_bad {
--- a/crates/core/src/rollout/mod.rs
+++ b/crates/core/src/rollout/mod.rs
@@ -1,9 +1,10 @@
 //! Roll-outs: moving the traffic of a service to backend servers of another version, or back.
 //!
-//! The orders of operators and the phases of roll-outs are committed to the log ([`Plans`]). They determine
-//! which versions gateways may send to without asking the hub ([`Policy`]). The hub sends a limited share of the
-//! requests to the target version ([`Exposure`]), compares its responses with those of the former version
-//! ([`Judge`]), and then moves all traffic to the target, or rolls back ([`Trial`]).
+//! The orders of operators and the phases of roll-outs are committed to the log ([`Plans`]). They
+//! determine which versions gateways may send to without asking the hub ([`Policy`]). The hub sends
+//! a limited share of the requests to the target version ([`Exposure`]), compares its responses
+//! with those of the former version ([`Judge`]), and then moves all traffic to the target, or rolls
+//! back ([`Trial`]).
 
 mod baseline;
 mod exposure;
--- a/crates/core/src/rollout/order.rs
+++ b/crates/core/src/rollout/order.rs
@@ -21,8 +21,8 @@
     /// The time within which the roll-out is to be completed.
     #[serde(rename = "length")]
     pub duration: Duration,
-    /// When the order was given, in milliseconds of Unix time. A leader that did not receive the order itself
-    /// computes its age from this. No guarantee depends on it, as clocks jump.
+    /// When the order was given, in milliseconds of Unix time. A leader that did not receive the
+    /// order itself computes its age from this. No guarantee depends on it, as clocks jump.
     pub given_ms: u64,
 }
 
@@ -37,7 +37,8 @@
 
     /// The time since the order was given, at `now_ms` of Unix time.
     ///
-    /// It is at most the order's duration, so that a clock that jumps can't make an order older than that.
+    /// It is at most the order's duration, so that a clock that jumps can't make an order older
+    /// than that.
     #[must_use]
     pub fn age(&self, now_ms: u64) -> Duration {
         let age = Duration::from_millis(now_ms.saturating_sub(self.given_ms));
@@ -50,7 +51,8 @@
 pub enum Phase {
     /// A limited share of the requests goes to the target version.
     Trial,
-    /// All new requests go to the target version; requests that run on the former version finish there.
+    /// All new requests go to the target version; requests that run on the former version finish
+    /// there.
     Moving,
     /// No request runs on the former version any more; its servers may be stopped.
     Completed,
--- a/crates/core/src/rollout/plans.rs
+++ b/crates/core/src/rollout/plans.rs
@@ -27,8 +27,9 @@
 
 /// The committed roll-outs of all services; every replica computes the same value from the log.
 ///
-/// A version serves a service if it did so when the service was first seen, or if a roll-out to it was completed.
-/// A version whose servers merely appear gets no requests. Memory is linear in the services.
+/// A version serves a service if it did so when the service was first seen, or if a roll-out to it
+/// was completed. A version whose servers merely appear gets no requests. Memory is linear in the
+/// services.
 ///
 /// # Examples
 ///
@@ -54,7 +55,8 @@
     ///
     /// # Errors
     ///
-    /// [`Code::Conflict`] for an order while a roll-out of its service to another version is active.
+    /// [`Code::Conflict`] for an order while a roll-out of its service to another version is
+    /// active.
     pub fn apply(&mut self, step: &Step) -> Result<(), Refusal> {
         match step {
             Step::Established { service, versions } => self.establish(service, versions),
@@ -84,8 +86,8 @@
         }
     }
 
-    /// Whether `order` repeats the last order of its service: the same order, or one to the same target while that
-    /// roll-out is active.
+    /// Whether `order` repeats the last order of its service: the same order, or one to the same
+    /// target while that roll-out is active.
     #[must_use]
     pub fn has_order(&self, order: &Order) -> bool {
         let last = self.last_order(&order.service);
--- a/crates/core/src/rollout/policy.rs
+++ b/crates/core/src/rollout/policy.rs
@@ -18,10 +18,10 @@
 
 /// The versions that gateways may send requests to by a local decision, without the hub.
 ///
-/// Servers of other versions receive requests only with a slot granted by the hub; servers in an evacuated data
-/// hall receive none at all. A gateway that can't reach the hub keeps to the last policy that it received. So a
-/// version that goes on trial meanwhile gets no requests from it, though the gateway doesn't know of the
-/// roll-out.
+/// Servers of other versions receive requests only with a slot granted by the hub; servers in an
+/// evacuated data hall receive none at all. A gateway that can't reach the hub keeps to the last
+/// policy that it received. So a version that goes on trial meanwhile gets no requests from it,
+/// though the gateway doesn't know of the roll-out.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Policy {
     /// A hash of the content, not an increasing number; 0 stands for no policy.
@@ -49,8 +49,8 @@
                     .allowed_versions
                     .insert(service.clone(), serving.clone());
             } else if last.is_some() {
-                // The roll-out was ordered before any server of the service was seen: the first one may run the
-                // target version.
+                // The roll-out was ordered before any server of the service was seen: the first one
+                // may run the target version.
                 policy
                     .allowed_versions
                     .insert(service.clone(), BTreeSet::new());
@@ -80,7 +80,8 @@
         self
     }
 
-    /// Whether `hall` is evacuated: no request may be sent to its servers, even with a slot from the hub.
+    /// Whether `hall` is evacuated: no request may be sent to its servers, even with a slot from
+    /// the hub.
     #[must_use]
     pub fn is_evacuated(&self, hall: &str) -> bool {
         self.evacuated.contains(hall)
--- a/crates/core/src/rollout/trial.rs
+++ b/crates/core/src/rollout/trial.rs
@@ -1,9 +1,9 @@
 //! The state of one active roll-out at the hub.
 //!
-//! Load pattern: a version may turn bad only after some seconds, or only under load. So a trial lasts as long as
-//! possible while leaving the requests that run on the former version enough time to finish. As every bad
-//! response hits a caller, the target gets no more requests than the trial needs; it never gets more than its
-//! limit, whatever the load.
+//! Load pattern: a version may turn bad only after some seconds, or only under load. So a trial
+//! lasts as long as possible while leaving the requests that run on the former version enough time
+//! to finish. As every bad response hits a caller, the target gets no more requests than the trial
+//! needs; it never gets more than its limit, whatever the load.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,24 +15,25 @@
 use super::Phase;
 use super::Sample;
 
-/// The fraction of a roll-out's duration after which a trusted version gets all new requests; requests that run
-/// on the former version have the rest to finish.
+/// The fraction of a roll-out's duration after which a trusted version gets all new requests;
+/// requests that run on the former version have the rest to finish.
 ///
-/// At 0.6 a tenth of the versions that turn slow after a third of the duration passed the trial, at 0.7 none did
-/// (example `rollouts`, 40 seeds, no other faults).
+/// At 0.6 a tenth of the versions that turn slow after a third of the duration passed the trial, at
+/// 0.7 none did (example `rollouts`, 40 seeds, no other faults).
 const MIN_TRIAL_FRACTION: f64 = 0.7;
 
-/// The fraction of a roll-out's duration after which the target needs only as many slots as requests are in
-/// flight, instead of [`MIN_CAPACITY_RATIO`].
+/// The fraction of a roll-out's duration after which the target needs only as many slots as
+/// requests are in flight, instead of [`MIN_CAPACITY_RATIO`].
 const RELAXED_CAPACITY_FRACTION: f64 = 0.85;
 
 /// A roll-out whose target isn't trusted after so many times its duration is rolled back.
 ///
-/// The time beyond the duration allows for a change of the leader: the new one doesn't know the responses that
-/// the former one saw.
+/// The time beyond the duration allows for a change of the leader: the new one doesn't know the
+/// responses that the former one saw.
 const MAX_DURATION_FACTOR: f64 = 2.0;
 
-/// The minimum ratio of the target's slots to those of the former version for the target to get all requests.
+/// The minimum ratio of the target's slots to those of the former version for the target to get all
+/// requests.
 const MIN_CAPACITY_RATIO: f64 = 0.8;
 
 /// The limits on the requests to a version that is not trusted yet.
@@ -59,8 +60,8 @@
     pub in_flight: u32,
     /// The number of requests that run on servers of the former versions.
     pub in_flight_at_former: u32,
-    /// Whether the hub knows that every gateway has applied the current policy, so that none sends requests to the
-    /// former versions by a local decision any more.
+    /// Whether the hub knows that every gateway has applied the current policy, so that none sends
+    /// requests to the former versions by a local decision any more.
     pub is_policy_applied: bool,
 }
 
@@ -78,8 +79,8 @@
 impl Trial {
     /// Creates a roll-out in `phase` that is to be completed within `duration`.
     ///
-    /// Only where `is_ordered_here`, that is under the hub that accepted the order, the target may get the extra
-    /// requests of `bounds`: so they are granted once, also when hubs change.
+    /// Only where `is_ordered_here`, that is under the hub that accepted the order, the target may
+    /// get the extra requests of `bounds`: so they are granted once, also when hubs change.
     #[must_use]
     pub fn new(duration: Duration, phase: Phase, bounds: Bounds, is_ordered_here: bool) -> Self {
         let extra_requests = if is_ordered_here {
@@ -110,8 +111,8 @@
 
     /// Records a response of the target, which has `server_count` servers.
     pub fn record_target(&mut self, sample: &Sample, server_count: usize) {
-        // Once all new requests go to the target, there is no baseline for how slow the load alone makes
-        // responses: on busy hosts good versions were rolled back for being slow.
+        // Once all new requests go to the target, there is no baseline for how slow the load alone
+        // makes responses: on busy hosts good versions were rolled back for being slow.
         let latency_counts = self.phase == Phase::Trial;
         self.judge
             .record(sample, &self.baseline, server_count, latency_counts);
@@ -142,7 +143,8 @@
         }
     }
 
-    /// The phase that the roll-out is to advance to, with the reason; `None` if it stays in its phase.
+    /// The phase that the roll-out is to advance to, with the reason; `None` if it stays in its
+    /// phase.
     #[must_use]
     pub fn next_phase(&self, conditions: &Conditions) -> Option<(Phase, String)> {
         if let Some(evidence) = self.judge.evidence_against() {
@@ -187,8 +189,8 @@
         is_past(MIN_TRIAL_FRACTION) && has_capacity && is_trusted
     }
 
-    /// Completes the roll-out only when nothing can run on the former version any more: its servers may be stopped
-    /// right after, which would break off what still runs there.
+    /// Completes the roll-out only when nothing can run on the former version any more: its servers
+    /// may be stopped right after, which would break off what still runs there.
     fn after_moving(&self, conditions: &Conditions) -> Option<(Phase, String)> {
         let is_clear = conditions.in_flight_at_former == 0
             && conditions.is_policy_applied
--- a/crates/core/src/rollout/trials.rs
+++ b/crates/core/src/rollout/trials.rs
@@ -22,8 +22,8 @@
 use super::Trial;
 use super::Version;
 
-/// The time after which a step that was proposed and not committed is proposed again: longer than several
-/// elections take.
+/// The time after which a step that was proposed and not committed is proposed again: longer than
+/// several elections take.
 const REPROPOSE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// An active roll-out.
@@ -44,16 +44,17 @@
     plans: Plans,
     policy: Policy,
     active: BTreeMap<id::Service, ActiveRollout>,
-    /// When it was proposed to establish the versions of a service, by service, until that is committed.
+    /// When it was proposed to establish the versions of a service, by service, until that is
+    /// committed.
     establishing_since: BTreeMap<id::Service, Instant>,
-    /// The version of the last server list of which all services are established. Scanning 3,000 servers again
-    /// each time would take a hundredth of a small host's core.
+    /// The version of the last server list of which all services are established. Scanning 3,000
+    /// servers again each time would take a hundredth of a small host's core.
     established_list_version: u64,
 }
 
 impl Trials {
-    /// Creates the state without roll-outs; there will never be any if there are no `bounds` for a version on
-    /// trial.
+    /// Creates the state without roll-outs; there will never be any if there are no `bounds` for a
+    /// version on trial.
     #[must_use]
     pub fn new(bounds: Option<Bounds>) -> Self {
         Self {
@@ -152,8 +153,8 @@
 
     /// The steps that are to be committed now, each with its reason.
     ///
-    /// `conditions` returns the state of a service for a roll-out to the given target version, without the age of
-    /// the order.
+    /// `conditions` returns the state of a service for a roll-out to the given target version,
+    /// without the age of the order.
     pub fn propose_steps(
         &mut self,
         conditions: impl Fn(&id::Service, &Version) -> Conditions,
@@ -183,11 +184,11 @@
         steps
     }
 
-    /// The steps that establish which versions serve the services that are seen on a server list for the first
-    /// time.
+    /// The steps that establish which versions serve the services that are seen on a server list
+    /// for the first time.
     ///
-    /// All versions that run when a service is first seen serve it, except a target that was ordered before: the
-    /// platform starts its servers for the roll-out.
+    /// All versions that run when a service is first seen serve it, except a target that was
+    /// ordered before: the platform starts its servers for the roll-out.
     pub fn propose_established(&mut self, listing: &Listing, now: Instant) -> Vec<Step> {
         if self.bounds.is_none() || self.established_list_version == listing.version {
             return Vec::new();
--- a/crates/core/src/rollout/version.rs
+++ b/crates/core/src/rollout/version.rs
@@ -19,8 +19,8 @@
         let text = &self.0;
         write!(
             f,
-            "`{text}` is not a valid version name: expected 1 to {MAX_VERSION_BYTES} bytes without white space or \
-             control characters"
+            "`{text}` is not a valid version name: expected 1 to {MAX_VERSION_BYTES} bytes \
+             without white space or control characters"
         )
     }
 }
@@ -29,8 +29,8 @@
 
 /// The version of the software that a backend server runs, as named by whoever started the server.
 ///
-/// Versions are not ordered: operators decide which one replaces which. The order of this type is that of the
-/// names.
+/// Versions are not ordered: operators decide which one replaces which. The order of this type is
+/// that of the names.
 ///
 /// # Examples
 ///
--- a/crates/core/tests/queue_load.rs
+++ b/crates/core/tests/queue_load.rs
@@ -1,8 +1,8 @@
-//! The queue under load and faults: a slow server, a customer that floods it, long requests before short ones,
-//! requests that can't be served in time, retries, a full queue, a change of the owner.
+//! The queue under load and faults: a slow server, a customer that floods it, long requests before
+//! short ones, requests that can't be served in time, retries, a full queue, a change of the owner.
 //!
-//! Each of these must cost only the requests that cause it: others keep their servers, their shares and their
-//! deadlines.
+//! Each of these must cost only the requests that cause it: others keep their servers, their shares
+//! and their deadlines.
 
 mod support;
 
@@ -75,7 +75,8 @@
     for now in (150..1_500).step_by(50) {
         queue.tick(at(now));
     }
-    // After 1.5 s the queue's own observations are enough to send all new requests to the other server.
+    // After 1.5 s the queue's own observations are enough to send all new requests to the other
+    // server.
     for number in 10..14 {
         queue.submit(request(number, "a", 0, 100), at(1_500));
         let granted = take_grants(&mut queue);
@@ -141,7 +142,8 @@
     assert_eq!(queue.running_count(), 0);
 }
 
-/// Retries can't multiply the load: they are limited to a tenth of the first attempts, and ten saved up.
+/// Retries can't multiply the load: they are limited to a tenth of the first attempts, and ten
+/// saved up.
 #[test]
 fn limited_retries() {
     let mut queue = Queue::new(fleet(vec![spec("m", 64, 100_000, 100)]), Tokens(u64::MAX));
--- a/crates/core/tests/queue_order.rs
+++ b/crates/core/tests/queue_order.rs
@@ -1,7 +1,7 @@
 //! The order of the queue, compared with a plain list, and its invariants over random histories.
 //!
-//! The queue keeps several indexes of the same requests. If they diverged, requests would be granted in the wrong
-//! order, twice, or never.
+//! The queue keeps several indexes of the same requests. If they diverged, requests would be
+//! granted in the wrong order, twice, or never.
 
 #![allow(
     clippy::cast_precision_loss,
@@ -122,7 +122,8 @@
                 reference.push(number, request.clone());
                 queue.submit(request, at(number));
             } else if let Some(ticket) = running.take() {
-                // Responses without tokens teach the queue no lengths, so costs stay as the reference has them.
+                // Responses without tokens teach the queue no lengths, so costs stay as the
+                // reference has them.
                 let output = Tokens(0);
                 queue.report(
                     &ticket,
@@ -145,7 +146,8 @@
     }
 }
 
-/// A request is queued, running, or finished, never two of these; and none is shed while a lower tier has any queued.
+/// A request is queued, running, or finished, never two of these; and none is shed while a lower
+/// tier has any queued.
 #[test]
 fn one_state() {
     for seed in 0..HISTORIES {
@@ -218,7 +220,8 @@
     }
 }
 
-/// While two customers both have requests queued, the tokens granted to them over their weights stay close.
+/// While two customers both have requests queued, the tokens granted to them over their weights
+/// stay close.
 #[test]
 fn fair_shares() {
     let mut queue = Queue::new(
@@ -239,7 +242,8 @@
         queue.submit(request, at(0));
     }
     let mut weighted_tokens = BTreeMap::from([("a", 0.0), ("b", 0.0)]);
-    // The first request was granted before others were queued; from then on both customers always have some queued.
+    // The first request was granted before others were queued; from then on both customers always
+    // have some queued.
     for step in 0..1_000 {
         let mut granted = None;
         for action in queue.take_actions() {
--- a/crates/core/tests/rollout_bounds.rs
+++ b/crates/core/tests/rollout_bounds.rs
@@ -1,8 +1,10 @@
-//! Limits of a roll-out's trial: how many requests the target version gets, and what its responses lead to.
+//! Limits of a roll-out's trial: how many requests the target version gets, and what its responses
+//! lead to.
 //!
-//! While hubs replace one another, several of them may grant slots of the target at once without knowing of each
-//! other. Together they must never exceed the limit. A faulty target must be rolled back after few responses; one
-//! that is only slow because everything is, or that has one failing server, must not.
+//! While hubs replace one another, several of them may grant slots of the target at once without
+//! knowing of each other. Together they must never exceed the limit. A faulty target must be rolled
+//! back after few responses; one that is only slow because everything is, or that has one failing
+//! server, must not.
 
 use std::time::Duration;
 
@@ -47,8 +49,9 @@
     Trial::new(DURATION, Phase::Trial, BOUNDS, is_ordered_here)
 }
 
-/// Up to three hubs at a time, some replaced by new ones, each receive reports of different requests. The requests
-/// that they send to the target together are within the limit at every moment.
+/// Up to three hubs at a time, some replaced by new ones, each receive reports of different
+/// requests. The requests that they send to the target together are within the limit at every
+/// moment.
 #[test]
 fn concurrent_hubs() {
     for seed in 0..SEEDS {
@@ -142,7 +145,8 @@
     assert!(judge.evidence_against().is_none());
 }
 
-/// Once all new requests go to the target, its load alone may slow it: then only failures are evidence against it.
+/// Once all new requests go to the target, its load alone may slow it: then only failures are
+/// evidence against it.
 #[test]
 fn slow_while_moving() {
     let mut trial = trial(true);
@@ -168,8 +172,8 @@
     assert!(is_rejected(&moving));
 }
 
-/// A trusted target gets all new requests once it was tried for long enough and has the slots; the roll-out is
-/// completed once nothing can run on the former version any more.
+/// A trusted target gets all new requests once it was tried for long enough and has the slots; the
+/// roll-out is completed once nothing can run on the former version any more.
 #[test]
 fn moves_when_trusted() {
     let mut trial = trial(true);
--- a/crates/core/tests/rollout_plans.rs
+++ b/crates/core/tests/rollout_plans.rs
@@ -1,8 +1,8 @@
-//! The committed state of roll-outs: orders, repeated orders, conflicts, phases, and the versions that gateways may
-//! send requests to without the hub.
+//! The committed state of roll-outs: orders, repeated orders, conflicts, phases, and the versions
+//! that gateways may send requests to without the hub.
 //!
-//! Steps may be committed twice, late, or in any order, as leaders change and messages are sent again. None may
-//! reopen a roll-out that has ended, or open a version that nobody ordered.
+//! Steps may be committed twice, late, or in any order, as leaders change and messages are sent
+//! again. None may reopen a roll-out that has ended, or open a version that nobody ordered.
 
 use std::time::Duration;
 
@@ -178,7 +178,8 @@
     assert_eq!(phase(&plans), Some(Phase::Completed));
 }
 
-/// After an order that came before any server was seen, no version is allowed until one is established.
+/// After an order that came before any server was seen, no version is allowed until one is
+/// established.
 #[test]
 fn order_before_servers() {
     let mut plans = Plans::default();
@@ -237,8 +238,8 @@
     assert!(proposed_steps(&plans, &["v1", "v2", "v3"]).is_empty());
 }
 
-/// Random steps in random order: a roll-out that has ended changes only by another order, only ordered versions are
-/// allowed, and the state machine is the same after it is encoded and decoded.
+/// Random steps in random order: a roll-out that has ended changes only by another order, only
+/// ordered versions are allowed, and the state machine is the same after it is encoded and decoded.
 #[test]
 fn random_steps() {
     for seed in 0..SEEDS {
