--- a/crates/curlewlift/src/entry/owner.rs
+++ b/crates/curlewlift/src/entry/owner.rs
@@ -192,7 +192,7 @@
     if let Some(server) = running {
         let _ = sender.send(Ok(server.clone()));
         with(node, &service, |queue, now| {
-            queue.restore_running(ask, &server, now)
+            queue.restore_running(ask, &server, now);
         })?;
         return Ok(receiver);
     }
