--- a/crates/core/src/queue/service_queue.rs
+++ b/crates/core/src/queue/service_queue.rs
@@ -33,15 +33,21 @@
 #[derive(Clone, Debug)]
 pub struct Queue {
     pub(super) fleet: Fleet,
+    /// The maximum cost of all queued requests, in tokens.
     pub(super) work_limit: Tokens,
+    /// The queued requests, by the rank of their tier.
     pub(super) tiers: BTreeMap<u8, TierQueue>,
+    /// Where each queued request is in `tiers`.
     pub(super) positions: HashMap<Ticket, Position>,
+    /// The queued requests by deadline.
     pub(super) deadlines: BTreeSet<(Instant, Ticket)>,
     pub(super) running: HashMap<Ticket, Running>,
     pub(super) lengths: HashMap<id::Customer, ResponseLength>,
+    /// The number of requests queued so far, which orders those with the same deadline.
     pub(super) arrivals: u64,
     pub(super) grants_held: bool,
     pub(super) retry_budget: RetryBudget,
+    /// The actions that have not been taken yet.
     pub(super) actions: Vec<Action>,
 }
 
--- a/crates/core/src/rollout/plans.rs
+++ b/crates/core/src/rollout/plans.rs
@@ -125,6 +125,7 @@
         self.services.keys()
     }
 
+    /// Sets the versions that serve a service, unless they are known already.
     fn establish(&mut self, service: &id::Service, versions: &BTreeSet<Version>) {
         let rollout = self.services.entry(service.clone()).or_default();
         if rollout.serving.is_empty() {
@@ -132,6 +133,7 @@
         }
     }
 
+    /// Accepts an order: it starts a trial, or is completed at once if only its target serves.
     fn order(&mut self, order: &Order) -> Result<(), Refusal> {
         self.check_order(order)?;
         if self.has_order(order) {
@@ -148,6 +150,7 @@
         Ok(())
     }
 
+    /// Advances the roll-out of a service to the phase `next`, if it is active and to this target.
     fn advance(&mut self, service: &id::Service, target: &Version, next: Phase) {
         let Some(rollout) = self.services.get_mut(service) else {
             return;
--- a/crates/core/src/rollout/policy.rs
+++ b/crates/core/src/rollout/policy.rs
@@ -49,8 +49,8 @@
                     .allowed_versions
                     .insert(service.clone(), serving.clone());
             } else if last.is_some() {
-                // The roll-out was ordered before any server of the service was seen: the first one
-                // may run the target version.
+                // The roll-out was ordered before any server of the service was seen. The first one
+                // may run the target version, so no version is allowed yet.
                 policy
                     .allowed_versions
                     .insert(service.clone(), BTreeSet::new());
--- a/crates/core/src/rollout/trial.rs
+++ b/crates/core/src/rollout/trial.rs
@@ -151,8 +151,8 @@
             return Some((Phase::RolledBack, evidence.to_string()));
         }
         match self.phase {
-            Phase::Trial => self.after_trial(conditions),
-            Phase::Moving => self.after_moving(conditions),
+            Phase::Trial => self.phase_after_trial(conditions),
+            Phase::Moving => self.phase_after_moving(conditions),
             Phase::Completed | Phase::RolledBack => None,
         }
     }
@@ -163,14 +163,16 @@
         self.judge.evidence_against()
     }
 
-    fn after_trial(&self, conditions: &Conditions) -> Option<(Phase, String)> {
-        let answers = self.judge.response_count();
+    /// Ends the trial: all requests move to a trusted target, and a target that isn't trusted in
+    /// time is rolled back.
+    fn phase_after_trial(&self, conditions: &Conditions) -> Option<(Phase, String)> {
+        let responses = self.judge.response_count();
         let slots = conditions.target_slots;
         if conditions.age < self.duration.mul_f64(MAX_DURATION_FACTOR) {
-            let why = format!("answers={answers} slots={slots}");
+            let why = format!("answers={responses} slots={slots}");
             return self.may_move(conditions).then_some((Phase::Moving, why));
         }
-        let why = format!("not trusted within its time: answers={answers} slots={slots}");
+        let why = format!("not trusted within its time: answers={responses} slots={slots}");
         Some((Phase::RolledBack, why))
     }
 
@@ -183,15 +185,15 @@
         } else {
             slots > 0 && f64::from(slots) >= f64::from(former_slots) * MIN_CAPACITY_RATIO
         };
-        let is_compared = self.baseline.busy_rules().next().is_some();
+        let has_baseline = self.baseline.busy_rules().next().is_some();
         let is_trusted =
-            is_compared && self.judge.is_trusted() && self.untrusted_rules().is_empty();
+            has_baseline && self.judge.is_trusted() && self.untrusted_rules().is_empty();
         is_past(MIN_TRIAL_FRACTION) && has_capacity && is_trusted
     }
 
     /// Completes the roll-out only when nothing can run on the former version any more: its servers
     /// may be stopped right after, which would break off what still runs there.
-    fn after_moving(&self, conditions: &Conditions) -> Option<(Phase, String)> {
+    fn phase_after_moving(&self, conditions: &Conditions) -> Option<(Phase, String)> {
         let is_clear = conditions.in_flight_at_former == 0
             && conditions.is_policy_applied
             && conditions.target_servers > 0;
--- a/crates/core/src/rollout/trials.rs
+++ b/crates/core/src/rollout/trials.rs
@@ -95,7 +95,7 @@
         &self.policy
     }
 
-    /// Whether the hub may grant slots of `server`.
+    /// Whether the hub may grant slots of `server`: it runs a version that serves, or a target.
     #[must_use]
     pub fn admits(&self, server: &Server) -> bool {
         let rollout = self.active.get(&server.service);
