--- a/crates/core/src/queue/tier_queue.rs
+++ b/crates/core/src/queue/tier_queue.rs
@@ -24,7 +24,7 @@
     customers: BTreeMap<id::Customer, CustomerQueue>,
     /// The customers with queued requests, by their virtual time.
     order: BTreeSet<(u64, id::Customer)>,
-    /// The virtual time of the customer that was served last.
+    /// The highest virtual time at which a customer was served.
     virtual_time: u64,
     /// The cost of all queued requests.
     pub(super) work: Tokens,
--- a/crates/core/tests/queue_order.rs
+++ b/crates/core/tests/queue_order.rs
@@ -30,9 +30,9 @@
 use support::requests::request;
 use support::requests::spec;
 
-const HISTORIES: u64 = 300;
-const STEPS: u64 = 300;
-const CUSTOMERS: [&str; 4] = ["a", "b", "c", "d"];
+const HISTORY_COUNT: u64 = 300;
+const STEPS_PER_HISTORY: u64 = 300;
+const CUSTOMER_NAMES: [&str; 4] = ["a", "b", "c", "d"];
 
 /// The tokens that a response is expected to have before any length is known: half of the maximum.
 const EXPECTED_OUTPUT: u64 = 5;
@@ -89,7 +89,7 @@
 
 /// A random request; the customer `a` has four times the weight of the others.
 fn random_request(g: &mut Gen, number: u64) -> Request {
-    let customer = CUSTOMERS[usize::arbitrary(g) % CUSTOMERS.len()];
+    let customer = CUSTOMER_NAMES[usize::arbitrary(g) % CUSTOMER_NAMES.len()];
     let mut request = request(
         number,
         customer,
@@ -108,7 +108,7 @@
 /// The queue grants requests in the same order as the reference.
 #[test]
 fn same_order() {
-    for seed in 0..HISTORIES {
+    for seed in 0..HISTORY_COUNT {
         let mut g = Gen::from_size_and_seed(100, seed);
         let mut queue = Queue::new(
             fleet(vec![spec("m", 1, 1_000_000, 1_000)]),
@@ -116,7 +116,7 @@
         );
         let mut reference = ReferenceQueue::default();
         let mut running: Option<Ticket> = None;
-        for number in 0..STEPS {
+        for number in 0..STEPS_PER_HISTORY {
             if u8::arbitrary(&mut g) < 150 {
                 let request = random_request(&mut g, number);
                 reference.push(number, request.clone());
@@ -150,13 +150,13 @@
 /// tier has any queued.
 #[test]
 fn one_state() {
-    for seed in 0..HISTORIES {
+    for seed in 0..HISTORY_COUNT {
         let mut g = Gen::from_size_and_seed(100, seed);
         let servers = vec![spec("m", 2, 100_000, 100), spec("n", 3, 50_000, 50)];
         let mut queue = Queue::new(fleet(servers), Tokens(5_000));
         let mut waiting: BTreeMap<Ticket, u8> = BTreeMap::new();
         let mut running = BTreeSet::new();
-        for number in 0..STEPS {
+        for number in 0..STEPS_PER_HISTORY {
             let now = at(number * 10);
             match u8::arbitrary(&mut g) {
                 0..=139 => {
--- a/crates/core/tests/rollout_bounds.rs
+++ b/crates/core/tests/rollout_bounds.rs
@@ -20,14 +20,14 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-const SEEDS: u64 = 2_000;
+const SEED_COUNT: u64 = 2_000;
 
-const BOUNDS: Bounds = Bounds {
+const TRIAL_BOUNDS: Bounds = Bounds {
     share: 0.1,
     extra_requests: 50.0,
 };
 
-const DURATION: Duration = Duration::from_secs(10);
+const ROLLOUT_DURATION: Duration = Duration::from_secs(10);
 
 fn good(first_ms: u64) -> End {
     End::Good {
@@ -46,7 +46,12 @@
 }
 
 fn trial(is_ordered_here: bool) -> Trial {
-    Trial::new(DURATION, Phase::Trial, BOUNDS, is_ordered_here)
+    Trial::new(
+        ROLLOUT_DURATION,
+        Phase::Trial,
+        TRIAL_BOUNDS,
+        is_ordered_here,
+    )
 }
 
 /// Up to three hubs at a time, some replaced by new ones, each receive reports of different
@@ -54,7 +59,7 @@
 /// moment.
 #[test]
 fn concurrent_hubs() {
-    for seed in 0..SEEDS {
+    for seed in 0..SEED_COUNT {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut hubs = vec![trial(true)];
         let mut former_requests = 0_u32;
@@ -81,8 +86,8 @@
                     }
                 }
             }
-            let limit =
-                f64::from(former_requests + target_requests) * BOUNDS.share + BOUNDS.extra_requests;
+            let limit = f64::from(former_requests + target_requests) * TRIAL_BOUNDS.share
+                + TRIAL_BOUNDS.extra_requests;
             assert!(
                 f64::from(target_requests) <= limit,
                 "seed {seed}: {target_requests} to the target, {former_requests} to the other"
@@ -181,7 +186,7 @@
         trial.record_former(&sample(&format!("s{}", round % 20), good(20)));
     }
     let mut conditions = Conditions {
-        age: DURATION / 2,
+        age: ROLLOUT_DURATION / 2,
         target_slots: 20,
         target_servers: 5,
         former_slots: 20,
@@ -200,7 +205,7 @@
         None,
         "the trial is too short: the target may still turn bad"
     );
-    conditions.age = DURATION * 7 / 10;
+    conditions.age = ROLLOUT_DURATION * 7 / 10;
     conditions.target_slots = 10;
     assert_eq!(
         phase(&trial, &conditions),
@@ -235,7 +240,7 @@
         age,
         ..Conditions::default()
     };
-    assert!(trial.next_phase(&conditions(DURATION)).is_none());
-    let next = trial.next_phase(&conditions(DURATION * 2));
+    assert!(trial.next_phase(&conditions(ROLLOUT_DURATION)).is_none());
+    let next = trial.next_phase(&conditions(ROLLOUT_DURATION * 2));
     assert_eq!(next.map(|(phase, _)| phase), Some(Phase::RolledBack));
 }
--- a/crates/core/tests/rollout_plans.rs
+++ b/crates/core/tests/rollout_plans.rs
@@ -24,7 +24,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-const SEEDS: u64 = 2_000;
+const SEED_COUNT: u64 = 2_000;
 
 fn version(name: &str) -> Version {
     name.parse().expect("a valid version")
@@ -239,10 +239,11 @@
 }
 
 /// Random steps in random order: a roll-out that has ended changes only by another order, only
-/// ordered versions are allowed, and the state machine is the same after it is encoded and decoded.
+/// ordered versions are allowed, and the replicated state is the same after it is encoded and
+/// decoded.
 #[test]
 fn random_steps() {
-    for seed in 0..SEEDS {
+    for seed in 0..SEED_COUNT {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut machine = Machine::default();
         let mut ordered = vec!["v1"];
