--- a/crates/core/src/queue/service_queue.rs
+++ b/crates/core/src/queue/service_queue.rs
@@ -27,27 +27,34 @@
 
 /// The queued and the running requests of one service, as its owner tracks them.
 ///
-/// Submitting a request and handling a report take time logarithmic in the queued requests and linear in the
-/// classes of servers. Memory is linear in the queued and running requests; it is bounded by the limit on queued
-/// work and by the customers' limits on queued requests.
+/// Submitting a request and handling a report take time logarithmic in the queued requests and
+/// linear in the classes of servers. Memory is linear in the queued and running requests; it is
+/// bounded by the limit on queued work and by the customers' limits on queued requests.
 #[derive(Clone, Debug)]
 pub struct Queue {
     pub(super) fleet: Fleet,
+    /// The maximum cost of all queued requests, in tokens.
     pub(super) work_limit: Tokens,
+    /// The queued requests, by the rank of their tier.
     pub(super) tiers: BTreeMap<u8, TierQueue>,
+    /// Where each queued request is in `tiers`.
     pub(super) positions: HashMap<Ticket, Position>,
+    /// The queued requests by deadline.
     pub(super) deadlines: BTreeSet<(Instant, Ticket)>,
     pub(super) running: HashMap<Ticket, Running>,
     pub(super) lengths: HashMap<id::Customer, ResponseLength>,
+    /// The number of requests queued so far, which orders those with the same deadline.
     pub(super) arrivals: u64,
     pub(super) grants_held: bool,
     pub(super) retry_budget: RetryBudget,
+    /// The actions that have not been taken yet.
     pub(super) actions: Vec<Action>,
 }
 
 /// # Events
 impl Queue {
-    /// Creates an empty queue for the servers of `fleet` that holds work of at most `work_limit` tokens.
+    /// Creates an empty queue for the servers of `fleet` that holds work of at most `work_limit`
+    /// tokens.
     #[must_use]
     pub fn new(fleet: Fleet, work_limit: Tokens) -> Self {
         Self {
@@ -67,8 +74,8 @@
 
     /// Submits a request for a server slot.
     ///
-    /// A ticket that is submitted again is the same request: if it is queued, nothing changes; if it runs, its
-    /// grant is repeated.
+    /// A ticket that is submitted again is the same request: if it is queued, nothing changes; if
+    /// it runs, its grant is repeated.
     pub fn submit(&mut self, request: Request, now: Instant) {
         if self.positions.contains_key(&request.ticket) {
             return;
@@ -154,8 +161,8 @@
         }
     }
 
-    /// Does the periodic work: refuses requests whose deadline has passed, checks for slow servers, and drops
-    /// the accounting of idle customers.
+    /// Does the periodic work: refuses requests whose deadline has passed, checks for slow servers,
+    /// and drops the accounting of idle customers.
     pub fn tick(&mut self, now: Instant) {
         while let Some((deadline, ticket)) = self.deadlines.first().cloned() {
             if deadline > now {
@@ -185,7 +192,8 @@
         self.shed_excess_work();
     }
 
-    /// Sets whether grants are held back, as a new owner does until it knows which requests already run.
+    /// Sets whether grants are held back, as a new owner does until it knows which requests already
+    /// run.
     pub fn set_grants_held(&mut self, grants_held: bool, now: Instant) {
         self.grants_held = grants_held;
         self.grant_available(now);
