--- /dev/null
+++ b/crates/core/src/pool/server_state.rs
@@ -0,0 +1,143 @@
+//! A gateway's state of one backend server.
+
+use std::sync::Arc;
+
+use crate::clock::Instant;
+use crate::gateway::Load;
+use crate::gateway::Server;
+use crate::unit::Tokens;
+
+use super::AttemptOutcome;
+use super::ServerHealth;
+use super::ServerLatency;
+
+/// The load, latency and health of one backend server of a pool.
+#[derive(Clone, Debug)]
+pub(super) struct ServerState {
+    pub(super) server: Arc<Server>,
+    /// Whether it is on the server list; others only get requests for which a slot was granted.
+    pub(super) is_listed: bool,
+    /// Requests in flight that were sent from here.
+    pub(super) own_requests: u32,
+    /// Requests in flight of other gateways, as last reported.
+    pub(super) other_requests: u32,
+    /// Prompt tokens of requests sent from here whose answers have not begun.
+    pub(super) own_unread_prompt: u64,
+    /// The same of other gateways, as last reported.
+    pub(super) other_unread_prompt: u64,
+    /// The time to the first byte of an answer.
+    pub(super) first_byte: ServerLatency,
+    /// The time between two chunks of a stream.
+    pub(super) gap: ServerLatency,
+    pub(super) health: ServerHealth,
+}
+
+impl ServerState {
+    /// The state of a server that is on the list.
+    pub(super) fn new(server: Arc<Server>) -> Self {
+        Self {
+            server,
+            is_listed: true,
+            own_requests: 0,
+            other_requests: 0,
+            own_unread_prompt: 0,
+            other_unread_prompt: 0,
+            first_byte: ServerLatency::default(),
+            gap: ServerLatency::default(),
+            health: ServerHealth::default(),
+        }
+    }
+
+    /// The same state with the server not on the list.
+    pub(super) fn unlisted(self) -> Self {
+        Self {
+            is_listed: false,
+            ..self
+        }
+    }
+
+    /// Whether it may be chosen for new work.
+    pub(super) fn accepts_work(&self) -> bool {
+        self.is_listed && !self.server.leaving
+    }
+
+    /// Whether it may be chosen for new work and has room, counting `extra` requests beyond its slots.
+    pub(super) fn has_room(&self, extra: u32) -> bool {
+        self.accepts_work() && self.in_flight() < self.server.slots.max(1) + extra
+    }
+
+    /// Whether its state is no longer needed.
+    pub(super) fn is_unused(&self) -> bool {
+        self.own_requests == 0 && !self.accepts_work()
+    }
+
+    /// Requests in flight there, over all gateways.
+    pub(super) fn in_flight(&self) -> u32 {
+        self.own_requests + self.other_requests
+    }
+
+    /// The prompt tokens that it has not finished reading, over all gateways.
+    pub(super) fn unread_prompt(&self) -> Tokens {
+        Tokens(
+            self.own_unread_prompt
+                .saturating_add(self.other_unread_prompt),
+        )
+    }
+
+    /// Counts a request that is sent there.
+    pub(super) fn start_request(&mut self, prompt: Tokens) {
+        self.own_requests += 1;
+        self.own_unread_prompt = self.own_unread_prompt.saturating_add(prompt.0);
+    }
+
+    /// Counts a request that was sent there as ended.
+    pub(super) fn end_request(&mut self) {
+        self.own_requests = self.own_requests.saturating_sub(1);
+        if self.own_requests == 0 {
+            self.own_unread_prompt = 0;
+        }
+    }
+
+    /// Resets the counts of requests sent from here.
+    pub(super) fn reset_own_load(&mut self) {
+        self.own_requests = 0;
+        self.own_unread_prompt = 0;
+    }
+
+    /// Sets the load by other gateways.
+    pub(super) fn set_other_load(&mut self, load: Option<&Load>) {
+        self.other_requests = load.map_or(0, |load| load.requests);
+        self.other_unread_prompt = load.map_or(0, |load| load.prefill_tokens.0);
+    }
+
+    /// Its recent latency in seconds: the time between two chunks of a stream, or else to the first byte.
+    pub(super) fn latency(&self) -> Option<f64> {
+        self.gap.mean().or(self.first_byte.mean())
+    }
+
+    /// Marks it as draining, so that it gets no new work.
+    pub(super) fn drain(&mut self) {
+        let mut server = Server::clone(&self.server);
+        server.leaving = true;
+        self.server = Arc::new(server);
+    }
+
+    /// Updates health and latency by the outcome of an attempt.
+    pub(super) fn record_outcome(&mut self, outcome: AttemptOutcome, now: Instant) {
+        match outcome {
+            AttemptOutcome::Answered { first_byte, gap } => {
+                self.health.record_answer();
+                self.first_byte.add(first_byte);
+                if let Some(gap) = gap {
+                    self.gap.add(gap);
+                }
+            }
+            AttemptOutcome::Full => self.health.record_full(now),
+            AttemptOutcome::Backoff(_) => self.health.record_backoff(now),
+            AttemptOutcome::Failed => self.health.record_failure(),
+            AttemptOutcome::Broken | AttemptOutcome::TimedOut => self.health.record_break(now),
+            AttemptOutcome::Gone => self.drain(),
+            AttemptOutcome::Unknown => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/quota/limiter.rs
@@ -0,0 +1,160 @@
+//! The hub's limiter: one token bucket per customer.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use crate::clock::Instant;
+use crate::id;
+use crate::route::Quota;
+
+use super::Bucket;
+use super::Charge;
+use super::Tolerance;
+use super::to_f64;
+
+/// When a rejected request may be retried while the buckets do not fill: within about this time an unreachable gateway
+/// reports again or its share expires, and the hub has a share of the quotas again.
+const EMPTY_SHARE_RETRY_DELAY: Duration = Duration::from_secs(1);
+
+/// The quota and bucket of one customer.
+#[derive(Clone, Copy, Debug)]
+struct CustomerBucket {
+    quota: Quota,
+    bucket: Bucket,
+    /// Charged for waiting requests; not committed or refunded yet.
+    reserved: f64,
+}
+
+impl CustomerBucket {
+    /// The highest level of the bucket, where `hub_share` of the quota is the hub's. Together with what is reserved
+    /// it is no more than the quota's burst.
+    fn burst(&self, hub_share: f64) -> f64 {
+        self.quota.burst * hub_share - self.reserved
+    }
+
+    fn fill(&mut self, tolerance: &Tolerance, hub_share: f64, now: Instant) {
+        let burst = self.burst(hub_share);
+        let rate = tolerance.fill_rate(&self.quota) * hub_share;
+        self.bucket.fill(rate, burst, now);
+    }
+}
+
+/// Limits the requests of each customer to its quota. The hub charges each request before it is sent.
+///
+/// In any period it admits at most what a bucket held and what it has gained since. A share of the quotas is reserved
+/// for gateways that may be admitting requests without the hub ([`super::LocalLimiter`]). Buckets start empty, because
+/// what the previous hub admitted is not known; so all hubs and gateways together admit no more than a single bucket
+/// would. A bucket that was filled up at any later time would admit a burst twice.
+#[derive(Clone, Debug)]
+pub struct Limiter {
+    tolerance: Tolerance,
+    hub_share: f64,
+    customers: BTreeMap<id::Customer, CustomerBucket>,
+}
+
+impl Limiter {
+    /// Creates a limiter with empty buckets that admits requests beyond a quota up to `tolerance`.
+    ///
+    /// The buckets gain nothing until [`Limiter::set_hub_share`] is called.
+    #[must_use]
+    pub fn new(tolerance: Tolerance) -> Self {
+        Self {
+            tolerance,
+            hub_share: 0.0,
+            customers: BTreeMap::new(),
+        }
+    }
+
+    /// Replaces the quotas; a bucket never holds more than its quota's burst.
+    pub fn set_quotas<'a>(
+        &mut self,
+        quotas: impl Iterator<Item = (&'a id::Customer, Quota)>,
+        now: Instant,
+    ) {
+        self.fill(now);
+        let limited = quotas.filter(|(_, quota)| quota.is_limited());
+        let next = limited.map(|(customer, quota)| {
+            let mut state = self
+                .customers
+                .get(customer)
+                .copied()
+                .unwrap_or(CustomerBucket {
+                    quota,
+                    bucket: Bucket::new(0.0, now),
+                    reserved: 0.0,
+                });
+            state.quota = quota;
+            state.bucket.cap(state.burst(self.hub_share));
+            (customer.clone(), state)
+        });
+        self.customers = next.collect();
+    }
+
+    /// Fills all buckets; correct only if nothing can have been admitted before `now`.
+    pub fn fill_all(&mut self, now: Instant) {
+        for state in self.customers.values_mut() {
+            let burst = state.burst(self.hub_share);
+            state.bucket = Bucket::new(burst, now);
+        }
+    }
+
+    /// Sets the share (0 to 1) of the quotas that is the hub's from `now` on; the rest is reserved for gateways.
+    pub fn set_hub_share(&mut self, hub_share: f64, now: Instant) {
+        if (hub_share - self.hub_share).abs() < f64::EPSILON {
+            return;
+        }
+        // For the time since the last call the smaller share applies.
+        self.hub_share = self.hub_share.min(hub_share);
+        self.fill(now);
+        self.hub_share = hub_share;
+    }
+
+    /// Charges a request; the charge must be committed or refunded later.
+    ///
+    /// # Errors
+    ///
+    /// Returns after how long the bucket holds enough if nothing else is charged.
+    pub fn acquire(&mut self, charge: &Charge, now: Instant) -> Result<(), Duration> {
+        let Some(state) = self.customers.get_mut(&charge.customer) else {
+            return Ok(());
+        };
+        state.fill(&self.tolerance, self.hub_share, now);
+        let cost = to_f64(charge.cost);
+        // A request that costs more than the burst needs a full bucket.
+        let missing = cost.min(state.quota.burst) - state.bucket.level();
+        if missing > 0.0 {
+            let rate = self.tolerance.fill_rate(&state.quota) * self.hub_share;
+            let wait = Duration::try_from_secs_f64(missing / rate);
+            return Err(wait
+                .unwrap_or(EMPTY_SHARE_RETRY_DELAY)
+                .min(EMPTY_SHARE_RETRY_DELAY));
+        }
+        state.bucket.charge(cost);
+        state.reserved += cost;
+        Ok(())
+    }
+
+    /// Commits the charge of a request that is sent.
+    pub fn commit(&mut self, charge: &Charge, now: Instant) {
+        if let Some(state) = self.customers.get_mut(&charge.customer) {
+            state.fill(&self.tolerance, self.hub_share, now);
+            state.reserved = (state.reserved - to_f64(charge.cost)).max(0.0);
+        }
+    }
+
+    /// Refunds the charge of a request that was certainly not sent.
+    pub fn refund(&mut self, charge: &Charge, now: Instant) {
+        if let Some(state) = self.customers.get_mut(&charge.customer) {
+            state.fill(&self.tolerance, self.hub_share, now);
+            state.reserved = (state.reserved - to_f64(charge.cost)).max(0.0);
+            state.bucket.charge(-to_f64(charge.cost));
+            state.bucket.cap(state.burst(self.hub_share));
+        }
+    }
+
+    fn fill(&mut self, now: Instant) {
+        for state in self.customers.values_mut() {
+            state.fill(&self.tolerance, self.hub_share, now);
+        }
+    }
+}
--- a/crates/core/src/quota/mod.rs
+++ b/crates/core/src/quota/mod.rs
@@ -1,21 +1,23 @@
-//! Allowances over all gateways together: a desk at the hub that draws each request, and reserves at the
-//! gateways for when the hub gives no word.
+//! Customers' quotas over all gateways together.
+//!
+//! The hub charges each request ([`Limiter`]). Each gateway has a limiter of its own ([`LocalLimiter`]) for the time in
+//! which the hub does not answer.
 
-mod amount;
 mod bucket;
 mod charge;
-mod desk;
-mod part;
-mod reserve;
+mod convert;
+mod limiter;
+mod local;
+mod share;
 mod tolerance;
 
-pub use amount::amount;
 pub use bucket::Bucket;
 pub use charge::Charge;
-pub use desk::Desk;
-pub use part::Part;
-pub use reserve::ALONE;
-pub use reserve::ASIDE;
-pub use reserve::HELD;
-pub use reserve::Reserve;
+pub use convert::to_f64;
+pub use limiter::Limiter;
+pub use local::LOCAL_QUOTA_DELAY;
+pub use local::LocalLimiter;
+pub use local::SHARE_LIFETIME;
+pub use local::SHARE_RESERVE_DELAY;
+pub use share::Share;
 pub use tolerance::Tolerance;
--- a/crates/core/src/rollout/yardstick.rs
+++ b/crates/core/src/rollout/baseline.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::pool::End;
+use crate::pool::AttemptOutcome;
 
 /// How many answers of one server to requests of one rule count: one fast server must not outvote the rest.
 const EACH: usize = 6;
@@ -41,7 +41,7 @@
     /// The incarnation that answered.
     pub server: Arc<str>,
     /// How it ended.
-    pub end: End,
+    pub outcome: AttemptOutcome,
 }
 
 /// The times of one answer.
@@ -54,14 +54,19 @@
 
 impl Shown {
     /// None where the end says nothing of the version.
-    fn of(end: End) -> Option<Self> {
+    fn of(end: AttemptOutcome) -> Option<Self> {
         match end {
-            End::Good { first, gap } => {
+            AttemptOutcome::Answered { first_byte, gap } => {
                 let gap = gap.as_ref().map(Duration::as_secs_f64);
-                Some(Self::Answered(first.as_secs_f64(), gap))
+                Some(Self::Answered(first_byte.as_secs_f64(), gap))
             }
-            End::Failed | End::Broken | End::Silent => Some(Self::Failed),
-            End::Full | End::Rests(_) | End::Gone | End::Nothing => None,
+            AttemptOutcome::Failed | AttemptOutcome::Broken | AttemptOutcome::TimedOut => {
+                Some(Self::Failed)
+            }
+            AttemptOutcome::Full
+            | AttemptOutcome::Backoff(_)
+            | AttemptOutcome::Gone
+            | AttemptOutcome::Unknown => None,
         }
     }
 
@@ -161,14 +166,14 @@
 
 /// What answers of a service usually look like, by rule; memory is bounded by 256 answers a rule.
 #[derive(Clone, Debug, Default)]
-pub struct Yardstick {
+pub struct Baseline {
     rules: BTreeMap<Arc<str>, Kept>,
 }
 
-impl Yardstick {
+impl Baseline {
     /// Takes up an answer of the version that serves; whether it showed anything.
-    pub fn take(&mut self, sample: &Sample) -> bool {
-        let Some(shown) = Shown::of(sample.end) else {
+    pub fn record(&mut self, sample: &Sample) -> bool {
+        let Some(shown) = Shown::of(sample.outcome) else {
             return false;
         };
         let kept = self.rules.entry(Arc::clone(&sample.rule)).or_default();
@@ -179,8 +184,8 @@
     /// Whether an answer is bad by this measure, for being slow only where times count; and the part of usual
     /// answers that are. None where it shows nothing.
     #[must_use]
-    pub fn measure(&self, sample: &Sample, times_count: bool) -> Option<(bool, f64)> {
-        let shown = Shown::of(sample.end)?;
+    pub fn classify(&self, sample: &Sample, times_count: bool) -> Option<(bool, f64)> {
+        let shown = Shown::of(sample.outcome)?;
         let usual = self.rules.get(&sample.rule).map(|kept| kept.usual);
         let usual = usual.unwrap_or_default();
         let is_bad = shown == Shown::Failed || (times_count && shown.is_bad(usual));
--- a/crates/core/src/rollout/mod.rs
+++ b/crates/core/src/rollout/mod.rs
@@ -1,10 +1,11 @@
-//! Roll-outs: a service's traffic moves to backend servers of another version, or back.
+//! Roll-outs: moving the traffic of a service to backend servers of another version, or back.
 //!
-//! What operators ordered and what came of it is agreed in the log ([`Plans`]); what gateways may send to by
-//! their own choice follows from it ([`Policy`]). The hub tries the version that was ordered on a bounded part
-//! of the requests ([`Exposure`]), compares its answers with those of the version beside it ([`Judge`]), and
-//! moves the service over, or back ([`Trial`]).
+//! The orders of operators and the phases of roll-outs are committed to the log ([`Plans`]). They determine
+//! which versions gateways may send to without asking the hub ([`Policy`]). The hub sends a limited share of the
+//! requests to the target version ([`Exposure`]), compares its responses with those of the former version
+//! ([`Judge`]), and then moves all traffic to the target, or rolls back ([`Trial`]).
 
+mod baseline;
 mod exposure;
 mod judge;
 mod order;
@@ -13,8 +14,9 @@
 mod trial;
 mod trials;
 mod version;
-mod yardstick;
 
+pub use baseline::Baseline;
+pub use baseline::Sample;
 pub use exposure::Exposure;
 pub use judge::Evidence;
 pub use judge::Judge;
@@ -24,10 +26,8 @@
 pub use plans::Plans;
 pub use policy::Policy;
 pub use trial::Bounds;
-pub use trial::Scene;
+pub use trial::Conditions;
 pub use trial::Trial;
 pub use trials::Trials;
-pub use version::Invalid;
+pub use version::InvalidVersion;
 pub use version::Version;
-pub use yardstick::Sample;
-pub use yardstick::Yardstick;
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -10,8 +10,8 @@
 use crate::code::Refusal;
 use crate::config::Right;
 use crate::config::Snapshot;
-use crate::evacuation::Halls;
-use crate::gateway::Parts;
+use crate::evacuation::EvacuatedHalls;
+use crate::gateway::Shares;
 use crate::id;
 use crate::lang;
 use crate::lang::Statement;
@@ -76,10 +76,10 @@
     publication: Publication,
     #[serde(default)]
     #[serde(rename = "parts")]
-    shares: Parts,
+    shares: Shares,
     #[serde(default)]
     #[serde(rename = "deputies")]
-    standbys: Parts,
+    standbys: Shares,
     #[serde(default)]
     #[serde(rename = "plans")]
     rollouts: Plans,
@@ -87,7 +87,7 @@
     quarantine: quarantine::List,
     #[serde(default)]
     #[serde(rename = "evacuated")]
-    evacuated_halls: Halls,
+    evacuated_halls: EvacuatedHalls,
 }
 
 impl Machine {
@@ -198,13 +198,13 @@
 
     /// The gateways that hold a share of the retries, which they may use without the hub.
     #[must_use]
-    pub fn get_shares(&self) -> &Parts {
+    pub fn get_shares(&self) -> &Shares {
         &self.shares
     }
 
     /// The standby gateways: those that hold a share of what may be admitted without the hub.
     #[must_use]
-    pub fn get_standbys(&self) -> &Parts {
+    pub fn get_standbys(&self) -> &Shares {
         &self.standbys
     }
 
@@ -222,7 +222,7 @@
 
     /// The data halls that are evacuated.
     #[must_use]
-    pub fn get_evacuated_halls(&self) -> &Halls {
+    pub fn get_evacuated_halls(&self) -> &EvacuatedHalls {
         &self.evacuated_halls
     }
 
--- a/crates/core/src/state/record.rs
+++ b/crates/core/src/state/record.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 
 use crate::evacuation;
-use crate::gateway::Parts;
+use crate::gateway::Shares;
 use crate::id;
 use crate::quarantine;
 use crate::rollout;
@@ -43,10 +43,10 @@
     Publication(Publication),
     /// The gateways that hold a share of the retries, which they may use without the hub.
     #[serde(rename = "Parts")]
-    Shares(Parts),
+    Shares(Shares),
     /// The standby gateways: those that hold a share of what may be admitted without the hub.
     #[serde(rename = "Deputies")]
-    Standbys(Parts),
+    Standbys(Shares),
     /// A step of a roll-out.
     Rollout(rollout::Step),
     /// Changes of the quarantine list: requests under which servers crashed.
--- a/crates/core/tests/cold_servers.rs
+++ b/crates/core/tests/cold_servers.rs
@@ -9,18 +9,18 @@
 
 use curlewlift_core::clock::Instant;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
 use curlewlift_core::gateway::Tuning;
 use curlewlift_core::limit::Rate;
 use curlewlift_core::limit::Slack;
 use curlewlift_core::limit::Warmup;
 use curlewlift_core::pool;
-use curlewlift_core::pool::Ask;
 use curlewlift_core::pool::Pool;
+use curlewlift_core::pool::Request;
 use curlewlift_core::route::Limits;
 use curlewlift_core::route::Parts;
-use curlewlift_core::route::Provider;
+use curlewlift_core::route::ServicePolicy;
 use curlewlift_core::route::Table;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -35,7 +35,7 @@
 
 const SLACK: Slack = Slack {
     factor: 1.5,
-    on_top: 5.0,
+    extra_requests: 5.0,
 };
 
 /// What a server with a rate of 10 bears in a second.
@@ -59,9 +59,9 @@
 }
 
 fn table() -> Table {
-    let provider = Provider {
-        connections: 10,
-        health: "/health".into(),
+    let provider = ServicePolicy {
+        max_connections: 10,
+        health_path: "/health".into(),
         cold_rate: Some(rate()),
     };
     let table = Table::new(Parts {
@@ -69,7 +69,7 @@
         rules: Vec::new(),
         services: [("chat".parse().expect("a name"), provider)].into(),
         limits: Limits::default(),
-        accounts: None,
+        customers: None,
     });
     table.expect("a table")
 }
@@ -80,9 +80,9 @@
         cold: SLACK,
         ..Tuning::default()
     };
-    let mut hub = Hub::new(tuning, now).drawn(number);
-    hub.adopt(&table(), now);
-    hub.list(Arc::new(Listing::new(servers.to_vec())));
+    let mut hub = Hub::new(tuning, now).with_id(number);
+    hub.apply_table(&table(), now);
+    hub.set_server_list(Arc::new(ServerList::new(servers.to_vec())));
     hub
 }
 
@@ -102,16 +102,16 @@
             0 => {
                 let place = random.random_range(0..servers.len());
                 servers[place].cold = random.random();
-                leader.list(Arc::new(Listing::new(servers.to_vec())));
+                leader.set_server_list(Arc::new(ServerList::new(servers.to_vec())));
             }
             1 => leader = hub(step + 2, &servers, now),
             2 => crowd = random.random_range(0..20),
             _ => {}
         }
         for _ in 0..crowd {
-            leader.want(messages::want(&"g".parse().expect("a name")), now);
+            leader.request_slot(messages::want(&"g".parse().expect("a name")), now);
         }
-        for (_, grant) in leader.serve(now) {
+        for (_, grant) in leader.grant_slots(now) {
             let sent = sent.entry(grant.server.incarnation).or_default();
             sent.push_back(now);
             while now.since(sent[0]) >= SECOND {
@@ -119,7 +119,7 @@
             }
             most = most.max(sent.len());
         }
-        leader.give_up(now);
+        leader.reject_doomed(now);
     }
     most
 }
@@ -144,9 +144,9 @@
         let mut given = 0;
         for _ in 0..1_000 {
             now = now + STEP;
-            hub.want(messages::want(&"g".parse().expect("a name")), now);
-            given += hub.serve(now).len();
-            hub.give_up(now);
+            hub.request_slot(messages::want(&"g".parse().expect("a name")), now);
+            given += hub.grant_slots(now).len();
+            hub.reject_doomed(now);
         }
         let a_second = f64::from(u32::try_from(given).expect("few")) / 10.0;
         assert!((a_second - usual).abs() < 1.0, "{cold}: {a_second}");
@@ -158,18 +158,18 @@
 fn alone_only_warm() {
     let mut pool = Pool::new(pool::Tuning::default(), 1);
     pool.set_warmup(Some(Warmup::new(rate(), SLACK)), Instant::default());
-    pool.adopt(vec![
+    pool.update_servers(vec![
         Arc::new(server("cold", true)),
         Arc::new(server("warm", false)),
     ]);
     for _ in 0..100 {
-        let ask = Ask {
-            until: Instant::default() + SECOND,
-            ..Ask::default()
+        let ask = Request {
+            wait_until: Instant::default() + SECOND,
+            ..Request::default()
         };
-        pool.ask(ask, Instant::default());
+        pool.enqueue(ask, Instant::default());
     }
-    let turns = pool.serve(Instant::default());
+    let turns = pool.assign(Instant::default());
     assert_eq!(turns.len(), 100);
     assert!(turns.iter().all(|turn| &*turn.server.name == "warm"));
 }
--- a/crates/core/tests/fleet_pick.rs
+++ b/crates/core/tests/fleet_pick.rs
@@ -19,9 +19,9 @@
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
 
-use support::asks::at;
-use support::asks::fleet;
-use support::asks::spec;
+use support::requests::at;
+use support::requests::fleet;
+use support::requests::spec;
 
 /// Rates of servers in one class differ by at most a quarter octave, a factor of 1.19.
 const TOLERANCE: f64 = 1.2;
--- a/crates/core/tests/queue_order.rs
+++ b/crates/core/tests/queue_order.rs
@@ -14,18 +14,18 @@
 
 use curlewlift_core::code::Code;
 use curlewlift_core::queue::Action;
-use curlewlift_core::queue::Ask;
 use curlewlift_core::queue::Queue;
 use curlewlift_core::queue::Report;
+use curlewlift_core::queue::Request;
 use curlewlift_core::queue::Ticket;
 use curlewlift_core::unit::Tokens;
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
 
-use support::asks::ask;
-use support::asks::at;
-use support::asks::fleet;
-use support::asks::spec;
+use support::requests::at;
+use support::requests::fleet;
+use support::requests::request;
+use support::requests::spec;
 
 const HISTORIES: u64 = 300;
 const STEPS: u64 = 300;
@@ -37,15 +37,15 @@
 /// The plain queue: a list, looked through from end to end.
 #[derive(Default)]
 struct Plain {
-    waiting: Vec<(u64, Ask)>,
+    waiting: Vec<(u64, Request)>,
     had: BTreeMap<(u8, String), u64>,
     floor: BTreeMap<u8, u64>,
 }
 
 impl Plain {
-    fn push(&mut self, order: u64, ask: Ask) {
-        let key = (ask.rank, ask.customer.to_string());
-        let floor = self.floor.get(&ask.rank).copied().unwrap_or(0);
+    fn push(&mut self, order: u64, request: Request) {
+        let key = (request.rank, request.customer.to_string());
+        let floor = self.floor.get(&request.rank).copied().unwrap_or(0);
         let idle = !self
             .waiting
             .iter()
@@ -54,46 +54,48 @@
         if idle {
             *had = (*had).max(floor);
         }
-        self.waiting.push((order, ask));
+        self.waiting.push((order, request));
     }
 
-    fn pop(&mut self) -> Option<Ask> {
-        let rank_of = |entry: &(u64, Ask)| {
-            let ask = &entry.1;
-            let had = self.had[&(ask.rank, ask.customer.to_string())];
+    fn pop(&mut self) -> Option<Request> {
+        let rank_of = |entry: &(u64, Request)| {
+            let request = &entry.1;
+            let had = self.had[&(request.rank, request.customer.to_string())];
             (
-                ask.rank,
+                request.rank,
                 had,
-                ask.customer.to_string(),
-                ask.deadline,
+                request.customer.to_string(),
+                request.deadline,
                 entry.0,
             )
         };
         let place = (0..self.waiting.len()).min_by_key(|place| rank_of(&self.waiting[*place]))?;
-        let (_, ask) = self.waiting.remove(place);
-        let had = self.had.get_mut(&(ask.rank, ask.customer.to_string()))?;
-        let floor = self.floor.entry(ask.rank).or_insert(0);
+        let (_, request) = self.waiting.remove(place);
+        let had = self
+            .had
+            .get_mut(&(request.rank, request.customer.to_string()))?;
+        let floor = self.floor.entry(request.rank).or_insert(0);
         *floor = (*floor).max(*had);
-        *had += (ask.prompt.0 + EXPECTED) * 1_000 / u64::from(ask.weight);
-        Some(ask)
+        *had += (request.prompt.0 + EXPECTED) * 1_000 / u64::from(request.weight);
+        Some(request)
     }
 }
 
-fn draw(g: &mut Gen, number: u64) -> Ask {
+fn draw(g: &mut Gen, number: u64) -> Request {
     let customer = CUSTOMERS[usize::arbitrary(g) % CUSTOMERS.len()];
-    let mut ask = ask(
+    let mut request = request(
         number,
         customer,
         u8::arbitrary(g) % 3,
         u64::arbitrary(g) % 1_000 + 1,
     );
-    ask.weight = match customer {
+    request.weight = match customer {
         "a" => 4,
         _ => 1,
     };
-    ask.deadline = at(500_000 + u64::arbitrary(g) % 1_000);
-    ask.first = ask.deadline;
-    ask
+    request.deadline = at(500_000 + u64::arbitrary(g) % 1_000);
+    request.first_token_deadline = request.deadline;
+    request
 }
 
 #[test]
@@ -108,9 +110,9 @@
         let mut running: Option<Ticket> = None;
         for number in 0..STEPS {
             if u8::arbitrary(&mut g) < 150 {
-                let ask = draw(&mut g, number);
-                plain.push(number, ask.clone());
-                queue.ask(ask, at(number));
+                let request = draw(&mut g, number);
+                plain.push(number, request.clone());
+                queue.submit(request, at(number));
             } else if let Some(ticket) = running.take() {
                 // The length of answers is not learnt here, so that costs stay as they are told.
                 let output = Tokens(0);
@@ -123,7 +125,7 @@
                     at(number),
                 );
             }
-            for action in queue.actions() {
+            for action in queue.take_actions() {
                 let Action::Grant { ticket, .. } = action else {
                     panic!("nothing is refused")
                 };
@@ -147,15 +149,15 @@
             let now = at(number * 10);
             match u8::arbitrary(&mut g) {
                 0..=139 => {
-                    let mut ask = draw(&mut g, number);
-                    ask.deadline = at(number * 10 + 200 + u64::arbitrary(&mut g) % 2_000);
-                    ask.first = ask.deadline;
-                    waiting.insert(ask.ticket.clone(), ask.rank);
-                    queue.ask(ask, now);
+                    let mut request = draw(&mut g, number);
+                    request.deadline = at(number * 10 + 200 + u64::arbitrary(&mut g) % 2_000);
+                    request.first_token_deadline = request.deadline;
+                    waiting.insert(request.ticket.clone(), request.rank);
+                    queue.submit(request, now);
                 }
                 140..=199 => {
                     if let Some(ticket) = running.pop_first() {
-                        queue.report(&ticket, Report::First, now);
+                        queue.report(&ticket, Report::FirstToken, now);
                         let output = Tokens(5);
                         queue.report(
                             &ticket,
@@ -174,7 +176,7 @@
                 }
                 _ => queue.tick(now),
             }
-            for action in queue.actions() {
+            for action in queue.take_actions() {
                 match action {
                     Action::Grant { ticket, .. } => {
                         assert!(waiting.remove(&ticket).is_some(), "seed {seed}: {ticket}");
@@ -182,14 +184,24 @@
                     }
                     Action::Refuse { ticket, refusal } => {
                         let rank = waiting.remove(&ticket).expect("it waited");
-                        let lower = queue.lowest().is_some_and(|lowest| lowest > rank);
+                        let lower = queue
+                            .lowest_waiting_rank()
+                            .is_some_and(|lowest| lowest > rank);
                         let shed = refusal.get_code() == Code::Shed;
                         assert!(!(shed && lower), "seed {seed}: a lower tier waits still");
                     }
                 }
             }
-            assert_eq!(queue.waiting(), waiting.len(), "seed {seed} step {number}");
-            assert_eq!(queue.running(), running.len(), "seed {seed} step {number}");
+            assert_eq!(
+                queue.waiting_count(),
+                waiting.len(),
+                "seed {seed} step {number}"
+            );
+            assert_eq!(
+                queue.running_count(),
+                running.len(),
+                "seed {seed} step {number}"
+            );
         }
     }
 }
@@ -204,17 +216,20 @@
     let mut prompts = BTreeMap::new();
     for number in 0..2_000 {
         let customer = ["a", "b"][number as usize % 2];
-        let mut ask = ask(number, customer, 0, u64::arbitrary(&mut g) % 5_000 + 1);
-        ask.weight = if customer == "a" { 3 } else { 1 };
-        ask.waiting = 2_000;
-        prompts.insert(ask.ticket.clone(), (customer, ask.prompt.0 + EXPECTED));
-        queue.ask(ask, at(0));
+        let mut request = request(number, customer, 0, u64::arbitrary(&mut g) % 5_000 + 1);
+        request.weight = if customer == "a" { 3 } else { 1 };
+        request.max_waiting = 2_000;
+        prompts.insert(
+            request.ticket.clone(),
+            (customer, request.prompt.0 + EXPECTED),
+        );
+        queue.submit(request, at(0));
     }
     let mut had = BTreeMap::from([("a", 0.0), ("b", 0.0)]);
     // The first grant came before the others waited; from then on both always wait.
     for step in 0..1_000 {
         let mut granted = None;
-        for action in queue.actions() {
+        for action in queue.take_actions() {
             let Action::Grant { ticket, .. } = action else {
                 panic!("nothing is refused")
             };
--- a/crates/core/tests/retry_budget.rs
+++ b/crates/core/tests/retry_budget.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use curlewlift_core::clock::Instant;
-use curlewlift_core::pool::Allowed;
-use curlewlift_core::pool::Budget;
+use curlewlift_core::pool::RetryAllowance;
+use curlewlift_core::pool::RetryBudget;
 
-const ALLOWED: Allowed = Allowed {
+const ALLOWED: RetryAllowance = RetryAllowance {
     ratio: 0.2,
-    floor: 60.0,
+    min_retries: 60.0,
     window: Duration::from_secs(10),
 };
 
@@ -17,15 +17,15 @@
 /// Everything fails: each request wants two further sendings.
 #[test]
 fn everything_fails() {
-    let mut budgets = vec![Budget::new(ALLOWED); GATEWAYS as usize];
+    let mut budgets = vec![RetryBudget::new(ALLOWED); GATEWAYS as usize];
     let mut further: Vec<u64> = Vec::new();
     for second in 0..30 {
         for step in 0..10_u64 {
             let now = Instant((second * 10 + step) * 100_000);
             for budget in &mut budgets {
-                budget.first(now);
+                budget.count_request(now);
                 for _ in 0..2 {
-                    if budget.take(1.0 / f64::from(GATEWAYS), now) {
+                    if budget.try_acquire(1.0 / f64::from(GATEWAYS), now) {
                         further.push(now.0);
                     }
                 }
@@ -45,17 +45,18 @@
 
 #[test]
 fn alone_and_unsure() {
-    let mut budget = Budget::new(ALLOWED);
+    let mut budget = RetryBudget::new(ALLOWED);
     let now = Instant::default();
-    budget.first(now);
-    assert!(!budget.take(0.0, now), "no floor without a part");
-    assert!(budget.take(1.0, now));
+    budget.count_request(now);
+    assert!(!budget.try_acquire(0.0, now), "no floor without a part");
+    assert!(budget.try_acquire(1.0, now));
 }
 
 #[test]
 fn forgets() {
-    let mut budget = Budget::new(ALLOWED);
-    let taken = |budget: &mut Budget, now| (0..100).filter(|_| budget.take(1.0, now)).count();
+    let mut budget = RetryBudget::new(ALLOWED);
+    let taken =
+        |budget: &mut RetryBudget, now| (0..100).filter(|_| budget.try_acquire(1.0, now)).count();
     assert_eq!(taken(&mut budget, Instant::default()), 30);
     assert_eq!(taken(&mut budget, Instant(5_000_000)), 0);
     assert_eq!(taken(&mut budget, Instant(10_000_001)), 30);
@@ -66,15 +67,19 @@
 /// out again within the window.
 #[test]
 fn no_step_too_early() {
-    let mut budget = Budget::new(ALLOWED);
+    let mut budget = RetryBudget::new(ALLOWED);
     let at = |millis| Instant::default() + Duration::from_millis(millis);
     for _ in 0..1_000 {
-        budget.first(at(0));
+        budget.count_request(at(0));
     }
     // Sent at the end of the first step, and as soon as its beginning has left the window.
-    let early = (0..1_000).filter(|_| budget.take(1.0, at(950))).count();
-    let late = (0..1_000).filter(|_| budget.take(1.0, at(10_000))).count();
-    let most = ALLOWED.floor + ALLOWED.ratio * 1_000.0;
+    let early = (0..1_000)
+        .filter(|_| budget.try_acquire(1.0, at(950)))
+        .count();
+    let late = (0..1_000)
+        .filter(|_| budget.try_acquire(1.0, at(10_000)))
+        .count();
+    let most = ALLOWED.min_retries + ALLOWED.ratio * 1_000.0;
     let sent = u32::try_from(early + late).expect("few");
     assert!(f64::from(sent) <= most, "{early} and {late} of {most}");
 }
--- a/crates/core/tests/support/gateways.rs
+++ b/crates/core/tests/support/gateways.rs
@@ -7,23 +7,23 @@
 use curlewlift_core::clock::Instant;
 use curlewlift_core::gateway::Gateway;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
-use curlewlift_core::gateway::Parts;
-use curlewlift_core::gateway::Question;
+use curlewlift_core::gateway::Poll;
 use curlewlift_core::gateway::Reply;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::Shares;
+use curlewlift_core::gateway::SlotDecision;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::gateway::Ticket;
 use curlewlift_core::gateway::Tuning;
-use curlewlift_core::gateway::Want;
-use curlewlift_core::gateway::Wanted;
 use curlewlift_core::id;
 use curlewlift_core::quota::Charge;
-use curlewlift_core::quota::Reserve;
+use curlewlift_core::quota::LocalLimiter;
 use curlewlift_core::quota::Tolerance;
-use curlewlift_core::route::Account;
-use curlewlift_core::route::Allowance;
+use curlewlift_core::route::CustomerPolicy;
 use curlewlift_core::route::Homes;
 use curlewlift_core::route::Limits;
+use curlewlift_core::route::Quota;
 use curlewlift_core::route::Table;
 use curlewlift_core::route::Unit;
 use curlewlift_core::state::Publication;
@@ -48,7 +48,7 @@
 /// How long a change of the parts takes to stand in the log.
 const COMMIT: Duration = Duration::from_millis(30);
 
-pub(crate) const ALLOWANCE: Allowance = Allowance {
+pub(crate) const ALLOWANCE: Quota = Quota {
     unit: Unit::Tokens(200),
     rate: 60_000.0,
     burst: 60_000.0,
@@ -56,7 +56,7 @@
 
 pub(crate) const TOLERANCE: Tolerance = Tolerance {
     window: Duration::from_secs(8),
-    part: 0.1,
+    ratio: 0.1,
     slack: 72_000.0,
 };
 
@@ -71,7 +71,7 @@
 /// One gateway, and the answer that is on its way to it.
 struct Node {
     host: id::Host,
-    reserve: Reserve,
+    reserve: LocalLimiter,
     got: u64,
     heard: Option<Instant>,
     asked: Instant,
@@ -85,7 +85,7 @@
     fn new(place: usize, now: Instant) -> Self {
         Self {
             host: format!("g{place}").parse().expect("a name"),
-            reserve: Reserve::new(TOLERANCE),
+            reserve: LocalLimiter::new(TOLERANCE),
             got: 0,
             heard: None,
             asked: now,
@@ -95,15 +95,15 @@
         }
     }
 
-    fn question(&self) -> Question {
-        Question {
+    fn question(&self) -> Poll {
+        Poll {
             gateway: Gateway {
                 hall: "a".into(),
                 callers: "127.0.0.1:80".parse().expect("an address"),
             },
-            table: 1,
-            listing: 1,
-            got: self.got,
+            known_table: 1,
+            server_list_version: 1,
+            last_reply: self.got,
             ..messages::question(&self.host)
         }
     }
@@ -115,8 +115,8 @@
     hub: Option<Hub>,
     /// When the next hub begins, where there is none.
     next_hub: Option<Instant>,
-    parts: Parts,
-    commit: Option<(Instant, Parts)>,
+    parts: Shares,
+    commit: Option<(Instant, Shares)>,
     now: Instant,
     random: ChaCha8Rng,
     /// Of a hundred answers so many are lost.
@@ -131,7 +131,7 @@
     pub(crate) total: u64,
     /// What is still to be asked for.
     asked: f64,
-    allowance: Allowance,
+    allowance: Quota,
 }
 
 impl World {
@@ -139,13 +139,13 @@
         Self::with(count, seed, ALLOWANCE)
     }
 
-    pub(crate) fn with(count: usize, seed: u64, allowance: Allowance) -> Self {
+    pub(crate) fn with(count: usize, seed: u64, allowance: Quota) -> Self {
         let now = Instant::default();
         let mut world = Self {
             nodes: (0..count).map(|place| Node::new(place, now)).collect(),
             hub: None,
             next_hub: None,
-            parts: Parts::default(),
+            parts: Shares::default(),
             commit: None,
             now,
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -161,7 +161,7 @@
         };
         world.begin_hub();
         if let Some(hub) = &mut world.hub {
-            hub.first_table(now);
+            hub.mark_first_table(now);
         }
         world
     }
@@ -171,11 +171,11 @@
     }
 
     fn adopt(&mut self) {
-        let account = Account {
+        let account = CustomerPolicy {
             name: ann(),
             keys: Vec::new(),
             rank: None,
-            allowance: self.allowance,
+            quota: self.allowance,
             homes: Homes::default(),
         };
         let table = Table::new(curlewlift_core::route::Parts {
@@ -183,15 +183,15 @@
             rules: Vec::new(),
             services: [].into(),
             limits: Limits::default(),
-            accounts: Some(vec![account]),
+            customers: Some(vec![account]),
         });
         if let Some(hub) = &mut self.hub {
-            hub.adopt(&table.expect("a table"), self.now);
+            hub.apply_table(&table.expect("a table"), self.now);
         }
     }
 
     /// Another limit is in force everywhere.
-    pub(crate) fn limit(&mut self, allowance: Allowance) {
+    pub(crate) fn limit(&mut self, allowance: Quota) {
         self.allowance = allowance;
         self.table += 1;
         self.adopt();
@@ -203,11 +203,11 @@
             ..Tuning::default()
         };
         let number = self.random.next_u64();
-        let mut hub = Hub::new(tuning, self.now).drawn(number);
+        let mut hub = Hub::new(tuning, self.now).with_id(number);
         let server = Server {
             incarnation: "s".into(),
             name: "s".into(),
-            born: 0,
+            started_ms: 0,
             version: "v1".parse().expect("a version"),
             service: "chat".parse().expect("a name"),
             address: "127.0.0.1:1".parse().expect("an address"),
@@ -216,8 +216,8 @@
             leaving: false,
             cold: false,
         };
-        hub.list(Arc::new(Listing::new(vec![server])));
-        hub.adopt_deputies(&self.parts, self.now);
+        hub.set_server_list(Arc::new(ServerList::new(vec![server])));
+        hub.apply_standbys(&self.parts, self.now);
         self.hub = Some(hub);
         self.adopt();
     }
@@ -321,10 +321,10 @@
             && let Some((_, parts)) = self.commit.take()
         {
             self.parts = parts;
-            hub.adopt_deputies(&self.parts, now);
+            hub.apply_standbys(&self.parts, now);
         }
         hub.tick(now);
-        if let Some(parts) = hub.tend_deputies(now) {
+        if let Some(parts) = hub.propose_standbys(now) {
             self.commit = Some((now + COMMIT, parts));
         }
     }
@@ -342,7 +342,8 @@
             if due <= now && !node.cut {
                 node.got = reply.number;
                 node.heard = Some(now);
-                node.reserve.heard(reply.deputy, node.asked, now);
+                node.reserve
+                    .set_share(reply.admission_share, node.asked, now);
             } else if now.since(node.asked) < CALL {
                 node.answer = Some((due, reply));
             }
@@ -353,8 +354,8 @@
         };
         node.asked = now;
         let question = node.question();
-        hub.hear(&question, now);
-        let reply = hub.answer(&question, &Publication::default(), now);
+        hub.on_poll(&question, now);
+        let reply = hub.reply(&question, &Publication::default(), now);
         let delay = if slow { delay * 8 } else { delay };
         let due = if is_lost {
             now + CALL * 2
@@ -398,7 +399,7 @@
             return;
         };
         let served: Vec<_> = hub
-            .serve(now)
+            .grant_slots(now)
             .into_iter()
             .map(|(ticket, _)| ticket)
             .collect();
@@ -409,7 +410,7 @@
                 return false;
             }
             if *leaves <= now {
-                hub.leave(ticket, now);
+                hub.cancel(ticket, now);
             }
             *leaves > now
         });
@@ -440,45 +441,47 @@
             want.tried = vec!["s".into()];
             want.avoid = vec![("s".into(), Duration::from_secs(10))];
         }
-        let Wanted::Line(ticket, _) = hub.want(want, now) else {
+        let SlotDecision::Queued(ticket, _) = hub.request_slot(want, now) else {
             return false;
         };
         if gets_none {
             self.waiting.push((leaves, ticket, cost));
             return false;
         }
-        hub.serve(now).iter().any(|(served, _)| *served == ticket)
+        hub.grant_slots(now)
+            .iter()
+            .any(|(served, _)| *served == ticket)
     }
 
     /// Whether a request is let in without the hub: by the gateway, or by a deputy that it reaches.
     fn lets_in_alone(&mut self, place: usize, charge: &Charge) -> bool {
         let (now, allowance) = (self.now, self.allowance);
-        if self.nodes[place].reserve.draw(charge, &allowance, now) {
+        if self.nodes[place].reserve.acquire(charge, &allowance, now) {
             return true;
         }
         let from = usize::try_from(self.draw(self.nodes.len() as u64)).expect("few");
         let (before, after) = self.nodes.split_at_mut(from);
         let deputies = after.iter_mut().chain(before);
         let awake = |node: &&mut Node| !node.cut && node.suspended <= now;
-        let deputies = deputies.filter(|node| node.reserve.get_part(now) > 0.0);
+        let deputies = deputies.filter(|node| node.reserve.get_share(now) > 0.0);
         let deputies = deputies.filter(awake);
         let mut asked = deputies.take(ASKED);
-        asked.any(|deputy| deputy.reserve.draw(charge, &allowance, now))
+        asked.any(|deputy| deputy.reserve.acquire(charge, &allowance, now))
     }
 
     /// Whether no window had more than the hub and the gateways claim to let in.
     pub(crate) fn is_kept(&self) -> bool {
         let window = self.allowance.rate * TOLERANCE.window.as_secs_f64() + self.allowance.burst;
-        let bound = window + (window * TOLERANCE.part + TOLERANCE.slack) * CLAIMED;
+        let bound = window + (window * TOLERANCE.ratio + TOLERANCE.slack) * CLAIMED;
         #[allow(clippy::cast_precision_loss)]
         let most = self.most as f64;
         most <= bound
     }
 }
 
-fn want(host: &id::Host, charge: Charge) -> Want {
-    Want {
-        left: Duration::from_secs(10),
+fn want(host: &id::Host, charge: Charge) -> SlotRequest {
+    SlotRequest {
+        time_left: Duration::from_secs(10),
         charge: Some(charge),
         ..messages::want(host)
     }
--- a/crates/core/tests/support/limited.rs
+++ b/crates/core/tests/support/limited.rs
@@ -6,25 +6,24 @@
 
 use curlewlift_core::clock::Instant;
 use curlewlift_core::gateway::Grant;
+use curlewlift_core::gateway::GrantId;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
-use curlewlift_core::gateway::Mark;
-use curlewlift_core::gateway::Question;
+use curlewlift_core::gateway::Poll;
 use curlewlift_core::gateway::Reply;
 use curlewlift_core::gateway::Report;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::SlotDecision;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::gateway::Ticket;
 use curlewlift_core::gateway::Tuning;
-use curlewlift_core::gateway::Want;
-use curlewlift_core::gateway::Wanted;
 use curlewlift_core::id;
+use curlewlift_core::limit::Announcement;
 use curlewlift_core::limit::Change;
 use curlewlift_core::limit::Key;
-use curlewlift_core::limit::Local;
-use curlewlift_core::limit::Said;
+use curlewlift_core::limit::LocalReports;
 use curlewlift_core::pool;
-use curlewlift_core::pool::Ask;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::pool::Pool;
 use curlewlift_core::state::Publication;
 use curlewlift_core::unit::Tokens;
@@ -150,7 +149,7 @@
 struct Node {
     host: id::Host,
     pool: Pool,
-    limits: Local,
+    limits: LocalReports,
     /// The hub by which it goes, and when that was last heard.
     hub: Option<(u64, Instant)>,
     cut: bool,
@@ -170,12 +169,12 @@
     Connecting(Arc<Server>, Option<Grant>, Instant),
     Sent(Arc<Server>, Option<Grant>, Instant, Instant),
     /// On its way back, with what the server says.
-    Answered(Arc<Server>, Mark, Instant, Word, End),
+    Answered(Arc<Server>, GrantId, Instant, Word, AttemptOutcome),
 }
 
 /// What an answer says of its server's limit, and which life of the server said it.
 struct Word {
-    said: Said,
+    said: Announcement,
     life: u64,
     at: Instant,
 }
@@ -199,7 +198,7 @@
 }
 
 enum Says {
-    Asks(Box<Question>),
+    Asks(Box<Poll>),
     Answers(Box<Reply>),
 }
 
@@ -261,11 +260,11 @@
 
     fn node(&mut self, place: usize) -> Node {
         let mut pool = Pool::new(pool::Tuning::default(), place as u64);
-        pool.adopt(self.servers());
+        pool.update_servers(self.servers());
         Node {
             host: format!("g{place}").parse().expect("a name"),
             pool,
-            limits: Local::new(self.random.next_u64()),
+            limits: LocalReports::new(self.random.next_u64()),
             hub: None,
             cut: false,
             suspended: self.now,
@@ -284,14 +283,14 @@
 
     fn begin_hub(&mut self) {
         let number = self.random.next_u64();
-        let mut hub = Hub::new(Tuning::default(), self.now).drawn(number);
-        hub.list(self.listing());
+        let mut hub = Hub::new(Tuning::default(), self.now).with_id(number);
+        hub.set_server_list(self.listing());
         self.hub = Some((number, hub));
     }
 
-    fn listing(&self) -> Arc<Listing> {
+    fn listing(&self) -> Arc<ServerList> {
         let servers = self.servers().into_iter();
-        Arc::new(Listing::new(
+        Arc::new(ServerList::new(
             servers.map(|server| Server::clone(&server)).collect(),
         ))
     }
@@ -307,7 +306,7 @@
     pub(crate) fn is_limited_anywhere(&self) -> bool {
         self.nodes
             .iter()
-            .any(|node| node.limits.all().next().is_some())
+            .any(|node| node.limits.all_limits().next().is_some())
     }
 
     /// The hub is gone, and another one begins after so long.
@@ -368,13 +367,13 @@
         let (servers, listing) = (self.servers(), self.listing());
         for place in 0..GATEWAYS {
             let node = &mut self.nodes[place];
-            node.pool.adopt(servers.clone());
+            node.pool.update_servers(servers.clone());
             let servers = servers.iter().map(|server| &**server);
-            let met = node.limits.meet(servers, self.now);
+            let met = node.limits.observe_servers(servers, self.now);
             self.limit(place, met);
         }
         if let Some((_, hub)) = &mut self.hub {
-            hub.list(listing);
+            hub.set_server_list(listing);
         }
     }
 
@@ -417,16 +416,16 @@
             let due = self.now + self.millis(1, 30);
             let node = &mut self.nodes[place];
             node.asks = self.now + CALL;
-            let question = Question {
-                limits: node.limits.words(),
-                limits_held: node.limits.get_held(),
+            let question = Poll {
+                limit_reports: node.limits.pending_reports(),
+                limits_version: node.limits.get_table_version(),
                 ..messages::question(&node.host)
             };
             self.talks.push(Talk {
                 gateway: place,
                 asked: self.now,
                 due,
-                told: node.limits.get_last(),
+                told: node.limits.get_last_number(),
                 says: Says::Asks(Box::new(question)),
             });
         }
@@ -447,8 +446,8 @@
                 let Some((_, hub)) = &mut self.hub else {
                     return;
                 };
-                hub.hear(&question, now);
-                let reply = hub.answer(&question, &Publication::default(), now);
+                hub.on_poll(&question, now);
+                let reply = hub.reply(&question, &Publication::default(), now);
                 let says = Says::Answers(Box::new(reply));
                 self.talks.push(Talk { due, says, ..talk });
             }
@@ -466,9 +465,9 @@
         let pause = self.millis(15, 200);
         let node = &mut self.nodes[place];
         node.asks = now + pause;
-        node.hub = Some((reply.hub, now));
+        node.hub = Some((reply.hub_id, now));
         let news = reply.limits.as_ref();
-        let changes = node.limits.heard(reply.hub, told, news, now);
+        let changes = node.limits.apply_reply(reply.hub_id, told, news, now);
         self.limit(place, changes);
     }
 
@@ -494,14 +493,14 @@
         let (due, stage) = if self.hears(place) {
             (now + self.millis(1, 20), Stage::Wanted)
         } else {
-            let ask = Ask {
+            let ask = pool::Request {
                 arrived: now,
-                wanted: now + HELD,
-                until: now + HELD,
+                send_by: now + HELD,
+                wait_until: now + HELD,
                 tried: tried.clone(),
-                ..Ask::default()
+                ..pool::Request::default()
             };
-            let ticket = self.nodes[place].pool.ask(ask, now).0;
+            let ticket = self.nodes[place].pool.enqueue(ask, now).0;
             (now + HELD, Stage::InLineHere(ticket))
         };
         Request {
@@ -518,8 +517,8 @@
         let now = self.now;
         let (mut grants, mut hopeless) = (Vec::new(), Vec::new());
         if let Some((_, hub)) = &mut self.hub {
-            grants = hub.serve(now);
-            hopeless = hub.give_up(now);
+            grants = hub.grant_slots(now);
+            hopeless = hub.reject_doomed(now);
         }
         let is_hopeless = |request: &Request| matches!(&request.stage, Stage::InLine(own) if hopeless.contains(own));
         let refused = self.requests.extract_if(.., |request| is_hopeless(request));
@@ -536,7 +535,7 @@
             if now < self.nodes[place].suspended {
                 continue;
             }
-            for turn in self.nodes[place].pool.serve(now) {
+            for turn in self.nodes[place].pool.assign(now) {
                 let due = now + self.connecting();
                 let is_its = |request: &&mut Request| {
                     let own =
@@ -573,39 +572,39 @@
             Stage::InLine(ticket) => {
                 self.refused += 1;
                 if let Some((_, hub)) = &mut self.hub {
-                    hub.leave(&ticket, now);
+                    hub.cancel(&ticket, now);
                 }
                 return None;
             }
             Stage::InLineHere(ticket) => {
                 self.refused += 1;
-                self.nodes[place].pool.leave(ticket);
+                self.nodes[place].pool.cancel(ticket);
                 return None;
             }
             Stage::Granted(grant) => self.take(place, grant, asked)?,
             Stage::Connecting(server, grant, given) => {
                 if now.since(given) >= Duration::from_millis(750) {
                     // The host was suspended: its connection has timed out.
-                    self.ended(place, &server, End::Nothing);
+                    self.ended(place, &server, AttemptOutcome::Unknown);
                     return None;
                 }
                 self.send(place, server, grant, given)?
             }
             Stage::Sent(server, grant, given, sent) => {
-                let is_drawn = grant.as_ref().is_some_and(|grant| grant.drawn);
-                let mark = grant.map_or(Mark::default(), |grant| grant.mark);
+                let is_drawn = grant.as_ref().is_some_and(|grant| grant.rate_charged);
+                let mark = grant.map_or(GrantId::default(), |grant| grant.id);
                 self.undrawn += u32::from(!is_drawn && self.was_told(place, &server, sent));
                 self.arrive(place, server, mark, given)
             }
             Stage::Answered(server, mark, given, word, end) => {
                 self.hear(place, &server, &word, mark, given);
                 self.ended(place, &server, end);
-                let again = end == End::Failed && tried.len() < 2;
+                let again = end == AttemptOutcome::Failed && tried.len() < 2;
                 if again {
                     let tried = [tried, vec![Arc::clone(&server.incarnation)]].concat();
                     return Some(self.ask(place, tried));
                 }
-                self.served += u32::from(end != End::Failed);
+                self.served += u32::from(end != AttemptOutcome::Failed);
                 return None;
             }
         };
@@ -621,13 +620,15 @@
     fn line_up(&mut self, place: usize, tried: &[Arc<str>]) -> Option<(Stage, Instant)> {
         let now = self.now;
         let node = &self.nodes[place];
-        let want = Want {
+        let want = SlotRequest {
             tried: tried.to_vec(),
             ..messages::want(&node.host)
         };
         // It is sent to whoever leads at the address that answered last.
         let hub = self.hub.as_mut().filter(|_| !node.cut);
-        if let Some(Wanted::Line(ticket, _)) = hub.map(|(_, hub)| hub.want(want, now)) {
+        if let Some(SlotDecision::Queued(ticket, _)) =
+            hub.map(|(_, hub)| hub.request_slot(want, now))
+        {
             return Some((Stage::InLine(ticket), now + HELD));
         }
         self.refused += 1;
@@ -641,9 +642,9 @@
         let looks = self.flaw != Some(Flaw::NoLookAtPlace);
         let server = Arc::new(grant.server.clone());
         let node = &mut self.nodes[place];
-        let is_beyond = !grant.drawn && node.limits.closes(&server, grant.mark);
+        let is_beyond = !grant.rate_charged && node.limits.blocks(&server, grant.id);
         let is_beyond = is_beyond && looks;
-        if is_late || is_beyond || !node.pool.take(&server, Tokens(0), now) {
+        if is_late || is_beyond || !node.pool.accept_grant(&server, Tokens(0), now) {
             self.refused += 1;
             self.report(place);
             return None;
@@ -659,16 +660,16 @@
         given: Instant,
     ) -> Option<(Stage, Instant)> {
         let due = self.now + self.millis(1, 4);
-        let is_drawn = grant.as_ref().is_some_and(|grant| grant.drawn);
-        let mark = grant.as_ref().map_or(Mark::default(), |grant| grant.mark);
-        let is_beyond = !is_drawn && self.nodes[place].limits.closes(&server, mark);
+        let is_drawn = grant.as_ref().is_some_and(|grant| grant.rate_charged);
+        let mark = grant.as_ref().map_or(GrantId::default(), |grant| grant.id);
+        let is_beyond = !is_drawn && self.nodes[place].limits.blocks(&server, mark);
         let looks = !matches!(
             self.flaw,
             Some(Flaw::NoLastLook | Flaw::NoLookAtPlace | Flaw::Alone)
         );
         if is_beyond && looks {
             self.refused += 1;
-            self.ended(place, &server, End::Nothing);
+            self.ended(place, &server, AttemptOutcome::Unknown);
             return None;
         }
         Some((Stage::Sent(server, grant, given, self.now), due))
@@ -687,7 +688,7 @@
         &mut self,
         gateway: usize,
         server: Arc<Server>,
-        mark: Mark,
+        mark: GrantId,
         given: Instant,
     ) -> (Stage, Instant) {
         let now = self.now;
@@ -695,10 +696,10 @@
         let longest = if self.draw(20) == 0 { 6_000 } else { 400 };
         let due = now + self.millis(2, longest);
         let end = if self.draw(10) == 0 {
-            End::Failed
+            AttemptOutcome::Failed
         } else {
-            End::Good {
-                first: Duration::from_millis(50),
+            AttemptOutcome::Answered {
+                first_byte: Duration::from_millis(50),
                 gap: None,
             }
         };
@@ -710,7 +711,7 @@
         self.beyond = self.beyond.max(engine.beyond(now));
         let life = engine.life;
         let Some(limit) = engine.limit else {
-            let said = Said::Nothing;
+            let said = Announcement::NoLimit;
             let word = Word {
                 said,
                 life,
@@ -721,10 +722,10 @@
         self.limited += 1;
         let limit = if engine.changes { other } else { limit };
         let said = match limit.parse() {
-            Ok(rate) => Said::Named(rate),
-            Err(_) => Said::Odd(limit.to_owned()),
+            Ok(rate) => Announcement::Limited(rate),
+            Err(_) => Announcement::Invalid(limit.to_owned()),
         };
-        if let Said::Named(rate) = &said {
+        if let Announcement::Limited(rate) = &said {
             engine.first.get_or_insert(now);
             engine.named.push(Named {
                 at: now,
@@ -746,7 +747,7 @@
         place: usize,
         server: &Arc<Server>,
         word: &Word,
-        mark: Mark,
+        mark: GrantId,
         given: Instant,
     ) {
         let now = self.now;
@@ -754,7 +755,7 @@
         let engine = (0..SERVERS).find(is_its).expect("it is there");
         let engine = &mut self.engines[engine];
         let is_its_own = word.life == engine.life && engine.limit.is_some();
-        if matches!(word.said, Said::Named(_)) && is_its_own {
+        if matches!(word.said, Announcement::Limited(_)) && is_its_own {
             engine.told.entry(place).or_insert(now);
             let said = engine.named.iter_mut().filter(|named| named.at == word.at);
             for named in said {
@@ -763,23 +764,24 @@
         }
         let any_lifts = self.flaw == Some(Flaw::AnyLifts);
         let mark = match self.nodes[place].hub {
-            Some((hub, _)) if any_lifts => Mark {
+            Some((hub, _)) if any_lifts => GrantId {
                 hub,
                 number: u64::MAX,
             },
             _ => mark,
         };
         let node = &mut self.nodes[place];
-        node.limits.hear(server, &word.said, mark, given, now);
-        let key = Key::of(server);
+        node.limits
+            .record_response(server, &word.said, mark, given, now);
+        let key = Key::from_server(server);
         let limit = node.limits.get(&key);
         self.limit(place, vec![Change { key, limit }]);
     }
 
     /// A sending has ended, which is reported.
-    fn ended(&mut self, place: usize, server: &Server, end: End) {
+    fn ended(&mut self, place: usize, server: &Server, end: AttemptOutcome) {
         let pool = &mut self.nodes[place].pool;
-        pool.ended(&server.incarnation, end, self.now);
+        pool.finish_attempt(&server.incarnation, end, self.now);
         self.report(place);
     }
 
@@ -791,7 +793,7 @@
         let node = &self.nodes[place];
         let report = Report {
             loads: node.pool.loads().collect(),
-            limits: node.limits.words(),
+            limit_reports: node.limits.pending_reports(),
             ..messages::report(&node.host)
         };
         if let Some((_, hub)) = &mut self.hub {
--- a/crates/core/tests/support/resting.rs
+++ b/crates/core/tests/support/resting.rs
@@ -5,21 +5,20 @@
 use std::time::Duration;
 
 use curlewlift_core::clock::Instant;
-use curlewlift_core::gateway::Ended;
+use curlewlift_core::gateway::AttemptEnd;
 use curlewlift_core::gateway::Grant;
+use curlewlift_core::gateway::GrantId;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
-use curlewlift_core::gateway::Mark;
 use curlewlift_core::gateway::Report;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::SlotDecision;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::gateway::Ticket;
 use curlewlift_core::gateway::Tuning;
-use curlewlift_core::gateway::Want;
-use curlewlift_core::gateway::Wanted;
 use curlewlift_core::id;
 use curlewlift_core::pool;
-use curlewlift_core::pool::Ask;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::pool::Notice;
 use curlewlift_core::pool::Pool;
 use curlewlift_core::unit::Tokens;
@@ -99,7 +98,7 @@
     host: id::Host,
     pool: Pool,
     /// The last grant that it has got.
-    mark: Mark,
+    mark: GrantId,
     cut: bool,
     /// Until when it is suspended.
     suspended: Instant,
@@ -120,7 +119,7 @@
     /// On its way to the server.
     Sent(Arc<Server>),
     /// On its way back, with what the server says.
-    Answered(Arc<Server>, End, Vec<Notice>),
+    Answered(Arc<Server>, AttemptOutcome, Vec<Notice>),
 }
 
 struct Request {
@@ -139,7 +138,7 @@
     next_hub: Option<Instant>,
     engines: Vec<Engine>,
     /// Past lists, newest last.
-    lists: Vec<(Instant, Arc<Listing>)>,
+    lists: Vec<(Instant, Arc<ServerList>)>,
     /// When the list next changes, where a server has begun to leave.
     listed_at: Option<Instant>,
     requests: Vec<Request>,
@@ -201,7 +200,7 @@
         Node {
             host: format!("g{place}").parse().expect("a name"),
             pool: Pool::new(pool::Tuning::default(), place as u64),
-            mark: Mark::default(),
+            mark: GrantId::default(),
             cut: false,
             suspended: self.now,
             next_copy: self.now,
@@ -213,7 +212,7 @@
         Server {
             incarnation: format!("s{place}/{}", engine.life).into(),
             name: format!("s{place}").into(),
-            born: engine.life,
+            started_ms: engine.life,
             version: "v1".parse().expect("a version"),
             service: "chat".parse().expect("a name"),
             address: "127.0.0.1:1".parse().expect("an address"),
@@ -224,13 +223,13 @@
         }
     }
 
-    fn listing(&self) -> Arc<Listing> {
+    fn listing(&self) -> Arc<ServerList> {
         let servers = (0..SERVERS).map(|place| self.server(place));
-        Arc::new(Listing::new(servers.collect()))
+        Arc::new(ServerList::new(servers.collect()))
     }
 
     /// A copy of the list as it was some time ago.
-    fn copy(&mut self) -> Arc<Listing> {
+    fn copy(&mut self) -> Arc<ServerList> {
         let lag = self.millis(0, LAG);
         let at = self.now - lag;
         let mut copies = self.lists.iter().rev();
@@ -243,8 +242,8 @@
 
     fn begin_hub(&mut self) {
         let number = self.random.next_u64();
-        let mut hub = Hub::new(Tuning::default(), self.now).drawn(number);
-        hub.list(self.copy());
+        let mut hub = Hub::new(Tuning::default(), self.now).with_id(number);
+        hub.set_server_list(self.copy());
         self.hub = Some(hub);
     }
 
@@ -261,8 +260,8 @@
         if forgets {
             node.pool = fresh.pool;
         }
-        node.pool.meet(&servers, self.now);
-        node.pool.adopt(servers);
+        node.pool.inherit_notices(&servers, self.now);
+        node.pool.update_servers(servers);
     }
 
     /// The platform's list changes.
@@ -382,7 +381,7 @@
         if self.draw(50) == 0 {
             let copy = self.copy();
             if let Some(hub) = &mut self.hub {
-                hub.list(copy);
+                hub.set_server_list(copy);
             }
         }
     }
@@ -400,18 +399,18 @@
         let hears = self.hears(place);
         let node = &mut self.nodes[place];
         let stage = match &mut self.hub {
-            Some(hub) if hears => match hub.want(want(node, now), now) {
-                Wanted::Line(ticket, _) => Stage::InLine(ticket),
+            Some(hub) if hears => match hub.request_slot(want(node, now), now) {
+                SlotDecision::Queued(ticket, _) => Stage::InLine(ticket),
                 _ => return,
             },
             _ => {
-                let ask = Ask {
+                let ask = pool::Request {
                     arrived: now,
-                    wanted: now + HELD,
-                    until: now + HELD,
-                    ..Ask::default()
+                    send_by: now + HELD,
+                    wait_until: now + HELD,
+                    ..pool::Request::default()
                 };
-                Stage::InLineHere(node.pool.ask(ask, now).0)
+                Stage::InLineHere(node.pool.enqueue(ask, now).0)
             }
         };
         self.requests.push(Request {
@@ -425,7 +424,7 @@
     /// Hub and gateways give places.
     fn serve(&mut self) {
         let now = self.now;
-        let grants = self.hub.as_mut().map(|hub| hub.serve(now));
+        let grants = self.hub.as_mut().map(|hub| hub.grant_slots(now));
         for (ticket, grant) in grants.into_iter().flatten() {
             let due = now + self.millis(2, 60);
             let is_its = |request: &&mut Request| matches!(&request.stage, Stage::InLine(own) if *own == ticket);
@@ -438,7 +437,7 @@
             if now < self.nodes[place].suspended {
                 continue;
             }
-            for turn in self.nodes[place].pool.serve(now) {
+            for turn in self.nodes[place].pool.assign(now) {
                 let due = now + self.connecting();
                 let is_its = |request: &&mut Request| {
                     let own =
@@ -474,20 +473,20 @@
             Stage::InLine(ticket) => {
                 self.refused += 1;
                 if let Some(hub) = &mut self.hub {
-                    hub.leave(&ticket, now);
+                    hub.cancel(&ticket, now);
                 }
                 return None;
             }
             Stage::InLineHere(ticket) => {
                 self.refused += 1;
-                self.nodes[place].pool.leave(ticket);
+                self.nodes[place].pool.cancel(ticket);
                 return None;
             }
             Stage::Granted(grant) => self.take(place, grant)?,
             Stage::Connecting(server) => self.send(place, server)?,
             Stage::Sent(server) => self.arrive(place, request.began, server),
             Stage::Answered(server, end, notices) => {
-                if matches!(end, End::Good { .. }) {
+                if matches!(end, AttemptOutcome::Answered { .. }) {
                     self.served += 1;
                     self.taken += now.since(request.began);
                 }
@@ -503,11 +502,11 @@
         let server = Arc::new(grant.server);
         let looks = self.flaw != Some(Flaw::NoLookAtPlace);
         let node = &mut self.nodes[place];
-        if grant.mark.follows(node.mark) {
-            node.mark = grant.mark;
+        if grant.id.follows(node.mark) {
+            node.mark = grant.id;
         }
-        if !node.pool.take(&server, Tokens(0), now) && looks {
-            self.report(place, &server, End::Nothing);
+        if !node.pool.accept_grant(&server, Tokens(0), now) && looks {
+            self.report(place, &server, AttemptOutcome::Unknown);
             return None;
         }
         Some((Stage::Connecting(server), due))
@@ -518,11 +517,13 @@
         let closes = self.nodes[place]
             .pool
             .get_notices()
-            .closes(&server.incarnation, now);
+            .excludes(&server.incarnation, now);
         if closes && self.flaw.is_none() {
-            self.nodes[place]
-                .pool
-                .ended(&server.incarnation, End::Nothing, now);
+            self.nodes[place].pool.finish_attempt(
+                &server.incarnation,
+                AttemptOutcome::Unknown,
+                now,
+            );
             return None;
         }
         Some((Stage::Sent(server), due))
@@ -548,12 +549,12 @@
         }
         let mut notices = Vec::new();
         if engine.leaves {
-            notices.push(Notice::Leaves);
+            notices.push(Notice::Draining);
         }
         let asks_for = engine.asks_for.filter(|_| lot < engine.turns_away);
         let Some(asks_for) = asks_for else {
-            let end = End::Good {
-                first: Duration::from_millis(50),
+            let end = AttemptOutcome::Answered {
+                first_byte: Duration::from_millis(50),
                 gap: None,
             };
             return (Stage::Answered(server, end, notices), due);
@@ -567,15 +568,21 @@
             until: now + length,
             came: 0,
         });
-        notices.push(Notice::Rest(length));
-        (Stage::Answered(server, End::Full, notices), due)
+        notices.push(Notice::Backoff(length));
+        (Stage::Answered(server, AttemptOutcome::Full, notices), due)
     }
 
     /// A gateway hears an answer.
-    fn hear(&mut self, place: usize, server: &Arc<Server>, end: End, notices: Vec<Notice>) {
+    fn hear(
+        &mut self,
+        place: usize,
+        server: &Arc<Server>,
+        end: AttemptOutcome,
+        notices: Vec<Notice>,
+    ) {
         let now = self.now;
         for notice in notices {
-            if notice == Notice::Leaves {
+            if notice == Notice::Draining {
                 let is_its = |place: &usize| *server.name == format!("s{place}");
                 let engine = (0..SERVERS).find(is_its).expect("it is there");
                 let engine = &mut self.engines[engine];
@@ -584,32 +591,34 @@
                 }
             }
             let told = match &notice {
-                Notice::Rest(length) => End::Rests(*length),
-                _ => End::Gone,
+                Notice::Backoff(length) => AttemptOutcome::Backoff(*length),
+                _ => AttemptOutcome::Gone,
             };
-            self.nodes[place].pool.notice(server, notice, now);
+            self.nodes[place].pool.record_notice(server, notice, now);
             self.report(place, server, told);
         }
-        self.nodes[place].pool.ended(&server.incarnation, end, now);
+        self.nodes[place]
+            .pool
+            .finish_attempt(&server.incarnation, end, now);
         self.report(place, server, end);
     }
 
     /// A gateway tells the hub how a sending ended, where that gets there.
-    fn report(&mut self, place: usize, server: &Server, end: End) {
+    fn report(&mut self, place: usize, server: &Server, end: AttemptOutcome) {
         if !self.hears(place) || self.draw(4) == 0 {
             return;
         }
         let node = &self.nodes[place];
-        let ended = Ended {
+        let ended = AttemptEnd {
             service: server.service.clone(),
             incarnation: Arc::clone(&server.incarnation),
-            watched: None,
-            end,
+            rollout: None,
+            outcome: end,
         };
         let report = Report {
-            mark: node.mark,
+            last_grant: node.mark,
             loads: node.pool.loads().collect(),
-            ends: vec![ended],
+            ended: vec![ended],
             ..messages::report(&node.host)
         };
         if let Some(hub) = &mut self.hub {
@@ -618,11 +627,11 @@
     }
 }
 
-fn want(node: &Node, now: Instant) -> Want {
-    Want {
+fn want(node: &Node, now: Instant) -> SlotRequest {
+    SlotRequest {
         avoid: node.pool.avoided(&[], now).collect(),
-        rests: node.pool.get_notices().resting(now).collect(),
-        halls: None,
+        backing_off: node.pool.get_notices().backing_off(now).collect(),
+        allowed_halls: None,
         ..messages::want(&node.host)
     }
 }
--- a/crates/curlewlift/src/control/evacuations.rs
+++ b/crates/curlewlift/src/control/evacuations.rs
@@ -36,7 +36,7 @@
     let wait = {
         let mut state = state.borrow_mut();
         // Leading surely and settled, what is applied here is what is committed.
-        if state.machine.get_evacuated_halls().reflects(&order) {
+        if state.machine.get_evacuated_halls().is_applied(&order) {
             return Ok(());
         }
         state.outlives_losses()?;
@@ -64,7 +64,7 @@
             return;
         };
         let evacuated = self.machine.get_evacuated_halls();
-        hub.adopt_evacuated(evacuated);
+        hub.apply_evacuations(evacuated);
         #[allow(clippy::cast_precision_loss)]
         metrics::gauge!("curlewlift_halls_evacuated").set(evacuated.iter().count() as f64);
         self.news.notify_waiters();
--- a/crates/curlewlift/src/gateway/node.rs
+++ b/crates/curlewlift/src/gateway/node.rs
@@ -12,19 +12,19 @@
 use curlewlift_core::clock;
 use curlewlift_core::event::Kind;
 use curlewlift_core::gateway;
-use curlewlift_core::gateway::Ended;
-use curlewlift_core::gateway::Holding;
-use curlewlift_core::gateway::Mark;
-use curlewlift_core::gateway::Roll;
+use curlewlift_core::gateway::AttemptEnd;
+use curlewlift_core::gateway::GrantId;
+use curlewlift_core::gateway::Membership;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerListCache;
 use curlewlift_core::id;
 use curlewlift_core::limit;
-use curlewlift_core::pool::Allowed;
-use curlewlift_core::pool::Lead;
+use curlewlift_core::pool::FirstByteTime;
+use curlewlift_core::pool::RetryAllowance;
 use curlewlift_core::quarantine;
 use curlewlift_core::quota::Charge;
-use curlewlift_core::quota::Part;
-use curlewlift_core::quota::Reserve;
+use curlewlift_core::quota::LocalLimiter;
+use curlewlift_core::quota::Share;
 use curlewlift_core::quota::Tolerance;
 use curlewlift_core::rollout::Policy;
 use curlewlift_core::route::Regions;
@@ -60,7 +60,7 @@
     /// When it last gave no word on a place in time.
     pub(super) doubted: Option<clock::Instant>,
     /// The last grant of a place that has come.
-    pub(super) mark: Mark,
+    pub(super) mark: GrantId,
     /// How long this gateway's next question may wait there.
     pub(super) wait: Duration,
     /// The number of its last answer.
@@ -82,7 +82,7 @@
     /// How heads are read and written.
     pub(super) dialect: Dialect,
     /// How many sendings past the first are allowed.
-    pub(super) allowed: Allowed,
+    pub(super) allowed: RetryAllowance,
     pub(super) clock: Clock,
     /// Which region each data hall is in.
     pub(super) regions: Regions,
@@ -95,23 +95,23 @@
     /// What the table names as services.
     pub(super) services: RefCell<BTreeMap<id::Service, Service>>,
     /// What it holds of the list of backend servers.
-    pub(super) holding: RefCell<Holding>,
+    pub(super) holding: RefCell<ServerListCache>,
     /// The versions of servers that it may send to by its own choice, by the last word of the hub.
     pub(super) policy: RefCell<Policy>,
     /// The gateways that live, by the last word of the hub.
-    pub(super) roll: RefCell<Roll>,
+    pub(super) roll: RefCell<Membership>,
     /// How long answers take to begin, by rule.
-    pub(super) leads: RefCell<BTreeMap<Arc<str>, Lead>>,
+    pub(super) leads: RefCell<BTreeMap<Arc<str>, FirstByteTime>>,
     /// What customers may still ask for where the hub gives no word.
-    pub(super) reserve: RefCell<Reserve>,
+    pub(super) reserve: RefCell<LocalLimiter>,
     /// Who else may let their requests in then.
     pub(super) deputies: RefCell<Deputies>,
     /// What it knows of requests under which servers end.
-    pub(super) quarantine: RefCell<quarantine::Local>,
+    pub(super) quarantine: RefCell<quarantine::LocalTracker>,
     /// What it knows of limits that servers name.
-    pub(super) limits: RefCell<limit::Local>,
+    pub(super) limits: RefCell<limit::LocalReports>,
     /// The part of the sendings past the first that this gateway may do by itself.
-    pub(super) part: RefCell<Part>,
+    pub(super) part: RefCell<Share>,
     /// The hosts that are known to keep a control replica.
     pub(super) known: Known,
     /// What is known of the hub.
@@ -121,7 +121,7 @@
     /// Whether callers that still come are turned away.
     pub(super) closed: Cell<bool>,
     /// Sendings that have ended and that the hub was not told of.
-    pub(super) ends: RefCell<Vec<Ended>>,
+    pub(super) ends: RefCell<Vec<AttemptEnd>>,
     /// Wakes the report to the hub where an answer begins or a sending has ended.
     pub(super) reports: Notify,
     /// Requests that are open.
@@ -136,10 +136,10 @@
 
 impl Node {
     pub(super) fn new(
-        holding: Holding,
+        holding: ServerListCache,
         gateway: gateway::Gateway,
         dialect: Dialect,
-        allowed: Allowed,
+        allowed: RetryAllowance,
         tolerance: Tolerance,
         known: Known,
         rpc: rpc::Client,
@@ -159,10 +159,10 @@
             policy: RefCell::default(),
             roll: RefCell::default(),
             leads: RefCell::default(),
-            reserve: RefCell::new(Reserve::new(tolerance)),
+            reserve: RefCell::new(LocalLimiter::new(tolerance)),
             deputies: RefCell::default(),
             quarantine: RefCell::default(),
-            limits: RefCell::new(limit::Local::new(rand::rng().next_u64())),
+            limits: RefCell::new(limit::LocalReports::new(rand::rng().next_u64())),
             part: RefCell::default(),
             known,
             hub: RefCell::default(),
@@ -258,12 +258,12 @@
     /// Whether a request is let in by the word of this gateway alone; if so it is counted.
     pub(super) fn draw(&self, charge: &Charge) -> bool {
         let table = self.table();
-        let mut accounts = table.iter().flat_map(|table| table.accounts());
+        let mut accounts = table.iter().flat_map(|table| table.customers());
         let Some(account) = accounts.find(|account| account.name == charge.customer) else {
             return false;
         };
         let mut reserve = self.reserve.borrow_mut();
-        reserve.draw(charge, &account.allowance, self.now())
+        reserve.acquire(charge, &account.quota, self.now())
     }
 
     /// The number of the table in force here; 0 before the first one has come.
@@ -282,7 +282,9 @@
     /// How long answers to requests of a rule take to begin, once they are sent.
     pub(super) fn lead(&self, rule: &str) -> Duration {
         let leads = self.leads.borrow();
-        leads.get(rule).map_or(Duration::ZERO, Lead::get)
+        leads
+            .get(rule)
+            .map_or(Duration::ZERO, FirstByteTime::estimate)
     }
 
     /// Takes note that an answer to a request of `rule` began `first` after it was sent.
@@ -319,9 +321,9 @@
     }
 
     /// Takes up what is new of the gateways that live.
-    pub(super) fn adopt_roll(&self, news: gateway::News) {
+    pub(super) fn adopt_roll(&self, news: gateway::MembershipUpdate) {
         let mut roll = self.roll.borrow_mut();
-        match roll.after(news) {
+        match roll.apply(news) {
             Some(after) => *roll = after,
             // The news are about another roll: the whole one comes with the next answer.
             None => roll.version = 0,
@@ -335,7 +337,7 @@
     }
 
     /// Takes up a list of backend servers, as `take` does it.
-    pub(super) fn adopt_list(&self, take: impl FnOnce(&mut Holding)) {
+    pub(super) fn adopt_list(&self, take: impl FnOnce(&mut ServerListCache)) {
         let mut holding = self.holding.borrow_mut();
         let former = holding.get_subset().version;
         take(&mut holding);
--- a/crates/curlewlift/src/gateway/place.rs
+++ b/crates/curlewlift/src/gateway/place.rs
@@ -7,14 +7,14 @@
 use curlewlift_core::clock::Instant;
 use curlewlift_core::event::Kind;
 use curlewlift_core::gateway::Grant;
-use curlewlift_core::gateway::Mark;
+use curlewlift_core::gateway::GrantId;
+use curlewlift_core::gateway::RolloutTag;
 use curlewlift_core::gateway::Server;
-use curlewlift_core::gateway::Watched;
 use curlewlift_core::id;
+use curlewlift_core::limit::Announcement;
 use curlewlift_core::limit::Change;
 use curlewlift_core::limit::Key;
-use curlewlift_core::limit::Said;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::pool::Notice;
 use curlewlift_core::quarantine::Identity;
 use curlewlift_core::unit::Tokens;
@@ -30,7 +30,7 @@
     node: Rc<Node>,
     service: id::Service,
     /// For the roll-out that was under way when it was given.
-    watched: Option<Watched>,
+    watched: Option<RolloutTag>,
     pub(super) server: Arc<Server>,
     /// The hub's grant, which drew what the request counts; none where this gateway chose.
     grant: Option<Grant>,
@@ -44,7 +44,7 @@
     whole: bool,
     /// The prompt that the server has not read yet.
     unread: Option<Tokens>,
-    end: End,
+    end: AttemptOutcome,
 }
 
 impl Place {
@@ -66,7 +66,7 @@
             broke: false,
             whole: false,
             unread: Some(prompt),
-            end: End::Nothing,
+            end: AttemptOutcome::Unknown,
         }
     }
 
@@ -83,13 +83,15 @@
 
     /// Whether a further sending was drawn with it at the hub.
     pub(super) fn is_retry(&self) -> bool {
-        self.grant.as_ref().is_some_and(|grant| grant.retry)
+        self.grant
+            .as_ref()
+            .is_some_and(|grant| grant.includes_retry)
     }
 
     /// Which grant the hub gave it by.
-    fn mark(&self) -> Mark {
+    fn mark(&self) -> GrantId {
         let grant = self.grant.as_ref();
-        grant.map_or(Mark::default(), |grant| grant.mark)
+        grant.map_or(GrantId::default(), |grant| grant.id)
     }
 
     /// The number of the permit that the request is sent by, where it needs one.
@@ -99,7 +101,7 @@
 
     /// The server broke off, and may have begun the request.
     pub(super) fn broke(&mut self) {
-        self.end = End::Broken;
+        self.end = AttemptOutcome::Broken;
         self.broke = true;
     }
 
@@ -120,11 +122,11 @@
                 .with("permit", self.permit())
                 .write();
             metrics::counter!("curlewlift_servers_ended").increment(1);
-            quarantine.ended(identity, self.permit(), server, now);
+            quarantine.record_crash(identity, self.permit(), server, now);
         } else if self.whole {
-            quarantine.answered(identity, self.permit(), now);
+            quarantine.record_completion(identity, self.permit(), now);
         } else if let Some(permit) = self.permit() {
-            quarantine.gave_back(identity, permit, now);
+            quarantine.record_inconclusive(identity, permit, now);
         }
     }
 
@@ -137,22 +139,22 @@
     }
 
     /// How it ended, told when it is given back.
-    pub(super) fn end(&mut self, end: End) {
+    pub(super) fn end(&mut self, end: AttemptOutcome) {
         self.end = end;
     }
 
     /// The server answered to the end; what that says of the server is told when it is given back.
-    pub(super) fn whole(&mut self, end: End) {
+    pub(super) fn whole(&mut self, end: AttemptOutcome) {
         self.end = end;
         self.whole = true;
     }
 
     /// Something that is seen while the request runs.
-    pub(super) fn seen(&self, end: End) {
+    pub(super) fn seen(&self, end: AttemptOutcome) {
         let now = self.node.now();
         let incarnation = &self.server.incarnation;
         self.node.with_service(&self.service, |service| {
-            service.pool.seen(incarnation, end, now);
+            service.pool.observe(incarnation, end, now);
         });
     }
 
@@ -160,8 +162,11 @@
     pub(super) fn heard(&self, notices: &[Notice]) {
         let now = self.node.now();
         for notice in notices {
-            let take =
-                |service: &mut Service| service.pool.notice(&self.server, notice.clone(), now);
+            let take = |service: &mut Service| {
+                service
+                    .pool
+                    .record_notice(&self.server, notice.clone(), now)
+            };
             let Some(Some(news)) = self.node.with_service(&self.service, take) else {
                 continue;
             };
@@ -171,13 +176,13 @@
     }
 
     /// What the head of an answer said of the server's limit.
-    pub(super) fn limited(&self, said: &Said) {
+    pub(super) fn limited(&self, said: &Announcement) {
         let now = self.node.now();
         let mut limits = self.node.limits.borrow_mut();
-        let news = limits.hear(&self.server, said, self.mark(), self.given, now);
+        let news = limits.record_response(&self.server, said, self.mark(), self.given, now);
         let change = Change {
-            key: Key::of(&self.server),
-            limit: limits.get(&Key::of(&self.server)),
+            key: Key::from_server(&self.server),
+            limit: limits.get(&Key::from_server(&self.server)),
         };
         drop(limits);
         self.node.limit(std::iter::once(change));
@@ -188,20 +193,20 @@
     }
 
     /// What is known here of the server's limit.
-    pub(super) fn get_limit(&self) -> Said {
+    pub(super) fn get_limit(&self) -> Announcement {
         let rate = self.node.limits.borrow().rate(&self.server);
-        rate.map_or(Said::Nothing, Said::Named)
+        rate.map_or(Announcement::NoLimit, Announcement::Limited)
     }
 
     /// Writes what is new of what the server said of itself.
     fn log_notice(&self, notice: &Notice, news: &Notice) {
         let kind = match notice {
-            Notice::Leaves => Kind::ServerLeaves,
-            Notice::Rest(_) | Notice::Unreadable(_) => Kind::ServerRests,
+            Notice::Draining => Kind::ServerLeaves,
+            Notice::Backoff(_) | Notice::Unreadable(_) => Kind::ServerRests,
         };
         let line = Line::new(kind).with("server", &*self.server.incarnation);
         let line = match (notice, news) {
-            (Notice::Rest(asked), Notice::Rest(longer)) => {
+            (Notice::Backoff(asked), Notice::Backoff(longer)) => {
                 // What it costs: the time that its slots are not to be had from here.
                 let slots = u64::from(self.server.slots);
                 let cost = millis(*longer).saturating_mul(slots);
@@ -218,17 +223,17 @@
     /// Whether the server has told this host that it wants no request, or a limit that this place was not drawn from, or
     /// its data hall is evacuated.
     pub(super) fn is_closed(&self) -> bool {
-        if self.node.policy.borrow().closes(&self.server.hall) {
+        if self.node.policy.borrow().is_evacuated(&self.server.hall) {
             return true;
         }
-        let is_drawn = self.grant.as_ref().is_some_and(|grant| grant.drawn);
+        let is_drawn = self.grant.as_ref().is_some_and(|grant| grant.rate_charged);
         let limits = self.node.limits.borrow();
-        if !is_drawn && limits.closes(&self.server, self.mark()) {
+        if !is_drawn && limits.blocks(&self.server, self.mark()) {
             return true;
         }
         let now = self.node.now();
         let incarnation = &self.server.incarnation;
-        let closes = |service: &mut Service| service.pool.get_notices().closes(incarnation, now);
+        let closes = |service: &mut Service| service.pool.get_notices().excludes(incarnation, now);
         self.node.with_service(&self.service, closes) == Some(true)
     }
 
@@ -237,7 +242,7 @@
         let now = self.node.now();
         let incarnation = &self.server.incarnation;
         let left = self.node.with_service(&self.service, |service| {
-            service.pool.left_alone(incarnation, now)
+            service.pool.avoid_for(incarnation, now)
         });
         left.unwrap_or_default()
     }
@@ -246,7 +251,7 @@
     pub(super) fn told(&self, in_flight: u32) {
         let incarnation = &self.server.incarnation;
         self.node.with_service(&self.service, |service| {
-            service.pool.told(incarnation, in_flight);
+            service.pool.update_load(incarnation, in_flight);
         });
     }
 }
@@ -264,10 +269,10 @@
 }
 
 /// Adds to a line what a server said of its limit.
-pub(super) fn log_limit(line: Line, said: &Said) -> Line {
+pub(super) fn log_limit(line: Line, said: &Announcement) -> Line {
     match said {
-        Said::Nothing => line.with("limit", None::<f64>),
-        Said::Named(rate) => line.with("limit", rate.as_f64()),
-        Said::Odd(odd) => line.with("odd", odd.as_str()),
+        Announcement::NoLimit => line.with("limit", None::<f64>),
+        Announcement::Limited(rate) => line.with("limit", rate.as_f64()),
+        Announcement::Invalid(odd) => line.with("odd", odd.as_str()),
     }
 }
--- a/crates/curlewlift/src/gateway/places.rs
+++ b/crates/curlewlift/src/gateway/places.rs
@@ -7,18 +7,18 @@
 
 use curlewlift_core::code::Refusal;
 use curlewlift_core::event::Kind;
-use curlewlift_core::gateway::Ended;
+use curlewlift_core::gateway::AttemptEnd;
 use curlewlift_core::gateway::Grant;
 use curlewlift_core::gateway::Report;
+use curlewlift_core::gateway::RolloutTag;
 use curlewlift_core::gateway::Server;
-use curlewlift_core::gateway::Want;
-use curlewlift_core::gateway::Watched;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::id;
-use curlewlift_core::pool::Ask;
-use curlewlift_core::pool::End;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::pool::Notice;
+use curlewlift_core::pool::Request;
 use curlewlift_core::quarantine::Identity;
-use curlewlift_core::quarantine::Withheld;
+use curlewlift_core::quarantine::Rejection;
 use curlewlift_core::quota::Charge;
 use curlewlift_core::unit::Tokens;
 
@@ -68,7 +68,7 @@
     /// Its customer has used up its allowance; there is enough after this time.
     Beyond(Duration),
     /// Servers ended under such a request.
-    Withheld(Withheld),
+    Withheld(Rejection),
     /// It was sent before, and no further sending is left.
     NoRetry,
     /// A place at a server that has told this host that it wants no request, or a limit that the hub did not know of;
@@ -82,7 +82,7 @@
 pub(super) async fn ask(
     node: &Node,
     wanted: Wanted<'_>,
-    ask: &Ask,
+    ask: &Request,
     charge: Option<&Charge>,
     patience: Duration,
 ) -> Word {
@@ -143,43 +143,43 @@
     fn want(
         &self,
         wanted: Wanted<'_>,
-        ask: &Ask,
+        ask: &Request,
         charge: Option<&Charge>,
         patience: Duration,
-    ) -> Want {
+    ) -> SlotRequest {
         let now = self.now();
         let service = wanted.service;
-        let watched = self.policy.borrow().watched(service).is_some();
+        let watched = self.policy.borrow().rollout_target(service).is_some();
         let avoid = self.with_service(service, |service| {
             let avoided = service.pool.avoided(&ask.tried, now);
             avoided.collect()
         });
         let rests = self.with_service(service, |service| {
-            service.pool.get_notices().resting(now).collect()
+            service.pool.get_notices().backing_off(now).collect()
         });
-        Want {
+        SlotRequest {
             host: self.host.clone(),
             hall: Arc::clone(&self.gateway.hall),
             service: service.clone(),
             rule: watched.then(|| Arc::clone(wanted.rule)),
             rank: ask.rank,
             waited: now.since(ask.arrived),
-            wanted: ask.wanted.since(now),
-            patience,
-            left: wanted.left,
+            useful_for: ask.send_by.since(now),
+            wait_limit: patience,
+            time_left: wanted.left,
             identity: wanted.identity.clone(),
-            observed: self
+            observations: self
                 .quarantine
                 .borrow()
                 .get_evidence()
-                .untold_of(wanted.identity),
+                .unacknowledged_for(wanted.identity),
             prompt: ask.prompt,
             charge: charge.cloned(),
-            retry: wanted.retry,
+            needs_retry: wanted.retry,
             tried: ask.tried.clone(),
             avoid: avoid.unwrap_or_default(),
-            rests: rests.unwrap_or_default(),
-            halls: ask.halls.clone(),
+            backing_off: rests.unwrap_or_default(),
+            allowed_halls: ask.allowed_halls.clone(),
         }
     }
 
@@ -187,8 +187,8 @@
     fn take(&self, wanted: Wanted<'_>, grant: Grant, prompt: Tokens, is_late: bool) -> Word {
         let service = wanted.service;
         let mut hub = self.hub.borrow_mut();
-        if grant.mark.follows(hub.mark) {
-            hub.mark = grant.mark;
+        if grant.id.follows(hub.mark) {
+            hub.mark = grant.id;
         }
         drop(hub);
         let server = Arc::new(grant.server.clone());
@@ -196,13 +196,13 @@
         let met = self
             .limits
             .borrow_mut()
-            .meet(std::iter::once(&*server), now);
+            .observe_servers(std::iter::once(&*server), now);
         self.limit(met.into_iter());
-        let is_beyond = !grant.drawn && self.limits.borrow().closes(&server, grant.mark);
-        let is_evacuated = self.policy.borrow().closes(&server.hall);
+        let is_beyond = !grant.rate_charged && self.limits.borrow().blocks(&server, grant.id);
+        let is_evacuated = self.policy.borrow().is_evacuated(&server.hall);
         let is_closed = is_beyond || is_evacuated;
         let take = |service: &mut Service| {
-            !is_late && !is_closed && service.pool.take(&server, prompt, now)
+            !is_late && !is_closed && service.pool.accept_grant(&server, prompt, now)
         };
         if self.with_service(service, take) == Some(true) {
             return Word::Place(grant);
@@ -210,9 +210,9 @@
         if let Some(permit) = grant.permit {
             let identity = wanted.identity.clone();
             let mut quarantine = self.quarantine.borrow_mut();
-            quarantine.gave_back(identity, permit, now);
+            quarantine.record_inconclusive(identity, permit, now);
         }
-        self.tell(service, &server.incarnation, End::Nothing, None);
+        self.tell(service, &server.incarnation, AttemptOutcome::Unknown, None);
         if (self.tell_word(service, &server) || is_closed) && !is_late {
             return Word::Closed(grant.server);
         }
@@ -223,10 +223,10 @@
     pub(super) fn tell_word(&self, service: &id::Service, server: &Server) -> bool {
         let now = self.now();
         let incarnation = &server.incarnation;
-        let word = |service: &mut Service| service.pool.get_notices().word(incarnation, now);
+        let word = |service: &mut Service| service.pool.get_notices().active(incarnation, now);
         let end = match self.with_service(service, word).flatten() {
-            Some(Notice::Leaves) => End::Gone,
-            Some(Notice::Rest(left)) => End::Rests(left),
+            Some(Notice::Draining) => AttemptOutcome::Gone,
+            Some(Notice::Backoff(left)) => AttemptOutcome::Backoff(left),
             Some(Notice::Unreadable(_)) | None => return false,
         };
         self.tell(service, incarnation, end, None);
@@ -245,10 +245,10 @@
     }
 
     /// What is to be told of a sending that begins now, for a roll-out under way.
-    pub(super) fn watched(&self, wanted: Wanted<'_>) -> Option<Watched> {
+    pub(super) fn watched(&self, wanted: Wanted<'_>) -> Option<RolloutTag> {
         let policy = self.policy.borrow();
-        let target = policy.watched(wanted.service)?;
-        Some(Watched {
+        let target = policy.rollout_target(wanted.service)?;
+        Some(RolloutTag {
             rule: Arc::clone(wanted.rule),
             target: target.clone(),
         })
@@ -259,14 +259,14 @@
         &self,
         service: &id::Service,
         incarnation: &str,
-        end: End,
-        watched: Option<Watched>,
+        end: AttemptOutcome,
+        watched: Option<RolloutTag>,
     ) {
-        self.ends.borrow_mut().push(Ended {
+        self.ends.borrow_mut().push(AttemptEnd {
             service: service.clone(),
             incarnation: incarnation.into(),
-            watched,
-            end,
+            rollout: watched,
+            outcome: end,
         });
         self.reports.notify_one();
     }
@@ -283,11 +283,11 @@
         };
         let report = Report {
             host: node.host.clone(),
-            mark: node.hub.borrow().mark,
+            last_grant: node.hub.borrow().mark,
             loads: node.loads(),
-            ends,
-            observed: node.quarantine.borrow().get_evidence().untold().0,
-            limits: node.limits.borrow().words(),
+            ended: ends,
+            observations: node.quarantine.borrow().get_evidence().unacknowledged().0,
+            limit_reports: node.limits.borrow().pending_reports(),
         };
         let call = RenewCall::Hub(HubCall::Tell(report));
         let told: Result<HubReply, Refusal> =
--- a/crates/curlewlift/src/gateway/sync.rs
+++ b/crates/curlewlift/src/gateway/sync.rs
@@ -7,9 +7,9 @@
 use curlewlift_core::clock;
 use curlewlift_core::code::Refusal;
 use curlewlift_core::event::Kind;
-use curlewlift_core::gateway::Question;
+use curlewlift_core::gateway::LeaderSearch;
+use curlewlift_core::gateway::Poll;
 use curlewlift_core::gateway::Reply;
-use curlewlift_core::gateway::Search;
 use rand::RngExt;
 
 use crate::rpc::HubCall;
@@ -43,7 +43,7 @@
     let began = node.now();
     let mut place = 0;
     let mut known = None;
-    let mut search = Search::default();
+    let mut search = LeaderSearch::default();
     loop {
         let asked = once(&node, &around, &mut place).await;
         let hears = hears(&node, began);
@@ -64,7 +64,7 @@
 }
 
 /// The pause before the next replica is asked.
-fn next(node: &Node, search: Search) -> Duration {
+fn next(node: &Node, search: LeaderSearch) -> Duration {
     if node.hub.borrow().leader.is_some() {
         return NEXT;
     }
@@ -105,8 +105,8 @@
     let asked = node.now();
     let most = CALL + node.hub.borrow().wait.max(WAIT);
     let question = question(node);
-    let (_, told) = node.quarantine.borrow().get_evidence().untold();
-    let told_limits = node.limits.borrow().get_last();
+    let (_, told) = node.quarantine.borrow().get_evidence().unacknowledged();
+    let told_limits = node.limits.borrow().get_last_number();
     let call = RenewCall::Hub(HubCall::Ask(Box::new(question)));
     let reply: Result<HubReply, Refusal> = node.rpc.call(address, Method::Renew, &call, most).await;
     match reply {
@@ -115,9 +115,10 @@
             Err(format!("the answer of {address} came too late"))
         }
         Ok(HubReply::News(reply)) => {
-            node.quarantine.borrow_mut().heard(reply.hub, told);
+            node.quarantine.borrow_mut().acknowledge(reply.hub_id, told);
             let mut limits = node.limits.borrow_mut();
-            let changes = limits.heard(reply.hub, told_limits, reply.limits.as_ref(), node.now());
+            let changes =
+                limits.apply_reply(reply.hub_id, told_limits, reply.limits.as_ref(), node.now());
             drop(limits);
             node.limit(changes.into_iter());
             take(node, around, address, asked, *reply);
@@ -165,30 +166,30 @@
     all.get(place % all.len().max(1)).copied()
 }
 
-fn question(node: &Node) -> Question {
+fn question(node: &Node) -> Poll {
     let hub = node.hub.borrow();
     let holding = node.holding.borrow();
     let quarantine = node.quarantine.borrow();
     let limits = node.limits.borrow();
     let fetched = holding.for_hub(hub.listing).filter(|_| hub.fetches);
-    Question {
+    Poll {
         host: node.host.clone(),
         gateway: node.gateway.clone(),
         ready: node.is_ready(),
-        table: node.newest_table(),
-        whole: holding.keeps_whole(),
-        listing: holding.get_version(),
-        roll: node.roll.borrow().version,
-        deputies: node.deputies.borrow().version,
-        policy: node.policy.borrow().version,
-        mark: hub.mark,
+        known_table: node.newest_table(),
+        wants_whole_list: holding.keeps_whole(),
+        server_list_version: holding.get_version(),
+        membership_version: node.roll.borrow().version,
+        standbys_version: node.deputies.borrow().version,
+        policy_version: node.policy.borrow().version,
+        last_grant: hub.mark,
         loads: node.loads(),
-        got: hub.got,
-        quarantine: quarantine.get_version(),
-        observed: quarantine.get_evidence().untold().0,
-        limits: limits.words(),
-        limits_held: limits.get_held(),
-        fetched: fetched.cloned(),
+        last_reply: hub.got,
+        quarantine_version: quarantine.get_version(),
+        observations: quarantine.get_evidence().unacknowledged().0,
+        limit_reports: limits.pending_reports(),
+        limits_version: limits.get_table_version(),
+        fetched_list: fetched.cloned(),
     }
 }
 
@@ -209,38 +210,38 @@
         hub.address = Some(address);
         hub.leader = reply.leader;
         hub.got = reply.number;
-        hub.wait = reply.wait;
-        hub.newest = hub.newest.max(reply.newest);
-        hub.fetches = reply.fetches;
-        hub.listing = reply.held;
+        hub.wait = reply.poll_timeout;
+        hub.newest = hub.newest.max(reply.newest_table);
+        hub.fetches = reply.fetches_list;
+        hub.listing = reply.server_list_version;
     }
     if let Some(news) = reply.quarantine {
-        node.quarantine.borrow_mut().take(&news);
+        node.quarantine.borrow_mut().apply_update(&news);
     }
     // Before the list: what is new on it may be of a version that gets nothing by this gateway's own choice.
     if let Some(policy) = reply.policy {
         node.adopt_policy(policy);
     }
     // The one that fetches the list has it first hand.
-    if !reply.fetches {
+    if !reply.fetches_list {
         node.adopt_list(|holding| {
-            holding.others_fetch();
-            if let Some(listing) = reply.listing {
-                holding.told(listing);
+            holding.drop_fetched();
+            if let Some(listing) = reply.server_list {
+                holding.apply(listing);
             }
         });
     }
-    if let Some(news) = reply.roll {
+    if let Some(news) = reply.membership {
         node.adopt_roll(news);
     }
-    node.known.set(reply.control);
-    if let Some(told) = reply.deputies {
+    node.known.set(reply.control_hosts);
+    if let Some(told) = reply.standbys {
         *node.deputies.borrow_mut() = Deputies::told(&told, &node.host, &around.locate);
     }
-    node.part.borrow_mut().heard(reply.part, asked);
+    node.part.borrow_mut().set(reply.retry_share, asked);
     node.reserve
         .borrow_mut()
-        .heard(reply.deputy, asked, node.now());
+        .set_share(reply.admission_share, asked, node.now());
     node.newer.notify_one();
-    node.hear(&reply.loads);
+    node.hear(&reply.other_loads);
 }
--- a/crates/curlewlift/src/platform/heads.rs
+++ b/crates/curlewlift/src/platform/heads.rs
@@ -8,9 +8,9 @@
 use axum::http::header;
 use curlewlift_core::code::Code;
 use curlewlift_core::code::Refusal;
-use curlewlift_core::limit::OddRate;
+use curlewlift_core::limit::Announcement;
+use curlewlift_core::limit::InvalidRate;
 use curlewlift_core::limit::Rate;
-use curlewlift_core::limit::Said;
 use curlewlift_core::pool::Notice;
 
 use crate::gateway::Call;
@@ -155,15 +155,17 @@
 }
 
 /// What the server says of its limit: where it is given more than once, the least that can be read.
-fn limit(headers: &HeaderMap) -> Said {
-    let mut limit = Said::Nothing;
+fn limit(headers: &HeaderMap) -> Announcement {
+    let mut limit = Announcement::NoLimit;
     for value in headers.get_all(LIMIT) {
         let text = String::from_utf8_lossy(value.as_bytes());
         let rate: Result<Rate, _> = text.parse();
         limit = match (limit, rate) {
-            (Said::Named(former), Ok(rate)) if former <= rate => Said::Named(former),
-            (_, Ok(rate)) => Said::Named(rate),
-            (Said::Nothing, Err(OddRate(odd))) => Said::Odd(odd),
+            (Announcement::Limited(former), Ok(rate)) if former <= rate => {
+                Announcement::Limited(former)
+            }
+            (_, Ok(rate)) => Announcement::Limited(rate),
+            (Announcement::NoLimit, Err(InvalidRate(odd))) => Announcement::Invalid(odd),
             (limit, Err(_)) => limit,
         };
     }
@@ -178,7 +180,7 @@
         notices.extend(values.map(rest));
     }
     if headers.get(LEAVING).is_some_and(|value| value != "0") {
-        notices.push(Notice::Leaves);
+        notices.push(Notice::Draining);
     }
     notices
 }
@@ -186,7 +188,7 @@
 /// For how long a server that turned a request away wants none.
 fn rest(value: &HeaderValue) -> Notice {
     let text = String::from_utf8_lossy(value.as_bytes());
-    http::seconds(&text).map_or_else(|| Notice::Unreadable(text.into_owned()), Notice::Rest)
+    http::seconds(&text).map_or_else(|| Notice::Unreadable(text.into_owned()), Notice::Backoff)
 }
 
 fn load(headers: &HeaderMap) -> Option<u32> {
--- a/crates/curlewlift/src/platform/heads/tests.rs
+++ b/crates/curlewlift/src/platform/heads/tests.rs
@@ -5,7 +5,7 @@
 use axum::http::HeaderMap;
 use axum::http::HeaderName;
 use axum::http::HeaderValue;
-use curlewlift_core::limit::Said;
+use curlewlift_core::limit::Announcement;
 use curlewlift_core::pool::Notice;
 
 use super::marks;
@@ -26,12 +26,12 @@
 
 #[test]
 fn asks_for_rest() {
-    let rest = |millis| Notice::Rest(Duration::from_millis(millis));
+    let rest = |millis| Notice::Backoff(Duration::from_millis(millis));
     assert_eq!(rests(503, &["3"]), [rest(3_000)]);
     assert_eq!(rests(503, &[" 0.25 "]), [rest(250)]);
     assert_eq!(rests(429, &["2"]), [rest(2_000)]);
     assert_eq!(rests(503, &["1", "4"]), [rest(1_000), rest(4_000)]);
-    assert_eq!(rests(503, &["1e300"]), [Notice::Rest(Duration::MAX)]);
+    assert_eq!(rests(503, &["1e300"]), [Notice::Backoff(Duration::MAX)]);
     assert_eq!(rests(503, &[]), []);
     // It ran the request, or passes on what another asked for.
     assert_eq!(rests(200, &["3"]), []);
@@ -57,13 +57,13 @@
 fn leaves() {
     for status in [200, 421, 500, 503] {
         let says = |value| marks(status, &headers(&[("server-leaving", value)])).notices;
-        assert_eq!(says("1"), [Notice::Leaves], "{status}");
+        assert_eq!(says("1"), [Notice::Draining], "{status}");
         assert_eq!(says("0"), [], "{status}");
     }
 }
 
 /// What an answer with these limits says.
-fn limits(values: &[&'static str]) -> Said {
+fn limits(values: &[&'static str]) -> Announcement {
     let pairs: Vec<_> = values
         .iter()
         .map(|value| ("server-limit", *value))
@@ -73,7 +73,7 @@
 
 #[test]
 fn names_limit() {
-    let named = |text: &str| Said::Named(text.parse().expect("a rate"));
+    let named = |text: &str| Announcement::Limited(text.parse().expect("a rate"));
     for text in ["0", "0.2", "3", "1e9"] {
         assert_eq!(limits(&[text]), named(text));
     }
@@ -81,12 +81,12 @@
     assert_eq!(limits(&["4", "2", "3"]), named("2"));
     assert_eq!(limits(&["none", "2"]), named("2"));
     assert_eq!(limits(&["2", "none"]), named("2"));
-    assert_eq!(limits(&[]), Said::Nothing);
+    assert_eq!(limits(&[]), Announcement::NoLimit);
 }
 
 #[test]
 fn odd_limits() {
     for odd in ["", "few", "-3", "NaN", "inf", "3 a second", "1,5"] {
-        assert_eq!(limits(&[odd]), Said::Odd(odd.to_owned()));
+        assert_eq!(limits(&[odd]), Announcement::Invalid(odd.to_owned()));
     }
 }
--- a/crates/curlewlift/src/platform/settings.rs
+++ b/crates/curlewlift/src/platform/settings.rs
@@ -11,7 +11,7 @@
 use curlewlift_core::code::Code;
 use curlewlift_core::code::Refusal;
 use curlewlift_core::limit;
-use curlewlift_core::pool::Allowed;
+use curlewlift_core::pool::RetryAllowance;
 use curlewlift_core::quota::Tolerance;
 use curlewlift_core::rollout;
 use serde::Deserialize;
@@ -250,16 +250,16 @@
     pub(super) fn tolerance(&self) -> Tolerance {
         Tolerance {
             window: Duration::from_secs_f64(self.bounds.use_seconds),
-            part: self.bounds.use_part,
+            ratio: self.bounds.use_part,
             slack: self.bounds.use_slack,
         }
     }
 
     /// How many sendings past the first are allowed.
-    pub(super) fn retries(&self) -> Allowed {
-        Allowed {
+    pub(super) fn retries(&self) -> RetryAllowance {
+        RetryAllowance {
             ratio: self.bounds.retry_ratio,
-            floor: self.bounds.retry_floor,
+            min_retries: self.bounds.retry_floor,
             window: Duration::from_secs_f64(self.bounds.retry_seconds),
         }
     }
@@ -268,7 +268,7 @@
     pub(super) fn cold(&self) -> limit::Slack {
         limit::Slack {
             factor: self.bounds.cold_factor,
-            on_top: self.bounds.cold_on_top,
+            extra_requests: self.bounds.cold_on_top,
         }
     }
 
@@ -277,7 +277,7 @@
         let is_in_force = self.in_force.iter().any(|part| part == ROLLOUTS);
         is_in_force.then_some(rollout::Bounds {
             share: self.bounds.trial_part,
-            on_top: self.bounds.trial_on_top,
+            extra_requests: self.bounds.trial_on_top,
         })
     }
 
--- a/crates/curlewlift/src/rpc/call.rs
+++ b/crates/curlewlift/src/rpc/call.rs
@@ -8,7 +8,7 @@
 use curlewlift_core::fleet::Prefix;
 use curlewlift_core::gateway;
 use curlewlift_core::id;
-use curlewlift_core::quarantine::Withheld;
+use curlewlift_core::quarantine::Rejection;
 use curlewlift_core::queue::Report;
 use curlewlift_core::quota::Charge;
 use curlewlift_core::rollout;
@@ -42,9 +42,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum HubCall {
     /// What is new; answered at once where something is, else after a while.
-    Ask(Box<gateway::Question>),
+    Ask(Box<gateway::Poll>),
     /// Wants a place at a backend server; answered once there is one, or not in time.
-    Want(Box<gateway::Want>),
+    Want(Box<gateway::SlotRequest>),
     /// Tells how sendings ended.
     Tell(gateway::Report),
     /// Wants the piece of table `number` that follows its first `from` bytes; with its whole length, says
@@ -80,7 +80,7 @@
     /// The request's customer has used up its allowance; there is enough after this time.
     Beyond(Duration),
     /// Servers ended under such a request, and it gets none.
-    Withheld(Withheld),
+    Withheld(Rejection),
     /// The request was sent before, and no further sending is left.
     NoRetry,
     /// Whether the deputy lets the request in, and has counted it.
@@ -88,7 +88,7 @@
     /// It was taken note of.
     Told,
     /// A piece of the table in force; none while it is the turn of others.
-    Piece(Option<gateway::Piece>),
+    Piece(Option<gateway::Chunk>),
     /// It is in force, or a higher number is.
     Published,
     /// The table in force; number 0 where there is none.
--- a/crates/lab/src/rollout/world.rs
+++ b/crates/lab/src/rollout/world.rs
@@ -6,24 +6,24 @@
 use std::time::Duration;
 
 use curlewlift_core::clock::Instant;
-use curlewlift_core::gateway::Ended;
+use curlewlift_core::gateway::AttemptEnd;
 use curlewlift_core::gateway::Gateway;
 use curlewlift_core::gateway::Grant;
+use curlewlift_core::gateway::GrantId;
 use curlewlift_core::gateway::Hub;
-use curlewlift_core::gateway::Listing;
 use curlewlift_core::gateway::Load;
-use curlewlift_core::gateway::Mark;
-use curlewlift_core::gateway::Question;
+use curlewlift_core::gateway::Poll;
 use curlewlift_core::gateway::Report;
+use curlewlift_core::gateway::RolloutTag;
 use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::SlotDecision;
+use curlewlift_core::gateway::SlotRequest;
 use curlewlift_core::gateway::Ticket;
 use curlewlift_core::gateway::Tuning;
-use curlewlift_core::gateway::Want;
-use curlewlift_core::gateway::Wanted;
-use curlewlift_core::gateway::Watched;
 use curlewlift_core::id;
-use curlewlift_core::limit::Words;
-use curlewlift_core::pool::End;
+use curlewlift_core::limit::Reports;
+use curlewlift_core::pool::AttemptOutcome;
 use curlewlift_core::quarantine::Identity;
 use curlewlift_core::rollout::Bounds;
 use curlewlift_core::rollout::Order;
@@ -65,15 +65,15 @@
 /// What is borne of a version on trial.
 const BOUNDS: Bounds = Bounds {
     share: 0.1,
-    on_top: 50.0,
+    extra_requests: 50.0,
 };
 
 /// A gateway; its number names its host.
 struct Asker {
     host: id::Host,
-    mark: Mark,
+    mark: GrantId,
     policy: Policy,
-    ends: Vec<Ended>,
+    ends: Vec<AttemptEnd>,
     /// Whether what it has in flight has changed since its last report.
     has_news: bool,
 }
@@ -84,7 +84,7 @@
     engine: usize,
     ends: u64,
     play: Play,
-    watched: Option<Watched>,
+    watched: Option<RolloutTag>,
 }
 
 /// Plays a roll-out; gives what it came to.
@@ -130,7 +130,7 @@
         server: Server {
             incarnation: Arc::clone(&name),
             name,
-            born: 0,
+            started_ms: 0,
             version: version(is_new),
             service: service(),
             address: "127.0.0.1:1".parse().expect("an address"),
@@ -152,7 +152,7 @@
         let engines = (0..scenario.servers).flat_map(|n| [engine(n, false), engine(n, true)]);
         let askers = (0..GATEWAYS).map(|number| Asker {
             host: format!("g{number}").parse().expect("a name"),
-            mark: Mark::default(),
+            mark: GrantId::default(),
             policy: Policy::default(),
             ends: Vec::new(),
             has_news: false,
@@ -184,11 +184,11 @@
     }
 
     fn phase(&self) -> Option<Phase> {
-        self.plans.get(&service()).map(|(_, phase)| phase)
+        self.plans.last_order(&service()).map(|(_, phase)| phase)
     }
 
     fn is_over(&self) -> bool {
-        self.phase().is_some_and(Phase::is_end) && self.age() > self.scenario.length_ms
+        self.phase().is_some_and(Phase::is_final) && self.age() > self.scenario.length_ms
     }
 
     fn step(&mut self) {
@@ -210,7 +210,7 @@
         Order {
             service: service(),
             target: version(true),
-            length: Duration::from_millis(self.scenario.length_ms),
+            duration: Duration::from_millis(self.scenario.length_ms),
             given_ms: ORDER,
         }
     }
@@ -270,8 +270,8 @@
                 rollouts: Some(BOUNDS),
                 ..Tuning::default()
             };
-            let mut hub = Hub::new(tuning, self.clock()).drawn(self.hubs);
-            hub.adopt_plans(&self.plans, None, self.now, self.clock());
+            let mut hub = Hub::new(tuning, self.clock()).with_id(self.hubs);
+            hub.apply_plans(&self.plans, None, self.now, self.clock());
             self.hub = Some(hub);
         }
     }
@@ -289,7 +289,7 @@
             for asker in &mut self.askers {
                 asker.ends.clear();
                 asker.policy = Policy::default();
-                asker.mark = Mark::default();
+                asker.mark = GrantId::default();
             }
         }
     }
@@ -314,10 +314,10 @@
         };
         let now = self.clock();
         if let Some(hub) = &mut self.hub {
-            hub.adopt_plans(&self.plans, own, self.now, now);
+            hub.apply_plans(&self.plans, own, self.now, now);
         }
         let after = self.phase();
-        if after == before || !after.is_some_and(Phase::is_end) {
+        if after == before || !after.is_some_and(Phase::is_final) {
             return;
         }
         self.outcome.phase = after;
@@ -347,9 +347,9 @@
                     !is_completed
                 }
         });
-        let listing = Listing::new(listed.map(|engine| engine.server.clone()).collect());
+        let listing = ServerList::new(listed.map(|engine| engine.server.clone()).collect());
         if let Some(hub) = &mut self.hub {
-            hub.list(Arc::new(listing));
+            hub.set_server_list(Arc::new(listing));
             hub.tick(now);
         }
     }
@@ -383,29 +383,29 @@
             return;
         }
         let now = self.clock();
-        let want = Want {
+        let want = SlotRequest {
             host: self.askers[gateway].host.clone(),
             hall: "a".into(),
             service: service(),
             rule: Some(RULES[rule].name.into()),
             rank: 0.into(),
             waited: Duration::ZERO,
-            wanted: Duration::from_millis(200),
-            patience: Duration::from_millis(200),
-            left: Duration::from_secs(10),
+            useful_for: Duration::from_millis(200),
+            wait_limit: Duration::from_millis(200),
+            time_left: Duration::from_secs(10),
             identity: Identity::default(),
-            observed: Vec::new(),
+            observations: Vec::new(),
             prompt: Tokens(100),
             charge: None,
-            retry: false,
+            needs_retry: false,
             tried: Vec::new(),
             avoid: Vec::new(),
-            rests: Vec::new(),
-            halls: None,
+            backing_off: Vec::new(),
+            allowed_halls: None,
         };
         let Some(hub) = &mut self.hub else { return };
-        match hub.want(want, now) {
-            Wanted::Line(ticket, last) => {
+        match hub.request_slot(want, now) {
+            SlotDecision::Queued(ticket, last) => {
                 self.waiting.insert(ticket, (gateway, rule));
                 if let Some(last) = last {
                     self.waiting.remove(&last);
@@ -420,7 +420,7 @@
         let policy = &self.askers[gateway].policy;
         let may = |engine: &Engine| {
             policy.version != 0
-                && policy.is_open(&engine.server)
+                && policy.allows(&engine.server)
                 && engine.running <= engine.server.slots
         };
         let engines = self.engines.iter().enumerate();
@@ -440,7 +440,7 @@
         let is_down = self.now < engine.down_until;
         let play = if is_down {
             Play {
-                end: End::Broken,
+                end: AttemptOutcome::Broken,
                 takes: 1,
                 is_bad: false,
             }
@@ -448,8 +448,8 @@
             engine.play(rule, self.scenario.fault, age, &mut self.random)
         };
         let is_new = engine.is_new;
-        let target = self.askers[gateway].policy.watched(&service());
-        let watched = target.map(|target| Watched {
+        let target = self.askers[gateway].policy.rollout_target(&service());
+        let watched = target.map(|target| RolloutTag {
             rule: RULES[rule].name.into(),
             target: target.clone(),
         });
@@ -481,7 +481,7 @@
         }
         if self.phase() == Some(Phase::Trial) {
             self.outcome.exposed += 1;
-            let bound = BOUNDS.share * self.outcome.reached as f64 + BOUNDS.on_top;
+            let bound = BOUNDS.share * self.outcome.reached as f64 + BOUNDS.extra_requests;
             let over = self.outcome.exposed as f64 - bound;
             self.outcome.over = self.outcome.over.max(over);
         }
@@ -495,11 +495,11 @@
             engine.running -= 1;
             let asker = &mut self.askers[run.gateway];
             asker.has_news = true;
-            asker.ends.push(Ended {
+            asker.ends.push(AttemptEnd {
                 service: service(),
                 incarnation: Arc::clone(&engine.server.incarnation),
-                watched: run.watched,
-                end: run.play.end,
+                rollout: run.watched,
+                outcome: run.play.end,
             });
             if run.play.is_bad && engine.is_new {
                 self.outcome.bad += 1;
@@ -529,17 +529,17 @@
             let Some(hub) = &mut self.hub else { return };
             let report = Report {
                 host: asker.host.clone(),
-                mark: asker.mark,
+                last_grant: asker.mark,
                 loads: loads.clone(),
-                ends: std::mem::take(&mut asker.ends),
-                observed: Vec::new(),
-                limits: Words::default(),
+                ended: std::mem::take(&mut asker.ends),
+                observations: Vec::new(),
+                limit_reports: Reports::default(),
             };
             hub.report(&report, now);
             if asks {
                 let question = question(asker, loads);
-                hub.hear(&question, now);
-                let reply = hub.answer(&question, &Publication::default(), now);
+                hub.on_poll(&question, now);
+                let reply = hub.reply(&question, &Publication::default(), now);
                 if let Some(policy) = reply.policy {
                     asker.policy = policy;
                 }
@@ -556,7 +556,7 @@
         let loads = loads.into_iter().map(|(incarnation, requests)| Load {
             incarnation,
             requests,
-            reading: Tokens(0),
+            prefill_tokens: Tokens(0),
         });
         loads.collect()
     }
@@ -564,8 +564,8 @@
     fn serve(&mut self) {
         let now = self.clock();
         let Some(hub) = &mut self.hub else { return };
-        let served = hub.serve(now);
-        let hopeless = hub.give_up(now);
+        let served = hub.grant_slots(now);
+        let hopeless = hub.reject_doomed(now);
         for ticket in hopeless {
             self.waiting.remove(&ticket);
             self.outcome.refused += 1;
@@ -578,7 +578,7 @@
     }
 
     fn take(&mut self, gateway: usize, rule: usize, grant: &Grant) {
-        self.askers[gateway].mark = grant.mark;
+        self.askers[gateway].mark = grant.id;
         let incarnation = &grant.server.incarnation;
         let mut engines = self.engines.iter();
         let place = engines.position(|engine| engine.server.incarnation == *incarnation);
@@ -591,33 +591,33 @@
         }
         let now = self.clock();
         let Some(hub) = &mut self.hub else { return };
-        for (step, _) in hub.tend_rollouts(now) {
+        for (step, _) in hub.propose_rollout_steps(now) {
             self.steps.push((self.now + AGREE, step));
         }
     }
 }
 
-fn question(asker: &Asker, loads: Vec<Load>) -> Question {
-    Question {
+fn question(asker: &Asker, loads: Vec<Load>) -> Poll {
+    Poll {
         host: asker.host.clone(),
         gateway: Gateway {
             hall: "a".into(),
             callers: "127.0.0.1:80".parse().expect("an address"),
         },
         ready: true,
-        table: 0,
-        whole: false,
-        listing: 0,
-        roll: 0,
-        deputies: 0,
-        policy: asker.policy.version,
-        mark: asker.mark,
+        known_table: 0,
+        wants_whole_list: false,
+        server_list_version: 0,
+        membership_version: 0,
+        standbys_version: 0,
+        policy_version: asker.policy.version,
+        last_grant: asker.mark,
         loads,
-        got: 0,
-        quarantine: 0,
-        observed: Vec::new(),
-        limits: Words::default(),
-        limits_held: (0, 0),
-        fetched: None,
+        last_reply: 0,
+        quarantine_version: 0,
+        observations: Vec::new(),
+        limit_reports: Reports::default(),
+        limits_version: (0, 0),
+        fetched_list: None,
     }
 }
