--- a/crates/curlewlift/src/control/daemon.rs
+++ b/crates/curlewlift/src/control/daemon.rs
@@ -214,7 +214,7 @@
             .gateways(control.gateways),
     ));
     let _closing = Closing(Rc::clone(&state));
-    let handler = super::answers::handler(Rc::clone(&state), timeline.clone());
+    let handler = super::handler::handler(Rc::clone(&state), timeline.clone());
     tokio::task::spawn_local(rpc::serve(listener, handler, timeline.clone()));
     timeline.note(Line::new(Kind::Started).detail(format_args!("control, rpc={address}")));
     if let Some(platform) = control.platform {
--- a/crates/curlewlift/src/control/gateways.rs
+++ b/crates/curlewlift/src/control/gateways.rs
@@ -10,7 +10,7 @@
 use curlewlift_core::route::Table;
 use curlewlift_core::state::Publication;
 
-use super::Known;
+use super::KnownHosts;
 
 /// Reads a routing table.
 pub(crate) type Decode = fn(&Publication) -> Result<Table, Refusal>;
@@ -26,7 +26,7 @@
     /// Where the replica on a host is reached that nobody has named.
     pub(crate) locate: Locate,
     /// The hosts that are known to keep a replica.
-    pub(crate) known: Known,
+    pub(crate) known: KnownHosts,
     /// How many replicas must count before a first table is accepted: what is accepted must
     /// outlive the loss of as many disks as the deployment says.
     pub(crate) replicas: usize,
--- a/crates/curlewlift/src/control/hub.rs
+++ b/crates/curlewlift/src/control/hub.rs
@@ -37,10 +37,10 @@
     }
     match call {
         HubCall::Ask(question) => ask(state, *question).await,
-        HubCall::Want(want) => super::places::want(state, *want).await,
-        HubCall::Tell(report) => super::places::tell(state, &report),
+        HubCall::Want(want) => super::slots::want(state, *want).await,
+        HubCall::Tell(report) => super::slots::tell(state, &report),
         HubCall::Piece { host, number, from } => {
-            super::handout::piece(state, &host, number, from).await
+            super::distribution::piece(state, &host, number, from).await
         }
         HubCall::Publish(publication) => publish(state, publication).await,
         // Of many gateways those beside a replica are no deputies.
--- a/crates/curlewlift/src/control/known.rs
+++ b/crates/curlewlift/src/control/known_hosts.rs
@@ -13,9 +13,9 @@
 ///
 /// It is what a process has heard, not what is so: whoever asks goes on to the next.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Known(Arc<Mutex<Vec<id::Host>>>);
+pub(crate) struct KnownHosts(Arc<Mutex<Vec<id::Host>>>);
 
-impl Known {
+impl KnownHosts {
     /// Those that a leader names, in place of all others.
     pub(crate) fn set(&self, hosts: Vec<id::Host>) {
         *self.lock() = hosts;
--- a/crates/curlewlift/src/control/mod.rs
+++ b/crates/curlewlift/src/control/mod.rs
@@ -1,23 +1,23 @@
 //! A control replica: the log, the machine above it, and the leases of the entries.
 
-mod answers;
 mod daemon;
+mod distribution;
 mod evacuations;
 mod gateways;
-mod handout;
+mod handler;
 mod hub;
-mod known;
+mod known_hosts;
 mod members;
-mod parts;
-mod places;
 mod platform;
 mod quarantine;
 mod query;
 mod replica;
 mod rollouts;
+mod shares;
+mod slots;
 
 pub use daemon::Control;
 pub(crate) use gateways::Decode;
 pub(crate) use gateways::Gateways;
 pub(crate) use gateways::Locate;
-pub(crate) use known::Known;
+pub(crate) use known_hosts::KnownHosts;
--- a/crates/curlewlift/src/gateway/daemon.rs
+++ b/crates/curlewlift/src/gateway/daemon.rs
@@ -16,7 +16,7 @@
 use curlewlift_core::route::Limits;
 use curlewlift_core::route::Regions;
 
-use crate::control::Known;
+use crate::control::KnownHosts;
 use crate::process;
 use crate::process::Clock;
 use crate::process::Order;
@@ -72,7 +72,7 @@
     /// Where it tells others of control, where it has none.
     pub(crate) meets: SocketAddr,
     /// The hosts that are known to keep a control replica.
-    pub(crate) known: Known,
+    pub(crate) known: KnownHosts,
     /// What its decisions go by.
     pub(crate) clock: Clock,
 }
--- a/crates/curlewlift/src/gateway/node.rs
+++ b/crates/curlewlift/src/gateway/node.rs
@@ -32,7 +32,7 @@
 use rand::Rng;
 use tokio::sync::Notify;
 
-use crate::control::Known;
+use crate::control::KnownHosts;
 use crate::process::Clock;
 use crate::rpc;
 
@@ -113,7 +113,7 @@
     /// The part of the sendings past the first that this gateway may do by itself.
     pub(super) part: RefCell<Share>,
     /// The hosts that are known to keep a control replica.
-    pub(super) known: Known,
+    pub(super) known: KnownHosts,
     /// What is known of the hub.
     pub(super) hub: RefCell<Hub>,
     /// Since when it is told to stop.
@@ -141,7 +141,7 @@
         dialect: Dialect,
         allowed: RetryAllowance,
         tolerance: Tolerance,
-        known: Known,
+        known: KnownHosts,
         rpc: rpc::Client,
     ) -> Self {
         Self {
--- a/crates/curlewlift/src/losses/day.rs
+++ b/crates/curlewlift/src/losses/day.rs
@@ -49,7 +49,7 @@
     /// Those that are at a server.
     at_servers: HashSet<String>,
     /// How many lines told nothing of a request, or could not be read.
-    passed_over: usize,
+    skipped_lines: usize,
 }
 
 impl Day {
@@ -58,14 +58,14 @@
         for line in log.lines() {
             match Record::read(line) {
                 Some(record) => self.take(record),
-                None => self.passed_over += 1,
+                None => self.skipped_lines += 1,
             }
         }
     }
 
     /// How many lines could not be read or were no gateway's.
-    pub(crate) fn get_passed_over(&self) -> usize {
-        self.passed_over
+    pub(crate) fn get_skipped_lines(&self) -> usize {
+        self.skipped_lines
     }
 
     fn take(&mut self, record: Record) {
@@ -74,7 +74,7 @@
             Ok(Kind::Sent) => self.begin(record),
             Ok(Kind::SendingFailed) => self.ran(&record),
             Ok(Kind::Ended | Kind::Refused | Kind::CallerLeft) => self.end(record),
-            _ => self.passed_over += 1,
+            _ => self.skipped_lines += 1,
         }
     }
 
--- a/crates/curlewlift/src/operate/mod.rs
+++ b/crates/curlewlift/src/operate/mod.rs
@@ -1,7 +1,7 @@
 //! The operators' side: gives commands, and collects the time line.
 
+mod collect;
 mod operator;
-mod story;
 
+pub use collect::collect;
 pub use operator::Operator;
-pub use story::collect;
--- a/crates/curlewlift/src/platform/start.rs
+++ b/crates/curlewlift/src/platform/start.rs
@@ -20,7 +20,7 @@
 use hyper::body::Incoming;
 
 use crate::control::Gateways;
-use crate::control::Known;
+use crate::control::KnownHosts;
 use crate::control::Locate;
 use crate::gateway::Answer;
 use crate::gateway::Beginning;
@@ -117,7 +117,7 @@
         directory: process::bind(listen.directory)?,
     };
     let keep = KEEP.min(settings.bounds.answer_seconds);
-    let known = Known::default();
+    let known = KnownHosts::default();
     let gateway = Gateway {
         host: host(settings.ip)?,
         known_as: gateway::Gateway {
@@ -164,7 +164,11 @@
 }
 
 /// The control replica, on a host with a disk.
-fn beside(settings: &Settings, known: &Known, clock: &Clock) -> Result<Option<Beside>, Refusal> {
+fn beside(
+    settings: &Settings,
+    known: &KnownHosts,
+    clock: &Clock,
+) -> Result<Option<Beside>, Refusal> {
     let Some(data) = &settings.data_dir else {
         return Ok(None);
     };
--- a/crates/curlewlift/src/program/lines.rs
+++ b/crates/curlewlift/src/program/log_writer.rs
@@ -1,7 +1,7 @@
-//! Lines on standard output, written by a thread of their own.
+//! Writes log lines to standard output on a separate thread.
 //!
-//! The processes never wait for it: a line that finds the queue full is left out and counted, and
-//! the next one that finds room is followed by the count.
+//! Logging never blocks the process: when the queue is full, the line is dropped and counted, and
+//! the next line that is queued is followed by a line with the count (`left_out`).
 
 use std::io::BufWriter;
 use std::io::Write;
@@ -14,44 +14,44 @@
 
 use serde_json::json;
 
-/// Lines that wait to be written: some seconds' worth on a busy host, at most a few hundred KB.
-const WAITING: usize = 2_048;
+/// Capacity of the queue, in lines: some seconds' worth on a busy host, at most a few hundred KB.
+const QUEUE_CAPACITY: usize = 2_048;
 
-/// How long the end of the process waits for what is still to be written.
-const LAST: Duration = Duration::from_millis(200);
+/// How long the process waits at exit for queued lines to be written.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What the writing thread is given.
+/// An item of the queue to the writing thread.
 enum Item {
     Line(String),
-    /// Tells that everything before it is written.
-    Mark(SyncSender<()>),
+    /// Asks for a signal once everything queued before it is written.
+    Flush(SyncSender<()>),
 }
 
-/// The queue of the one log of this process.
+/// The queue of this process's log writer.
 static QUEUE: OnceLock<SyncSender<Item>> = OnceLock::new();
 
-/// Waits until what was logged so far is written, or for [`LAST`].
+/// Waits until all lines logged so far are written, for at most [`FLUSH_TIMEOUT`].
 pub(super) fn finish() {
     let Some(queue) = QUEUE.get() else {
         return;
     };
-    let (mark, written) = mpsc::sync_channel(1);
-    if queue.try_send(Item::Mark(mark)).is_ok() {
-        // Nothing can be logged any more about what was not written in time.
-        let _ = written.recv_timeout(LAST);
+    let (done, written) = mpsc::sync_channel(1);
+    if queue.try_send(Item::Flush(done)).is_ok() {
+        // The process exits: a timeout here cannot be logged any more.
+        let _ = written.recv_timeout(FLUSH_TIMEOUT);
     }
 }
 
-/// Where lines go.
-pub(super) struct Lines {
+/// The handle that queues lines for the writing thread.
+pub(super) struct LogWriter {
     queue: SyncSender<Item>,
     left_out: AtomicU64,
 }
 
-impl Lines {
-    /// Starts the thread that writes.
+impl LogWriter {
+    /// Starts the writing thread.
     pub(super) fn start() -> Self {
-        let (queue, items) = mpsc::sync_channel::<Item>(WAITING);
+        let (queue, items) = mpsc::sync_channel::<Item>(QUEUE_CAPACITY);
         let _ = QUEUE.set(queue.clone());
         std::thread::spawn(move || {
             let mut out = BufWriter::new(std::io::stdout());
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Hands a line over, or counts it.
+    /// Queues a line; drops and counts it if the queue is full.
     pub(super) fn push(&self, line: String) {
         if self.queue.try_send(Item::Line(line)).is_err() {
             self.left_out.fetch_add(1, Ordering::Relaxed);
@@ -88,11 +88,11 @@
 
 fn write(out: &mut impl Write, item: Item) {
     match item {
-        // Nobody is left to be told where standard output is closed.
+        // If standard output is closed, there is nowhere to report it.
         Item::Line(line) => drop(writeln!(out, "{line}")),
-        Item::Mark(written) => {
+        Item::Flush(done) => {
             let _ = out.flush();
-            let _ = written.try_send(());
+            let _ = done.try_send(());
         }
     }
 }
--- a/crates/curlewlift/src/program/losses.rs
+++ b/crates/curlewlift/src/program/losses.rs
@@ -1,4 +1,4 @@
-//! Prints what callers lost in a day, by the gateways' logs.
+//! The `losses` subcommand: prints how many requests were late, refused or lost, from gateways' logs.
 
 use curlewlift_core::code::Code;
 use curlewlift_core::code::Refusal;
@@ -10,30 +10,32 @@
 use crate::settings::Losses;
 
 pub(super) fn run(args: &Losses) -> Result<(), Refusal> {
-    let bad = |name: &str, value: &str, why: &str| {
+    let bad_setting = |name: &str, value: &str, why: &str| {
         Refusal::new(Code::BadSetting, format!("{name}: `{value}`: {why}"))
     };
     if args.logs.is_empty() {
-        return Err(bad("LOGS", "", "give one log at least"));
+        return Err(bad_setting("LOGS", "", "give at least one log"));
     }
     let by = args.by.as_deref().unwrap_or("rank");
-    let by: By = by.parse().map_err(|why| bad("--by", by, why))?;
+    let by: By = by.parse().map_err(|why| bad_setting("--by", by, why))?;
     let mut day = Day::default();
     for path in &args.logs {
         let log = std::fs::read(path);
-        let log = log.map_err(|why| bad("LOGS", path, &why.to_string()))?;
-        // Bytes that are no text are in lines that are passed over.
+        let log = log.map_err(|why| bad_setting("LOGS", path, &why.to_string()))?;
+        // Lines that are not valid UTF-8 fail to parse and are skipped.
         day.read(&String::from_utf8_lossy(&log));
     }
     let table = Table::new(&day, by);
     match args.format.as_deref() {
         None | Some("text") => print!("{table}"),
         Some("svg") => print!("{}", losses::draw(&table)),
-        Some(other) => return Err(bad("--format", other, "give text or svg")),
+        Some(other) => return Err(bad_setting("--format", other, "give text or svg")),
     }
-    let passed_over = day.get_passed_over();
-    if passed_over > 0 {
-        eprintln!("curlewlift: {passed_over} lines told nothing of a request's end");
+    let skipped_lines = day.get_skipped_lines();
+    if skipped_lines > 0 {
+        eprintln!(
+            "curlewlift: skipped {skipped_lines} lines that do not record the course of a request"
+        );
     }
     Ok(())
 }
--- a/crates/curlewlift/src/program/mod.rs
+++ b/crates/curlewlift/src/program/mod.rs
@@ -1,10 +1,10 @@
-//! What the command line starts.
+//! The command-line program: parses the arguments and runs the subcommand.
 
-mod lines;
-mod logs;
+mod log_writer;
 mod losses;
 mod operate;
 mod run;
+mod telemetry;
 mod timeline;
 
 pub use run::main;
--- a/crates/curlewlift/src/program/run.rs
+++ b/crates/curlewlift/src/program/run.rs
@@ -1,4 +1,4 @@
-//! Reads the command line, and runs the role that it names.
+//! Parses the command line and runs the subcommand that it names.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -18,37 +18,37 @@
 use crate::settings::Command;
 use crate::settings::Environment;
 
-use super::lines;
-use super::logs;
+use super::log_writer;
 use super::losses;
 use super::operate;
+use super::telemetry;
 use super::timeline;
 
-/// Exit code where a command was refused.
-const REFUSED: u8 = 1;
+/// Exit code if a command was refused.
+const EXIT_REFUSED: u8 = 1;
 
-/// Exit code where a setting is wrong.
-const BAD_SETTING: u8 = 2;
+/// Exit code if a setting is invalid.
+const EXIT_BAD_SETTING: u8 = 2;
 
-/// Exit code where a process failed.
-const FAILED: u8 = 3;
+/// Exit code if a process failed.
+const EXIT_FAILED: u8 = 3;
 
 /// Runs the program with this process's arguments and environment.
 ///
-/// The exit code is 0 where all went well, 1 where a command was refused, 2 where a setting is
-/// wrong, 3 where a process failed; docs/CODES.md has them.
+/// The exit code is 0 on success, 1 if a command was refused, 2 if a setting is invalid and 3 if
+/// a process failed; docs/CODES.md lists them.
 #[must_use]
 pub fn main() -> ExitCode {
     let args: Args = argh::from_env();
-    let result = run(args, &Environment::own());
-    lines::finish();
+    let result = run(args, &Environment::from_process());
+    log_writer::finish();
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
             let refusal = report.current_context();
             eprintln!("curlewlift: error {refusal}");
-            for what in report.frames().filter_map(Frame::downcast_ref::<&str>) {
-                eprintln!("  while {what}");
+            for activity in report.frames().filter_map(Frame::downcast_ref::<&str>) {
+                eprintln!("  while {activity}");
             }
             if refusal.get_code() == Code::BadSetting {
                 eprintln!("usage: curlewlift [options] COMMAND; `curlewlift --help` explains");
@@ -60,17 +60,17 @@
 
 fn exit_code(code: Code) -> u8 {
     match code {
-        Code::BadSetting => BAD_SETTING,
-        Code::Damaged | Code::DiskFailed | Code::Internal => FAILED,
-        _ => REFUSED,
+        Code::BadSetting => EXIT_BAD_SETTING,
+        Code::Damaged | Code::DiskFailed | Code::Internal => EXIT_FAILED,
+        _ => EXIT_REFUSED,
     }
 }
 
 fn run(args: Args, environment: &Environment) -> Result<(), Report<Refusal>> {
-    settings::unknown(environment).attach("looking through the environment")?;
+    settings::reject_unknown_variables(environment).attach("checking the environment variables")?;
     let common = settings::Common::new(&args, environment);
-    let common = common.attach("reading the settings of every role")?;
-    logs::start(common.level, common.json).attach("starting the log")?;
+    let common = common.attach("reading the common settings")?;
+    telemetry::start(common.level, common.json).attach("starting the log")?;
     match args.command {
         Command::Entry(args) => entry(&args, environment, &common).attach("running an entry"),
         Command::Control(args) => {
@@ -79,9 +79,9 @@
         Command::Platform(args) => {
             platform(&args, environment, &common).attach("running a gateway on the platform")
         }
-        Command::Operate(args) => operate::run(&args, environment).attach("giving a command"),
-        Command::Timeline(args) => timeline::run(&args).attach("collecting the time line"),
-        Command::Losses(args) => losses::run(&args).attach("counting what was lost"),
+        Command::Operate(args) => operate::run(&args, environment).attach("running a command"),
+        Command::Timeline(args) => timeline::run(&args).attach("collecting the timeline"),
+        Command::Losses(args) => losses::run(&args).attach("counting losses"),
         Command::Check(args) => check(&args.role, environment).attach("checking settings"),
         Command::Digest(_) => digest().attach("reading a key"),
         Command::Version(_) => {
@@ -97,7 +97,7 @@
     common: &settings::Common,
 ) -> Result<(), Refusal> {
     let entry = settings::Entry::new(args, environment)?;
-    logs::metrics(common.metrics)?;
+    telemetry::serve_metrics(common.metrics)?;
     wait(start_entry(entry)?)
 }
 
@@ -107,7 +107,7 @@
     common: &settings::Common,
 ) -> Result<(), Refusal> {
     let control = settings::Control::new(args, environment)?;
-    logs::metrics(common.metrics)?;
+    telemetry::serve_metrics(common.metrics)?;
     wait(start_control(control)?)
 }
 
@@ -118,7 +118,7 @@
 ) -> Result<(), Refusal> {
     let path = args.path(environment)?;
     let platform = crate::platform::Platform::new(path)?;
-    logs::metrics(common.metrics)?;
+    telemetry::serve_metrics(common.metrics)?;
     wait(platform.start()?)
 }
 
@@ -152,7 +152,7 @@
         .start()
 }
 
-/// Waits for the process; a termination signal asks it to finish and end.
+/// Waits until the process has ended; a termination signal asks it to stop.
 fn wait(process: Process) -> Result<(), Refusal> {
     let handle = process.handle();
     std::thread::spawn(move || {
@@ -161,20 +161,21 @@
             .build();
         let Ok(runtime) = runtime else { return };
         runtime.block_on(async move {
-            signal().await;
+            stop_signal().await;
             handle.stop();
         });
     });
     process.wait()
 }
 
-async fn signal() {
+/// Waits for SIGTERM or Ctrl-C; logs a reload event on each SIGHUP.
+async fn stop_signal() {
     use tokio::signal::unix::SignalKind;
     use tokio::signal::unix::signal;
     let Ok(mut terminate) = signal(SignalKind::terminate()) else {
         return;
     };
-    // The settings are read where they are needed: a hint that they have changed must not end it.
+    // Settings are read when needed, so SIGHUP has nothing to do, but it must not end the process.
     let hangup = signal(SignalKind::hangup());
     tokio::spawn(async move {
         let Ok(mut hangup) = hangup else { return };
@@ -207,7 +208,7 @@
             println!("operator {} asks {:?}", settings.name, settings.control);
         }
         _ => {
-            let why = format!("`{role}` is no role: give entry, control, platform or operate");
+            let why = format!("unknown role `{role}`: give entry, control, platform or operate");
             return Err(Refusal::new(Code::BadSetting, why));
         }
     }
@@ -219,7 +220,7 @@
     std::io::stdin().read_to_string(&mut key).map_err(|why| {
         Refusal::new(
             Code::BadSetting,
-            format!("standard input cannot be read: {why}"),
+            format!("cannot read standard input: {why}"),
         )
     })?;
     println!("{}", crate::digest(key.trim()));
--- a/crates/curlewlift/src/program/logs.rs
+++ b/crates/curlewlift/src/program/telemetry.rs
@@ -1,4 +1,4 @@
-//! Logs and metrics of a process.
+//! Sets up the log and the metrics of a process.
 
 use std::net::SocketAddr;
 
@@ -11,20 +11,20 @@
 
 use crate::gateway::TARGET;
 
-use super::lines::Lines;
+use super::log_writer::LogWriter;
 
-/// Logs from `level` up: as text to standard error, or as one JSON object a line to standard
-/// output.
+/// Starts logging at `level`: as text to standard error, or as one JSON object per line to
+/// standard output.
 pub(super) fn start(level: log::LevelFilter, json: bool) -> Result<(), Refusal> {
     let dispatch = fern::Dispatch::new()
         .level(level)
         .level_for("tracing", log::LevelFilter::Error);
     let dispatch = if json {
-        let lines = Lines::start();
+        let writer = LogWriter::start();
         dispatch
-            .format(|out, message, record| out.finish(format_args!("{}", line(message, record))))
+            .format(|out, message, record| out.finish(format_args!("{}", as_json(message, record))))
             .chain(fern::Output::call(move |record| {
-                lines.push(record.args().to_string());
+                writer.push(record.args().to_string());
             }))
     } else {
         dispatch
@@ -38,11 +38,11 @@
             .chain(std::io::stderr())
     };
     let started = dispatch.apply();
-    started.map_err(|why| Refusal::new(Code::Internal, format!("no log can be kept: {why}")))
+    started.map_err(|why| Refusal::new(Code::Internal, format!("cannot start the log: {why}")))
 }
 
-/// A message as a JSON object; a decision is one already.
-fn line(message: &std::fmt::Arguments<'_>, record: &log::Record<'_>) -> String {
+/// A message as a JSON object; messages of the decision log are JSON already.
+fn as_json(message: &std::fmt::Arguments<'_>, record: &log::Record<'_>) -> String {
     if record.target() == TARGET {
         return message.to_string();
     }
@@ -54,14 +54,18 @@
     .to_string()
 }
 
-/// Serves the metrics in the usual text format at `address`, under `/metrics`.
-pub(super) fn metrics(address: Option<SocketAddr>) -> Result<(), Refusal> {
+/// Serves the metrics in the Prometheus text format at `address`, under `/metrics`.
+pub(super) fn serve_metrics(address: Option<SocketAddr>) -> Result<(), Refusal> {
     let Some(address) = address else {
         return Ok(());
     };
     let recorder = PrometheusBuilder::new().install_recorder();
-    let recorder = recorder
-        .map_err(|why| Refusal::new(Code::Internal, format!("no metrics can be kept: {why}")))?;
+    let recorder = recorder.map_err(|why| {
+        Refusal::new(
+            Code::Internal,
+            format!("cannot start the metrics recorder: {why}"),
+        )
+    })?;
     let listener = std::net::TcpListener::bind(address).map_err(|why| {
         Refusal::new(
             Code::BadSetting,
--- a/crates/curlewlift/src/program/timeline.rs
+++ b/crates/curlewlift/src/program/timeline.rs
@@ -1,4 +1,4 @@
-//! Prints the time line of several processes.
+//! The `timeline` subcommand: prints the events of several processes in causal order.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -13,35 +13,38 @@
 
 pub(super) fn run(args: &Timeline) -> Result<(), Refusal> {
     let addresses: Result<Vec<SocketAddr>, _> = args.from.split(',').map(str::parse).collect();
-    let addresses = addresses.map_err(|why| bad("from", &args.from, &why))?;
-    let filter = filter(args)?;
-    let (lines, silent) = crate::collect(&addresses, &filter)?;
+    let addresses = addresses.map_err(|why| bad_setting("from", &args.from, &why))?;
+    let filter = parse_filter(args)?;
+    let (lines, unreachable) = crate::collect(&addresses, &filter)?;
     match args.format.as_deref() {
         None | Some("text") => print_text(&lines),
         Some("json") => print_json(&lines),
         Some("svg") => print!("{}", crate::timeline::draw(&lines)),
-        Some(other) => return Err(bad("format", other, &"give text, json or svg")),
+        Some(other) => return Err(bad_setting("format", other, &"give text, json or svg")),
     }
-    for address in silent {
-        eprintln!("curlewlift: warning: {address} does not answer; its events are missing");
+    for address in unreachable {
+        eprintln!("curlewlift: warning: {address} did not respond; its events are missing");
     }
     Ok(())
 }
 
-fn bad(name: &str, value: &str, why: &dyn Display) -> Refusal {
+fn bad_setting(name: &str, value: &str, why: &dyn Display) -> Refusal {
     Refusal::new(Code::BadSetting, format!("--{name}: `{value}`: {why}"))
 }
 
-fn filter(args: &Timeline) -> Result<Filter, Refusal> {
+fn parse_filter(args: &Timeline) -> Result<Filter, Refusal> {
     let customer: Option<id::Customer> = match &args.customer {
-        Some(text) => Some(text.parse().map_err(|why| bad("customer", text, &why))?),
+        Some(text) => Some(
+            text.parse()
+                .map_err(|why| bad_setting("customer", text, &why))?,
+        ),
         None => None,
     };
     let key = match (&args.key, &customer) {
         (None, _) => None,
         (Some(text), Some(customer)) => Some(id::Key::new(customer, text)),
         (Some(text), None) => {
-            return Err(bad(
+            return Err(bad_setting(
                 "key",
                 text,
                 &"a key belongs to a customer: give --customer too",
@@ -49,11 +52,14 @@
         }
     };
     let server = match &args.server {
-        Some(text) => Some(text.parse().map_err(|why| bad("server", text, &why))?),
+        Some(text) => Some(
+            text.parse()
+                .map_err(|why| bad_setting("server", text, &why))?,
+        ),
         None => None,
     };
     Ok(Filter {
-        // A request's key names its customer already; some of its events name only the key.
+        // The key already identifies the customer, and some events of a request carry only the key.
         customer: if key.is_some() { None } else { customer },
         key,
         server,
--- a/crates/curlewlift/src/rpc/client.rs
+++ b/crates/curlewlift/src/rpc/client.rs
@@ -137,7 +137,7 @@
         .get()
         .and_then(curlewlift_wire::node_capnp::node::call_results::Reader::get_reply)
         .map_err(broken)?;
-    timeline.meet(Stamp(reply.get_stamp()));
+    timeline.observe(Stamp(reply.get_stamp()));
     let body = reply.get_body().map_err(broken)?.to_vec();
     match reply.get_code() {
         0 => Ok(body),
--- a/crates/curlewlift/src/rpc/server.rs
+++ b/crates/curlewlift/src/rpc/server.rs
@@ -36,7 +36,7 @@
         mut results: node::CallResults,
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
-        self.timeline.meet(Stamp(params.get_stamp()));
+        self.timeline.observe(Stamp(params.get_stamp()));
         let body = params.get_body()?.to_vec();
         let answer = (self.handler)(params.get_method()?, body).await;
         let mut reply = results.get().init_reply();
--- a/crates/curlewlift/src/settings/args.rs
+++ b/crates/curlewlift/src/settings/args.rs
@@ -5,14 +5,14 @@
 
 use argh::FromArgs;
 
-/// A request scheduler that stands between callers and unlike engines.
+/// A request scheduler that stands between callers and inference engines of different kinds.
 #[derive(Debug, FromArgs)]
 pub(crate) struct Args {
     /// which events and messages to log: error, warn, info or debug; default warn
     /// (CURLEWLIFT_LOG)
     #[argh(option)]
     pub(crate) log: Option<String>,
-    /// how to log: text, or json for one object a line; default text (CURLEWLIFT_LOG_FORMAT)
+    /// how to log: text, or json for one object per line; default text (CURLEWLIFT_LOG_FORMAT)
     #[argh(option)]
     pub(crate) log_format: Option<String>,
     /// where to serve metrics, as ADDRESS:PORT; default nowhere (CURLEWLIFT_METRICS)
@@ -22,7 +22,7 @@
     pub(crate) command: Command,
 }
 
-/// What to do.
+/// The subcommand.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub(crate) enum Command {
@@ -37,7 +37,7 @@
     Version(Version),
 }
 
-/// Runs an entry: takes callers' requests.
+/// Runs an entry: accepts callers' requests.
 #[derive(Debug, Default, FromArgs)]
 #[argh(subcommand, name = "entry")]
 pub(crate) struct Entry {
@@ -47,10 +47,10 @@
     /// name of this host's data hall (CURLEWLIFT_HALL)
     #[argh(option)]
     pub(crate) hall: Option<String>,
-    /// where other processes reach it, as ADDRESS:PORT (CURLEWLIFT_RPC)
+    /// address for other processes, as ADDRESS:PORT (CURLEWLIFT_RPC)
     #[argh(option)]
     pub(crate) rpc: Option<String>,
-    /// where callers reach it, as ADDRESS:PORT (CURLEWLIFT_HTTP)
+    /// address for callers, as ADDRESS:PORT (CURLEWLIFT_HTTP)
     #[argh(option)]
     pub(crate) http: Option<String>,
     /// the control replicas, as NAME=ADDRESS:PORT,... (CURLEWLIFT_CONTROL)
@@ -60,33 +60,33 @@
     /// (CURLEWLIFT_LEASE_MS)
     #[argh(option)]
     pub(crate) lease_ms: Option<String>,
-    /// how long a stopping entry serves those who kept its address, in milliseconds, 0 to 600000;
-    /// default 5000 (CURLEWLIFT_KEEP_MS)
+    /// how long a stopping entry still serves callers that use its address, in milliseconds,
+    /// 0 to 600000; default 5000 (CURLEWLIFT_KEEP_MS)
     #[argh(option)]
     pub(crate) keep_ms: Option<String>,
 }
 
-/// Runs a control replica: keeps the configuration.
+/// Runs a control replica: stores the configuration.
 #[derive(Debug, Default, FromArgs)]
 #[argh(subcommand, name = "control")]
 pub(crate) struct Control {
     /// name of this host (CURLEWLIFT_HOST)
     #[argh(option)]
     pub(crate) host: Option<String>,
-    /// where other processes reach it, as ADDRESS:PORT (CURLEWLIFT_RPC)
+    /// address for other processes, as ADDRESS:PORT (CURLEWLIFT_RPC)
     #[argh(option)]
     pub(crate) rpc: Option<String>,
     /// the control replicas, as NAME=ADDRESS:PORT,... (CURLEWLIFT_CONTROL)
     #[argh(option)]
     pub(crate) control: Option<String>,
-    /// where the platform tells its list of hosts, as ADDRESS:PORT; default nowhere
+    /// where the platform serves its list of hosts, as ADDRESS:PORT; default nowhere
     /// (CURLEWLIFT_PLATFORM)
     #[argh(option)]
     pub(crate) platform: Option<String>,
-    /// folder of its files (CURLEWLIFT_DATA)
+    /// folder for its files (CURLEWLIFT_DATA)
     #[argh(option)]
     pub(crate) data: Option<String>,
-    /// true where it founds a new system if the folder is empty, false where it joins one;
+    /// whether to found a new system if the folder is empty (true) or to join one (false);
     /// default false (CURLEWLIFT_FOUND)
     #[argh(option)]
     pub(crate) found: Option<String>,
@@ -100,12 +100,12 @@
 #[derive(Debug, Default, FromArgs)]
 #[argh(subcommand, name = "platform")]
 pub(crate) struct Platform {
-    /// the settings file that the platform lays out (CURLEWLIFT_CONFIG)
+    /// the settings file that the platform provides (CURLEWLIFT_CONFIG)
     #[argh(option)]
     pub(crate) config: Option<String>,
 }
 
-/// Gives operators' commands: one line, a file, or an interactive prompt.
+/// Runs operators' commands from the command line, a file or an interactive prompt.
 ///
 /// The operator's key is read from CURLEWLIFT_KEY or a file, never from a flag.
 #[derive(Debug, Default, FromArgs)]
@@ -117,16 +117,16 @@
     /// name of the operator; default root (CURLEWLIFT_OPERATOR)
     #[argh(option)]
     pub(crate) operator: Option<String>,
-    /// file that holds the operator's key
+    /// file with the operator's key
     #[argh(option)]
     pub(crate) key_file: Option<String>,
-    /// number of the first command; the same number again is the same command; default the time
+    /// number of the first command; a repeated number means the same command; default from the clock
     #[argh(option)]
     pub(crate) number: Option<u64>,
-    /// file with one command a line
+    /// file with one command per line
     #[argh(option)]
     pub(crate) file: Option<String>,
-    /// the command; without it and without a file, a prompt
+    /// the command; a prompt if neither it nor a file is given
     #[argh(positional)]
     pub(crate) line: Vec<String>,
 }
@@ -138,16 +138,16 @@
     /// the processes to ask, as ADDRESS:PORT,...
     #[argh(option)]
     pub(crate) from: String,
-    /// only the request with this key; needs the customer
+    /// only events of the request with this key; needs the customer
     #[argh(option)]
     pub(crate) key: Option<String>,
-    /// only this customer's
+    /// only events of this customer
     #[argh(option)]
     pub(crate) customer: Option<String>,
-    /// only about this backend server
+    /// only events about this backend server
     #[argh(option)]
     pub(crate) server: Option<String>,
-    /// only of this host
+    /// only events of this host
     #[argh(option)]
     pub(crate) host: Option<String>,
     /// only events with this number
@@ -158,22 +158,22 @@
     pub(crate) format: Option<String>,
 }
 
-/// Counts what callers lost, by the logs of gateways: in time, late, refused, failed, cut off.
+/// Counts requests by outcome from gateways' logs: in time, late, refused, failed, cut off, left.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "losses")]
 pub(crate) struct Losses {
-    /// by what to count: rule, rank, customer, second or reason; default rank
+    /// what to group by: rule, rank, customer, second or reason; default rank
     #[argh(option)]
     pub(crate) by: Option<String>,
     /// text or svg; default text
     #[argh(option)]
     pub(crate) format: Option<String>,
-    /// logs of gateways, with or without the second before each line
+    /// logs of gateways, with or without a time in seconds before each line
     #[argh(positional)]
     pub(crate) logs: Vec<String>,
 }
 
-/// Checks the settings of a role, as the environment has them, and starts nothing.
+/// Checks the settings of a role from the environment, without starting it.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "check")]
 pub(crate) struct Check {
@@ -182,7 +182,7 @@
     pub(crate) role: String,
 }
 
-/// Prints the hash of a key that is read from standard input.
+/// Prints the hash of a key read from standard input.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "digest")]
 pub(crate) struct Digest {}
--- a/crates/curlewlift/src/settings/mod.rs
+++ b/crates/curlewlift/src/settings/mod.rs
@@ -1,8 +1,10 @@
-//! Settings: flags before variables before defaults; what cannot be right ends the start.
+//! Settings: a flag takes precedence over an environment variable, and that over the default.
+//!
+//! An invalid setting ends the process at start.
 
 mod args;
-mod known;
 mod resolve;
+mod variables;
 
 pub(crate) use args::Args;
 pub(crate) use args::Command;
@@ -12,9 +14,9 @@
 pub(crate) use args::Operate;
 pub(crate) use args::Platform;
 pub(crate) use args::Timeline;
-pub(crate) use known::unknown;
 pub(crate) use resolve::Common;
 pub(crate) use resolve::Control;
 pub(crate) use resolve::Entry;
 pub(crate) use resolve::Environment;
 pub(crate) use resolve::Operator;
+pub(crate) use variables::reject_unknown_variables;
--- a/crates/curlewlift/src/settings/resolve.rs
+++ b/crates/curlewlift/src/settings/resolve.rs
@@ -1,4 +1,4 @@
-//! From flags and variables to values.
+//! Resolves flags and environment variables to typed settings.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -14,19 +14,19 @@
 
 use super::args;
 
-/// The environment's variables.
+/// The environment variables that are valid UTF-8.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Environment(BTreeMap<String, String>);
 
 impl Environment {
-    /// This process's own.
-    pub(crate) fn own() -> Self {
-        let text = std::env::vars_os().filter_map(|(name, value)| {
+    /// The variables of this process.
+    pub(crate) fn from_process() -> Self {
+        let variables = std::env::vars_os().filter_map(|(name, value)| {
             let name = name.into_string().ok()?;
             let value = value.into_string().ok()?;
             Some((name, value))
         });
-        Self(text.collect())
+        Self(variables.collect())
     }
 
     pub(crate) fn names(&self) -> impl Iterator<Item = &str> {
@@ -38,26 +38,27 @@
     }
 }
 
-/// One setting: its flag's value, its flag's name, and what it must be.
+/// A setting: the value and the name of its flag, and a description of valid values.
 struct Setting<'a> {
     flag: Option<&'a String>,
     name: &'static str,
-    wanted: &'static str,
+    expected: &'static str,
 }
 
 impl Setting<'_> {
-    /// `CURLEWLIFT_` and the flag's name in capitals.
-    fn variable(&self) -> String {
+    /// The name of the environment variable: `CURLEWLIFT_` and the flag's name in capitals.
+    fn variable_name(&self) -> String {
         format!("CURLEWLIFT_{}", self.name.to_uppercase().replace('-', "_"))
     }
 
+    /// The value of the flag, or else of the environment variable.
     fn text<'b>(&'b self, environment: &'b Environment) -> Option<&'b String> {
-        self.flag.or_else(|| environment.get(&self.variable()))
+        self.flag.or_else(|| environment.get(&self.variable_name()))
     }
 
-    fn bad(&self, value: &str, why: &dyn Display) -> Refusal {
-        let (name, variable, wanted) = (self.name, self.variable(), self.wanted);
-        let detail = format!("--{name} ({variable}): `{value}` is not right: {why}; give {wanted}");
+    fn invalid(&self, value: &str, why: &dyn Display) -> Refusal {
+        let (name, variable, expected) = (self.name, self.variable_name(), self.expected);
+        let detail = format!("--{name} ({variable}): `{value}` is invalid: {why}; give {expected}");
         Refusal::new(Code::BadSetting, detail)
     }
 
@@ -69,23 +70,25 @@
         let Some(text) = self.text(environment) else {
             return Ok(None);
         };
-        text.parse().map(Some).map_err(|why| self.bad(text, &why))
+        text.parse()
+            .map(Some)
+            .map_err(|why| self.invalid(text, &why))
     }
 
-    fn needed<T>(&self, environment: &Environment) -> Result<T, Refusal>
+    fn required<T>(&self, environment: &Environment) -> Result<T, Refusal>
     where
         T: FromStr,
         T::Err: Display,
     {
         let missing = || {
-            let (name, variable, wanted) = (self.name, self.variable(), self.wanted);
-            let detail = format!("--{name} ({variable}) is missing: give {wanted}");
+            let (name, variable, expected) = (self.name, self.variable_name(), self.expected);
+            let detail = format!("--{name} ({variable}) is missing: give {expected}");
             Refusal::new(Code::BadSetting, detail)
         };
         self.optional(environment)?.ok_or_else(missing)
     }
 
-    /// Milliseconds within a range.
+    /// A duration in milliseconds within `range`.
     fn millis(
         &self,
         environment: &Environment,
@@ -94,18 +97,26 @@
     ) -> Result<Duration, Refusal> {
         let millis: u64 = self.optional(environment)?.unwrap_or(default);
         if !range.contains(&millis) {
-            let why = format!("it is not from {} to {}", range.start(), range.end());
-            return Err(self.bad(&millis.to_string(), &why));
+            let why = format!("it is not between {} and {}", range.start(), range.end());
+            return Err(self.invalid(&millis.to_string(), &why));
         }
         Ok(Duration::from_millis(millis))
     }
 }
 
-fn setting<'a>(flag: Option<&'a String>, name: &'static str, wanted: &'static str) -> Setting<'a> {
-    Setting { flag, name, wanted }
+fn setting<'a>(
+    flag: Option<&'a String>,
+    name: &'static str,
+    expected: &'static str,
+) -> Setting<'a> {
+    Setting {
+        flag,
+        name,
+        expected,
+    }
 }
 
-/// Where the control replicas are: `NAME=ADDRESS:PORT,...`.
+/// The addresses of the control replicas, written as `NAME=ADDRESS:PORT,...`.
 #[derive(Clone, Debug)]
 struct Peers(BTreeMap<id::Host, SocketAddr>);
 
@@ -121,35 +132,37 @@
                 .parse()
                 .map_err(|why: id::Invalid| why.to_string())?;
             let address = address.trim().parse();
-            let address = address.map_err(|_| format!("`{part}` has no IP address and port"))?;
+            let address = address
+                .map_err(|_| format!("`{part}` is not an IP address and port after the `=`"))?;
             if peers.insert(name, address).is_some() {
-                return Err(format!("`{part}` names a host a second time"));
+                return Err(format!("`{part}` names a host that is already in the list"));
             }
         }
         Ok(Self(peers))
     }
 }
 
-const ADDRESS: &str = "an IP address and port, such as 127.0.0.1:7001";
-const NAME: &str = "a name of a-z, 0-9, `-`, `_`, `.`";
-const PEERS: &str = "NAME=ADDRESS:PORT,... of every control replica";
-const LEASE: &str = "milliseconds from 500 to 60000";
+/// Descriptions of valid values, for error messages.
+const EXPECTED_ADDRESS: &str = "an IP address and port, such as 127.0.0.1:7001";
+const EXPECTED_NAME: &str = "a name of a-z, 0-9, `-`, `_`, `.`";
+const EXPECTED_PEERS: &str = "NAME=ADDRESS:PORT,... of every control replica";
+const EXPECTED_LEASE: &str = "milliseconds from 500 to 60000";
 
-/// How many renewals fit into a lease.
-const RENEWALS: u32 = 5;
+/// How many times an entry renews its lease within the duration of the lease.
+const RENEWALS_PER_LEASE: u32 = 5;
 
-fn lease(flag: Option<&String>, environment: &Environment) -> Result<LeaseTiming, Refusal> {
-    let setting = setting(flag, "lease-ms", LEASE);
+fn lease_timing(flag: Option<&String>, environment: &Environment) -> Result<LeaseTiming, Refusal> {
+    let setting = setting(flag, "lease-ms", EXPECTED_LEASE);
     let duration = setting.millis(environment, 500..=60_000, 2_000)?;
     Ok(LeaseTiming {
         duration,
         max_drift: duration / 20,
-        renew_interval: duration / RENEWALS,
+        renew_interval: duration / RENEWALS_PER_LEASE,
         ..LeaseTiming::default()
     })
 }
 
-/// Settings of every role.
+/// Settings that all roles share.
 #[derive(Clone, Debug)]
 pub(crate) struct Common {
     pub(crate) level: log::LevelFilter,
@@ -161,12 +174,12 @@
     pub(crate) fn new(args: &args::Args, environment: &Environment) -> Result<Self, Refusal> {
         let level = setting(args.log.as_ref(), "log", "error, warn, info or debug");
         let format = setting(args.log_format.as_ref(), "log-format", "text or json");
-        let metrics = setting(args.metrics.as_ref(), "metrics", ADDRESS);
-        let chosen: Option<String> = format.optional(environment)?;
-        let json = match chosen.as_deref() {
+        let metrics = setting(args.metrics.as_ref(), "metrics", EXPECTED_ADDRESS);
+        let format_name: Option<String> = format.optional(environment)?;
+        let json = match format_name.as_deref() {
             None | Some("text") => false,
             Some("json") => true,
-            Some(other) => return Err(format.bad(other, &"there is no such format")),
+            Some(other) => return Err(format.invalid(other, &"there is no such format")),
         };
         Ok(Self {
             level: level
@@ -192,26 +205,28 @@
 
 impl Entry {
     pub(crate) fn new(args: &args::Entry, environment: &Environment) -> Result<Self, Refusal> {
-        let rpc: SocketAddr = setting(args.rpc.as_ref(), "rpc", ADDRESS).needed(environment)?;
-        let http_setting = setting(args.http.as_ref(), "http", ADDRESS);
-        let http: SocketAddr = http_setting.needed(environment)?;
+        let rpc: SocketAddr =
+            setting(args.rpc.as_ref(), "rpc", EXPECTED_ADDRESS).required(environment)?;
+        let http_setting = setting(args.http.as_ref(), "http", EXPECTED_ADDRESS);
+        let http: SocketAddr = http_setting.required(environment)?;
         if rpc == http {
             let why = "it is the same as --rpc";
-            return Err(http_setting.bad(&http.to_string(), &why));
+            return Err(http_setting.invalid(&http.to_string(), &why));
         }
-        let peers: Peers = setting(args.control.as_ref(), "control", PEERS).needed(environment)?;
+        let peers: Peers =
+            setting(args.control.as_ref(), "control", EXPECTED_PEERS).required(environment)?;
         let keep = setting(
             args.keep_ms.as_ref(),
             "keep-ms",
             "milliseconds from 0 to 600000",
         );
         Ok(Self {
-            host: setting(args.host.as_ref(), "host", NAME).needed(environment)?,
-            hall: setting(args.hall.as_ref(), "hall", NAME).needed(environment)?,
+            host: setting(args.host.as_ref(), "host", EXPECTED_NAME).required(environment)?,
+            hall: setting(args.hall.as_ref(), "hall", EXPECTED_NAME).required(environment)?,
             rpc,
             http,
             control: peers.0.into_values().collect(),
-            lease: lease(args.lease_ms.as_ref(), environment)?,
+            lease: lease_timing(args.lease_ms.as_ref(), environment)?,
             keep: keep.millis(environment, 0..=600_000, 5_000)?,
         })
     }
@@ -231,13 +246,14 @@
 
 impl Control {
     pub(crate) fn new(args: &args::Control, environment: &Environment) -> Result<Self, Refusal> {
-        let host_setting = setting(args.host.as_ref(), "host", NAME);
-        let host: id::Host = host_setting.needed(environment)?;
-        let rpc = setting(args.rpc.as_ref(), "rpc", ADDRESS).needed(environment)?;
-        let peers: Peers = setting(args.control.as_ref(), "control", PEERS).needed(environment)?;
+        let host_setting = setting(args.host.as_ref(), "host", EXPECTED_NAME);
+        let host: id::Host = host_setting.required(environment)?;
+        let rpc = setting(args.rpc.as_ref(), "rpc", EXPECTED_ADDRESS).required(environment)?;
+        let peers: Peers =
+            setting(args.control.as_ref(), "control", EXPECTED_PEERS).required(environment)?;
         if peers.0.get(&host) != Some(&rpc) {
             let why = "--control does not name this host with the address of --rpc";
-            return Err(host_setting.bad(host.as_str(), &why));
+            return Err(host_setting.invalid(host.as_str(), &why));
         }
         let data = setting(args.data.as_ref(), "data", "a folder of its own");
         let found = setting(args.found.as_ref(), "found", "true or false");
@@ -245,15 +261,16 @@
             host,
             rpc,
             peers: peers.0,
-            platform: setting(args.platform.as_ref(), "platform", ADDRESS).optional(environment)?,
-            data: data.needed(environment)?,
+            platform: setting(args.platform.as_ref(), "platform", EXPECTED_ADDRESS)
+                .optional(environment)?,
+            data: data.required(environment)?,
             found: found.optional(environment)?.unwrap_or(false),
-            lease: lease(args.lease_ms.as_ref(), environment)?,
+            lease: lease_timing(args.lease_ms.as_ref(), environment)?,
         })
     }
 }
 
-/// Settings of an operator's client.
+/// Settings of the operators' client.
 #[derive(Clone, Debug)]
 pub(crate) struct Operator {
     pub(crate) name: id::Operator,
@@ -263,16 +280,21 @@
 
 impl Operator {
     pub(crate) fn new(args: &args::Operate, environment: &Environment) -> Result<Self, Refusal> {
-        let peers: Peers = setting(args.control.as_ref(), "control", PEERS).needed(environment)?;
-        let name = setting(args.operator.as_ref(), "operator", NAME).optional(environment)?;
-        let root = || {
-            "root"
-                .parse()
-                .map_err(|_| Refusal::new(Code::Internal, "root is a name"))
+        let peers: Peers =
+            setting(args.control.as_ref(), "control", EXPECTED_PEERS).required(environment)?;
+        let name =
+            setting(args.operator.as_ref(), "operator", EXPECTED_NAME).optional(environment)?;
+        let default_name = || {
+            "root".parse().map_err(|_| {
+                Refusal::new(
+                    Code::Internal,
+                    "the default operator name `root` is invalid",
+                )
+            })
         };
         let name = match name {
             Some(name) => name,
-            None => root()?,
+            None => default_name()?,
         };
         let key = match &args.key_file {
             Some(path) => std::fs::read_to_string(path).map_err(|why| {
@@ -294,6 +316,6 @@
 impl args::Platform {
     /// The path of the platform's settings file.
     pub(crate) fn path(&self, environment: &Environment) -> Result<PathBuf, Refusal> {
-        setting(self.config.as_ref(), "config", "the path of a file").needed(environment)
+        setting(self.config.as_ref(), "config", "the path of a file").required(environment)
     }
 }
--- a/crates/curlewlift/src/timeline/mod.rs
+++ b/crates/curlewlift/src/timeline/mod.rs
@@ -1,8 +1,8 @@
 //! This process's part of the time line, and pictures of the whole.
 
-mod keep;
-mod picture;
+mod recorder;
+mod svg;
 
-pub(crate) use keep::Timeline;
-pub(crate) use picture::draw;
-pub(crate) use picture::escape;
+pub(crate) use recorder::Timeline;
+pub(crate) use svg::draw;
+pub(crate) use svg::escape;
--- a/crates/curlewlift/src/timeline/keep.rs
+++ b/crates/curlewlift/src/timeline/recorder.rs
@@ -55,7 +55,7 @@
     }
 
     /// Takes note of another process's moment.
-    pub(crate) fn meet(&self, other: Stamp) {
+    pub(crate) fn observe(&self, other: Stamp) {
         self.lock().clock.meet(other);
     }
 
