--- a/crates/curlewlift/src/control/daemon.rs
+++ b/crates/curlewlift/src/control/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts a control replica and drives it.
+//! Starts a control replica and runs its event loop.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -31,13 +31,13 @@
 use super::gateways::Gateways;
 use super::replica::State;
 
-/// Between two looks at the clock.
-const TICK: Duration = Duration::from_millis(20);
+/// The interval between two ticks of the replica.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Between two attempts of a blank replica to be taken in.
-const JOIN: Duration = Duration::from_millis(300);
+/// The interval between two attempts of a blank replica to join.
+const JOIN_INTERVAL: Duration = Duration::from_millis(300);
 
-/// A control replica, to be started.
+/// The builder of a control replica.
 ///
 /// # Examples
 ///
@@ -68,7 +68,7 @@
 
 /// # Settings
 impl Control {
-    /// A replica on `host` that other processes reach at `listener`.
+    /// Creates a replica on `host` that accepts other processes' connections on `listener`.
     #[must_use]
     pub fn new(host: id::Host, listener: TcpListener) -> Self {
         Self {
@@ -85,56 +85,56 @@
         }
     }
 
-    /// Serves gateways, and takes in replicas as they ask.
+    /// Serves gateways, and admits replicas as they ask instead of by configuration.
     #[must_use]
     pub(crate) fn gateways(mut self, gateways: Gateways) -> Self {
         self.gateways = Some(gateways);
         self
     }
 
-    /// Goes by `clock`, and not by one of its own.
+    /// Uses `clock` instead of a clock of its own.
     #[must_use]
     pub fn clock(mut self, clock: Clock) -> Self {
         self.clock = clock;
         self
     }
 
-    /// The folder of its files.
+    /// The folder for the replica's files.
     #[must_use]
     pub fn data(mut self, data: PathBuf) -> Self {
         self.data = data;
         self
     }
 
-    /// Whether it founds a new log where the folder is empty, instead of joining one.
+    /// Whether to found a new log if the folder is empty, instead of joining one.
     #[must_use]
     pub fn found(mut self, found: bool) -> Self {
         self.found = found;
         self
     }
 
-    /// Where the control replicas are reached.
+    /// The addresses of the control replicas.
     #[must_use]
     pub fn peers(mut self, peers: BTreeMap<id::Host, SocketAddr>) -> Self {
         self.peers = peers;
         self
     }
 
-    /// Where the platform tells its list of live and leaving hosts.
+    /// The address where the platform serves its list of live and leaving hosts.
     #[must_use]
     pub fn platform(mut self, platform: Option<SocketAddr>) -> Self {
         self.platform = platform;
         self
     }
 
-    /// How long elections and heartbeats take.
+    /// The timing of elections and heartbeats.
     #[must_use]
     pub fn timing(mut self, timing: Timing) -> Self {
         self.timing = timing;
         self
     }
 
-    /// How long the entries' leases last; the entries must have the same.
+    /// The timing of the entries' leases; the entries must be configured alike.
     #[must_use]
     pub fn lease(mut self, lease: LeaseTiming) -> Self {
         self.lease = lease;
@@ -142,19 +142,20 @@
     }
 }
 
-/// # Life
+/// # Lifecycle
 impl Control {
-    /// Starts it on a thread of its own.
+    /// Starts the replica on a thread of its own.
     ///
     /// # Errors
     ///
-    /// [`Code::Damaged`] or [`Code::DiskFailed`] where the folder cannot be used.
+    /// [`Code::Damaged`] or [`Code::DiskFailed`] if the folder cannot be used.
     pub fn start(self) -> Result<Process, Refusal> {
         let journal = self.open()?;
         let name = format!("control {}", self.host);
         Process::start(&name, move |signal| run(self, journal, signal))
     }
 
+    /// Opens the journal, or creates it if the folder has none.
     fn open(&self) -> Result<Journal, Refusal> {
         if let Some(journal) = Journal::open(&self.data)? {
             return Ok(journal);
@@ -169,18 +170,23 @@
     }
 }
 
-/// Ends the writing where a replica ends, killed or not: what connections still hold of its state may go later.
-struct Closing(Rc<RefCell<State>>);
+/// Closes the journal writer when the replica ends, killed or not.
+///
+/// Connections may still hold the state then, and drop it only later.
+struct CloseWriterOnDrop(Rc<RefCell<State>>);
 
-impl Drop for Closing {
+impl Drop for CloseWriterOnDrop {
     fn drop(&mut self) {
         match self.0.try_borrow_mut() {
             Ok(mut state) => state.close(),
-            Err(why) => log::error!("the journal may still be written to: {why}"),
+            Err(why) => log::error!(
+                "cannot close the journal writer, the journal may still be written to: {why}"
+            ),
         }
     }
 }
 
+/// Runs the replica until it is stopped or its disk fails.
 async fn run(control: Control, journal: Journal, mut signal: Signal) -> Result<(), Refusal> {
     let clock = control.clock;
     let timeline = Timeline::new(control.host.as_str());
@@ -191,10 +197,10 @@
             format!("the listener has no address: {why}"),
         )
     })?;
-    let saved = journal.get_kept().clone();
-    let (done, mut synced) = mpsc::unbounded_channel();
+    let saved = journal.get_saved().clone();
+    let (sync_sender, mut sync_results) = mpsc::unbounded_channel();
     let writer = Writer::start(journal, move |result| {
-        let _ = done.send(result);
+        let _ = sync_sender.send(result);
     })?;
     let seed = rand::rng().next_u64();
     let replica = Replica::new(
@@ -213,22 +219,22 @@
             .clock(clock)
             .gateways(control.gateways),
     ));
-    let _closing = Closing(Rc::clone(&state));
+    let _close_writer = CloseWriterOnDrop(Rc::clone(&state));
     let handler = super::handler::handler(Rc::clone(&state), timeline.clone());
     tokio::task::spawn_local(rpc::serve(listener, handler, timeline.clone()));
     timeline.note(Line::new(Kind::Started).detail(format_args!("control, rpc={address}")));
     if let Some(platform) = control.platform {
         tokio::task::spawn_local(super::platform::watch(Rc::clone(&state), platform));
     }
-    state.borrow_mut().settle();
-    let mut tick = tokio::time::interval(TICK);
-    let mut join = tokio::time::interval(JOIN);
+    state.borrow_mut().process_output();
+    let mut tick_timer = tokio::time::interval(TICK_INTERVAL);
+    let mut join_timer = tokio::time::interval(JOIN_INTERVAL);
     loop {
         tokio::select! {
-            _ = tick.tick() => state.borrow_mut().tick(),
-            _ = join.tick() => state.borrow_mut().join(),
-            Some(result) = synced.recv() => match result {
-                Ok(sync) => state.borrow_mut().synced(sync),
+            _ = tick_timer.tick() => state.borrow_mut().tick(),
+            _ = join_timer.tick() => state.borrow_mut().join(),
+            Some(result) = sync_results.recv() => match result {
+                Ok(sync) => state.borrow_mut().on_synced(sync),
                 Err(refusal) => {
                     timeline.note(Line::new(Kind::DiskFailed).detail(&refusal));
                     return Err(refusal);
--- a/crates/curlewlift/src/control/distribution.rs
+++ b/crates/curlewlift/src/control/distribution.rs
@@ -1,4 +1,4 @@
-//! Hands out the routing table in force, in pieces.
+//! Distributes the active routing table to gateways in chunks.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,27 +14,27 @@
 use super::hub;
 use super::replica::State;
 
-/// How long a gateway waits for its turn before it is told to ask again.
-const TURN: Duration = Duration::from_millis(1_500);
+/// How long a gateway waits for a slot to fetch the table before it has to ask again.
+const FETCH_SLOT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The piece of table `number` that follows its first `from` bytes.
-pub(super) async fn piece(
+/// The chunk of table `number` after its first `from` bytes; none if no fetch slot became free in time.
+pub(super) async fn chunk(
     state: &Rc<RefCell<State>>,
     host: &id::Host,
     number: u64,
     from: usize,
 ) -> Result<HubReply, Refusal> {
-    let until = Instant::now() + TURN;
+    let until = Instant::now() + FETCH_SLOT_TIMEOUT;
     loop {
-        if let Some(elsewhere) = hub::elsewhere(&state.borrow()) {
-            return Ok(elsewhere);
+        if let Some(redirect) = hub::redirect_unless_leading(&state.borrow()) {
+            return Ok(redirect);
         }
-        if let Some(piece) = state.borrow_mut().cut(host, number, from)? {
-            return Ok(HubReply::Piece(Some(piece)));
+        if let Some(chunk) = state.borrow_mut().next_chunk(host, number, from)? {
+            return Ok(HubReply::Piece(Some(chunk)));
         }
-        // Whoever has waited longest is woken for each turn that is free.
-        let turn = Rc::clone(&state.borrow().turn);
-        if tokio::time::timeout_at(until, turn.notified())
+        // Each free slot wakes the gateway that has waited longest.
+        let free_fetch_slot = Rc::clone(&state.borrow().free_fetch_slot);
+        if tokio::time::timeout_at(until, free_fetch_slot.notified())
             .await
             .is_err()
         {
@@ -44,30 +44,35 @@
 }
 
 impl State {
-    /// The piece, where it is the gateway's turn; an empty one where it has got the whole.
-    fn cut(&mut self, host: &id::Host, number: u64, from: usize) -> Result<Option<Chunk>, Refusal> {
+    /// The next chunk, if the gateway has a fetch slot; an empty chunk after the end of the table.
+    fn next_chunk(
+        &mut self,
+        host: &id::Host,
+        number: u64,
+        from: usize,
+    ) -> Result<Option<Chunk>, Refusal> {
         let now = self.clock.now();
         let publication = self.machine.get_publication();
-        let handout = self.hub.as_mut().ok_or_else(hub::begun)?.distribution();
-        if !handout.admit(host, now) {
+        let distribution = self.hub.as_mut().ok_or_else(hub::not_ready)?.distribution();
+        if !distribution.admit(host, now) {
             return Ok(None);
         }
-        let piece = Chunk::cut(publication, number, from);
-        if piece.offset == piece.total_len {
-            handout.finish(host);
-            self.turn.notify_one();
+        let chunk = Chunk::cut(publication, number, from);
+        if chunk.offset == chunk.total_len {
+            distribution.finish(host);
+            self.free_fetch_slot.notify_one();
         }
-        Ok(Some(piece))
+        Ok(Some(chunk))
     }
 
-    /// Gives the turns of those that ask no more to others.
-    pub(super) fn tick_handout(&mut self) {
+    /// Frees the fetch slots of gateways that have stopped asking.
+    pub(super) fn tick_distribution(&mut self) {
         let now = self.clock.now();
         let Some(hub) = &mut self.hub else {
             return;
         };
         for _ in 0..hub.distribution().expire(now) {
-            self.turn.notify_one();
+            self.free_fetch_slot.notify_one();
         }
     }
 }
--- a/crates/curlewlift/src/control/evacuations.rs
+++ b/crates/curlewlift/src/control/evacuations.rs
@@ -1,4 +1,4 @@
-//! Evacuations of data halls beside the leader: orders are agreed, then taken up by the hub.
+//! Evacuations of data halls on the leader: an order is committed to the log, then applied to the hub.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -17,11 +17,11 @@
 
 type Shared = Rc<RefCell<State>>;
 
-/// Takes an order; answered once it is agreed, or where it would change nothing.
+/// Commits an order; returns once it is committed, or at once if it would change nothing.
 pub(super) async fn order(state: &Shared, mut order: Order) -> Result<HubReply, Refusal> {
     order.given_ms = unix_ms();
-    let answer = agree(state, order.clone()).await;
-    let code = answer
+    let result = commit(state, order.clone()).await;
+    let code = result
         .as_ref()
         .err()
         .map_or(0, |why| why.get_code().number());
@@ -29,37 +29,38 @@
     let line = Line::new(Kind::EvacuationOrdered)
         .detail(format_args!("hall={hall} action={action} code={code}"));
     state.borrow().timeline.note(line);
-    answer.map(|()| HubReply::Ordered)
+    result.map(|()| HubReply::Ordered)
 }
 
-async fn agree(state: &Shared, order: Order) -> Result<(), Refusal> {
-    let wait = {
+async fn commit(state: &Shared, order: Order) -> Result<(), Refusal> {
+    let committed = {
         let mut state = state.borrow_mut();
-        // Leading surely and settled, what is applied here is what is committed.
+        // A leader that a majority confirms has applied everything that is committed.
         if state.machine.get_evacuated_halls().is_applied(&order) {
             return Ok(());
         }
-        state.outlives_losses()?;
+        state.ensure_enough_replicas()?;
         state.propose(&Record::Evacuation(order))?
     };
-    let lost = "the leader changed; send the same order again to learn what became of it";
-    wait.await
-        .map_err(|_| Refusal::new(Code::Unreachable, lost))??;
+    let leader_changed = "the leader changed; send the same order again to learn its result";
+    committed
+        .await
+        .map_err(|_| Refusal::new(Code::Unreachable, leader_changed))??;
     Ok(())
 }
 
 impl State {
-    /// Takes up an order that was agreed.
-    pub(super) fn take_up_evacuation(&mut self, order: &Order) {
-        let (hall, action, given) = (&order.hall, order.action, order.given_ms);
-        let detail = format!("hall={hall} action={action} given_ms={given}");
+    /// Notes a committed order on the timeline and applies it to the hub.
+    pub(super) fn apply_evacuation_order(&mut self, order: &Order) {
+        let (hall, action, given_ms) = (&order.hall, order.action, order.given_ms);
+        let detail = format!("hall={hall} action={action} given_ms={given_ms}");
         self.timeline
             .note(Line::new(Kind::EvacuationAgreed).detail(detail));
-        self.take_up_evacuated();
+        self.apply_evacuated_halls();
     }
 
-    /// Gives the hub the data halls that are evacuated.
-    pub(super) fn take_up_evacuated(&mut self) {
+    /// Updates the hub to the evacuated data halls.
+    pub(super) fn apply_evacuated_halls(&mut self) {
         let Some(hub) = &mut self.hub else {
             return;
         };
@@ -67,6 +68,6 @@
         hub.apply_evacuations(evacuated);
         #[allow(clippy::cast_precision_loss)]
         metrics::gauge!("curlewlift_halls_evacuated").set(evacuated.iter().count() as f64);
-        self.news.notify_waiters();
+        self.updates.notify_waiters();
     }
 }
--- a/crates/curlewlift/src/control/gateways.rs
+++ b/crates/curlewlift/src/control/gateways.rs
@@ -1,4 +1,4 @@
-//! What a control replica needs to serve gateways.
+//! Configuration of a control replica that serves gateways.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,25 +12,25 @@
 
 use super::KnownHosts;
 
-/// Reads a routing table.
+/// Decodes a routing table.
 pub(crate) type Decode = fn(&Publication) -> Result<Table, Refusal>;
 
-/// Tells where the control replica on a host is reached.
+/// Returns the address of the control replica on a host.
 pub(crate) type Locate = Arc<dyn Fn(&id::Host) -> Option<SocketAddr> + Send + Sync>;
 
-/// What a control replica needs to serve gateways, where hosts are not configured by name.
+/// What a control replica needs to serve gateways if hosts are not configured by name.
 #[derive(Clone)]
 pub(crate) struct Gateways {
-    /// Reads a routing table.
+    /// Decodes a routing table.
     pub(crate) decode: Decode,
-    /// Where the replica on a host is reached that nobody has named.
+    /// Returns the address of the replica on a host that is not configured.
     pub(crate) locate: Locate,
-    /// The hosts that are known to keep a replica.
+    /// The hosts that are known to run a replica.
     pub(crate) known: KnownHosts,
-    /// How many replicas must count before a first table is accepted: what is accepted must
-    /// outlive the loss of as many disks as the deployment says.
+    /// The minimum number of voting replicas before a first table is accepted: accepted tables
+    /// must survive the loss of as many disks as the deployment tolerates.
     pub(crate) replicas: usize,
-    /// How long silence of a gateway means what, and what is borne.
+    /// Timeouts for unresponsive gateways, and the tolerated losses.
     pub(crate) tuning: Tuning,
 }
 
--- a/crates/curlewlift/src/control/handler.rs
+++ b/crates/curlewlift/src/control/handler.rs
@@ -1,4 +1,4 @@
-//! Answers what other processes and operators ask a control replica.
+//! Handles the calls that a control replica receives from other processes and from operators.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 
 type Shared = Rc<RefCell<State>>;
 
-/// What answers each method.
+/// The handler for all methods of the RPC schema.
 pub(super) fn handler(state: Shared, timeline: Timeline) -> Handler {
     Rc::new(move |method, body| {
         let state = Rc::clone(&state);
@@ -44,7 +44,7 @@
                 }
                 Method::Claim | Method::Ask => Err(Refusal::new(
                     Code::WrongMethod,
-                    "a control replica keeps no requests",
+                    "a control replica does not store requests",
                 )),
             }
         }
@@ -52,15 +52,17 @@
     })
 }
 
+/// Passes a message of the replicated log to the replica.
 fn step(state: &Shared, body: &[u8]) -> Result<Vec<u8>, Refusal> {
     let (message, address): (Message, SocketAddr) = rpc::decode(body)?;
     state.borrow_mut().receive(message, address);
     Ok(rpc::encode(&()))
 }
 
+/// Handles a heartbeat: of a gateway, of a replica that asks to join, or of an entry.
 async fn renew(state: &Shared, body: &[u8]) -> Result<Vec<u8>, Refusal> {
     match rpc::decode(body)? {
-        RenewCall::Hub(call) => super::hub::answer(state, call)
+        RenewCall::Hub(call) => super::hub::respond(state, call)
             .await
             .map(|reply| rpc::encode(&reply)),
         RenewCall::Replica { host, disk } => {
@@ -69,11 +71,14 @@
         }
         RenewCall::Entry(renewal) => {
             let mut state = state.borrow_mut();
-            state.leads()?;
+            state.ensure_leading()?;
             let now = state.clock.now();
             let state = &mut *state;
             let Some(grantor) = &mut state.grantor else {
-                return Err(Refusal::new(Code::NotLeader, "it has only begun to lead"));
+                return Err(Refusal::new(
+                    Code::NotLeader,
+                    "this replica has just become the leader and is not ready yet",
+                ));
             };
             let grant = grantor.renew(&renewal, &state.machine, now)?;
             Ok(rpc::encode(&grant))
@@ -81,13 +86,14 @@
     }
 }
 
+/// Runs a command of an operator and notes it on the timeline.
 async fn command(state: &Shared, body: &[u8]) -> Result<Vec<u8>, Refusal> {
     let call: CommandCall = rpc::decode(body)?;
     let operator = call.operator.clone();
     let number = call.number;
     let line = call.line.clone();
-    let answer = run(state, call).await;
-    let code = answer
+    let result = run(state, call).await;
+    let code = result
         .as_ref()
         .map_or_else(|why| why.get_code().number(), |_| 0);
     let detail = format!("operator={operator} number={number} code={code} line={line}");
@@ -95,9 +101,10 @@
         .borrow()
         .timeline
         .note(Line::new(Kind::Command).detail(detail));
-    answer.map(|text| rpc::encode(&text))
+    result.map(|text| rpc::encode(&text))
 }
 
+/// Checks that the operator may run the command, and runs it.
 async fn run(state: &Shared, call: CommandCall) -> Result<String, Refusal> {
     let statement = lang::parse(&call.line)?;
     let right = match &statement {
@@ -106,7 +113,7 @@
     };
     {
         let state = state.borrow();
-        state.leads()?;
+        state.ensure_leading()?;
         let digest = crate::key::digest(&call.key);
         state.machine.authorize(&call.operator, &digest, right)?;
     }
@@ -120,20 +127,23 @@
     }
 }
 
+/// Commits a change, unless the same command was committed before; returns the result.
 async fn change(state: &Shared, call: CommandCall) -> Result<String, Refusal> {
     let command = Command {
         operator: call.operator,
         number: call.number,
         line: call.line,
     };
-    let known = state.borrow().machine.recorded_result(&command);
-    let answer = if let Some(answer) = known {
-        answer
+    let recorded = state.borrow().machine.recorded_result(&command);
+    let result = if let Some(result) = recorded {
+        result
     } else {
-        let wait = state.borrow_mut().propose(&Record::Command(command))?;
-        let lost = "the leader changed; send the same number again to learn the answer";
-        wait.await
-            .map_err(|_| Refusal::new(Code::Unreachable, lost))?
+        let committed = state.borrow_mut().propose(&Record::Command(command))?;
+        let leader_changed =
+            "the leader changed; send the command again with the same number to learn its result";
+        committed
+            .await
+            .map_err(|_| Refusal::new(Code::Unreachable, leader_changed))?
     };
-    answer.map(|revision| format!("revision {revision}\n"))
+    result.map(|revision| format!("revision {revision}\n"))
 }
--- a/crates/curlewlift/src/control/hub.rs
+++ b/crates/curlewlift/src/control/hub.rs
@@ -1,4 +1,4 @@
-//! The hub beside the leader: takes up routing tables, and answers what gateways ask.
+//! The hub on the leader: applies routing tables and responds to gateways' calls.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -24,38 +24,39 @@
 type Shared = Rc<RefCell<State>>;
 
 /// How long a majority may take to confirm that this replica leads: some heartbeats.
-const CONFIRM: Duration = Duration::from_millis(600);
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Between two looks whether it has.
-const LOOK: Duration = Duration::from_millis(10);
+/// The interval between two checks of the confirmation.
+const CONFIRMATION_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-pub(super) async fn answer(state: &Shared, call: HubCall) -> Result<HubReply, Refusal> {
-    // Whoever leads, all may hear of hosts that keep a replica.
-    let of_leader = !matches!(call, HubCall::Introduce(_) | HubCall::Draw(_));
-    if of_leader && let Some(elsewhere) = elsewhere(&state.borrow()) {
-        return Ok(elsewhere);
+/// Responds to a gateway's call; a replica that does not lead names the leader instead.
+pub(super) async fn respond(state: &Shared, call: HubCall) -> Result<HubReply, Refusal> {
+    // Every replica accepts introductions and draws; all other calls are for the leader.
+    let needs_leader = !matches!(call, HubCall::Introduce(_) | HubCall::Draw(_));
+    if needs_leader && let Some(redirect) = redirect_unless_leading(&state.borrow()) {
+        return Ok(redirect);
     }
     match call {
-        HubCall::Ask(question) => ask(state, *question).await,
-        HubCall::Want(want) => super::slots::want(state, *want).await,
-        HubCall::Tell(report) => super::slots::tell(state, &report),
+        HubCall::Ask(poll) => respond_to_poll(state, *poll).await,
+        HubCall::Want(request) => super::slots::request_slot(state, *request).await,
+        HubCall::Tell(report) => super::slots::report(state, &report),
         HubCall::Piece { host, number, from } => {
-            super::distribution::piece(state, &host, number, from).await
+            super::distribution::chunk(state, &host, number, from).await
         }
         HubCall::Publish(publication) => publish(state, publication).await,
-        // Of many gateways those beside a replica are no deputies.
+        // With many gateways, those with a replica in their process are never standbys.
         HubCall::Draw(_) => Ok(HubReply::Drawn(false)),
         HubCall::Read => read(state).await,
         HubCall::Rollout(order) => super::rollouts::order(state, order).await,
         HubCall::RolloutOf(service) => super::rollouts::read(state, &service).await,
         HubCall::Evacuate(order) => super::evacuations::order(state, order).await,
-        HubCall::Introduce(hosts) => Ok(meet(&state.borrow(), hosts)),
+        HubCall::Introduce(hosts) => Ok(add_known_hosts(&state.borrow(), hosts)),
     }
 }
 
 impl State {
-    /// Gives the hub the table in force, and wakes those who wait for it.
-    pub(super) fn take_up(&mut self) {
+    /// Updates the hub to the active table, and wakes the polls that wait for it.
+    pub(super) fn apply_table(&mut self) {
         let publication = self.machine.get_publication();
         let (Some(hub), Some(gateways)) = (&mut self.hub, &self.gateways) else {
             return;
@@ -65,41 +66,41 @@
         }
         match (gateways.decode)(publication) {
             Ok(table) => hub.apply_table(&table, self.clock.now()),
-            Err(why) => log::error!("table {} cannot be read: {why}", publication.number),
+            Err(why) => log::error!("cannot decode routing table {}: {why}", publication.number),
         }
-        self.news.notify_waiters();
+        self.updates.notify_waiters();
     }
 
-    /// Whether there is something that the asker does not hold yet.
-    fn has_news(&mut self, question: &Poll) -> bool {
-        let is_newer = self.machine.get_publication().number > question.known_table;
+    /// Whether there is an update that the polling gateway does not have yet.
+    fn has_update(&mut self, poll: &Poll) -> bool {
+        let is_newer = self.machine.get_publication().number > poll.known_table;
         let hub = self.hub.as_mut();
-        is_newer || hub.is_some_and(|hub| hub.has_update(question))
+        is_newer || hub.is_some_and(|hub| hub.has_update(poll))
     }
 
-    /// For how much longer the asker waits to be told what is large and new to it.
-    fn until_turn(&mut self, question: &Poll) -> Duration {
+    /// How long the polling gateway must still wait for the time slot in which it receives large updates.
+    fn bulk_delay(&mut self, poll: &Poll) -> Duration {
         let now = self.clock.now();
         let publication = self.machine.get_publication();
         let hub = self.hub.as_mut();
-        let turn = hub.and_then(|hub| hub.bulk_time(question, publication, now));
-        turn.map_or(Duration::ZERO, |turn| turn.since(now))
+        let time = hub.and_then(|hub| hub.bulk_time(poll, publication, now));
+        time.map_or(Duration::ZERO, |time| time.since(now))
     }
 
-    /// Whether so many replicas count that what is accepted outlives the losses that the deployment names.
-    pub(super) fn outlives_losses(&self) -> Result<(), Refusal> {
+    /// Checks that enough replicas vote for accepted orders to survive the disk losses that the deployment tolerates.
+    pub(super) fn ensure_enough_replicas(&self) -> Result<(), Refusal> {
         let replicas = self.replica.members().voters().count();
         let needed = self.gateways.as_ref();
         let needed = needed.map_or(1, |gateways| gateways.replicas);
         if replicas < needed {
-            let why = format!("{replicas} control replicas count, {needed} must");
+            let why = format!("only {replicas} control replicas vote, {needed} are needed");
             return Err(Refusal::new(Code::NotLeader, why));
         }
         Ok(())
     }
 
-    /// Tells the hub that nobody can have used anything yet.
-    pub(super) fn first_table(&mut self) {
+    /// Notes in the hub that this is the first table: no quota or budget can have been used before it.
+    pub(super) fn mark_first_table(&mut self) {
         let now = self.clock.now();
         if let Some(hub) = &mut self.hub {
             hub.mark_first_table(now);
@@ -107,130 +108,137 @@
     }
 }
 
-/// The answer of a replica that does not surely lead.
-pub(super) fn elsewhere(state: &State) -> Option<HubReply> {
-    if state.leads().is_ok() {
+/// The response of a replica that is not confirmed as the leader; none if it is.
+pub(super) fn redirect_unless_leading(state: &State) -> Option<HubReply> {
+    if state.ensure_leading().is_ok() {
         return None;
     }
     let leader = state.replica.get_leader();
     let other = leader.filter(|leader| *leader != state.replica.get_host());
     Some(HubReply::Elsewhere {
         leader: other.cloned(),
-        control: members(state),
+        control: member_hosts(state),
     })
 }
 
 /// The hosts of the control replicas.
-fn members(state: &State) -> Vec<id::Host> {
+fn member_hosts(state: &State) -> Vec<id::Host> {
     let members = state.replica.members().0.iter();
     members.map(|member| member.host.clone()).collect()
 }
 
-/// Takes note of hosts that keep a replica.
-fn meet(state: &State, hosts: Vec<id::Host>) -> HubReply {
+/// Remembers hosts that run a replica.
+fn add_known_hosts(state: &State, hosts: Vec<id::Host>) -> HubReply {
     if let Some(gateways) = &state.gateways {
         gateways.known.add(hosts);
     }
     HubReply::Told
 }
 
-async fn ask(state: &Shared, question: Poll) -> Result<HubReply, Refusal> {
-    let mut has_news = hear(&mut state.borrow_mut(), &question)?;
-    let wait = state
+/// Responds to a poll at once if there is an update, or else when there is one or the poll times out.
+async fn respond_to_poll(state: &Shared, poll: Poll) -> Result<HubReply, Refusal> {
+    let mut has_update = on_poll(&mut state.borrow_mut(), &poll)?;
+    let timeout = state
         .borrow()
         .hub
         .as_ref()
-        .map(|hub| hub.poll_timeout(&question));
-    let until = Instant::now() + wait.unwrap_or_default();
-    while !has_news {
-        let news = Rc::clone(&state.borrow().news);
-        if timeout_at(until, news.notified()).await.is_err() {
+        .map(|hub| hub.poll_timeout(&poll));
+    let until = Instant::now() + timeout.unwrap_or_default();
+    while !has_update {
+        let updates = Rc::clone(&state.borrow().updates);
+        if timeout_at(until, updates.notified()).await.is_err() {
             break;
         }
-        // Most news concern few gateways: answering all would be a thousand answers for one server that leaves.
-        has_news = state.borrow_mut().has_news(&question);
+        // Most updates concern few gateways: responding to all would send a thousand responses for one draining server.
+        has_update = state.borrow_mut().has_update(&poll);
     }
-    let left = state.borrow_mut().until_turn(&question);
-    if !left.is_zero() {
-        let turn = Instant::now() + left;
-        tokio::time::sleep_until(turn.min(until)).await;
+    let delay = state.borrow_mut().bulk_delay(&poll);
+    if !delay.is_zero() {
+        let bulk_time = Instant::now() + delay;
+        tokio::time::sleep_until(bulk_time.min(until)).await;
     }
     let mut state = state.borrow_mut();
-    if let Some(elsewhere) = elsewhere(&state) {
-        return Ok(elsewhere);
+    if let Some(redirect) = redirect_unless_leading(&state) {
+        return Ok(redirect);
     }
-    let is_turn = state.until_turn(&question).is_zero();
+    let may_send_bulk = state.bulk_delay(&poll).is_zero();
     let now = state.clock.now();
     let publication = state.machine.get_publication().clone();
-    let control = members(&state);
+    let control = member_hosts(&state);
     let host = state.replica.get_host().clone();
-    let hub = state.hub.as_mut().ok_or_else(begun)?;
-    let mut reply = if is_turn {
-        hub.reply(&question, &publication, now)
+    let hub = state.hub.as_mut().ok_or_else(not_ready)?;
+    let mut reply = if may_send_bulk {
+        hub.reply(&poll, &publication, now)
     } else {
-        hub.small_reply(&question, &publication, now)
+        hub.small_reply(&poll, &publication, now)
     };
     reply.control_hosts = control;
-    reply.fetches_list = hub.fetcher(&host, now).as_ref() == Some(&question.host);
+    reply.fetches_list = hub.fetcher(&host, now).as_ref() == Some(&poll.host);
     reply.leader = Some(host);
     Ok(HubReply::News(Box::new(reply)))
 }
 
-/// Takes note of a question; true where it can be answered at once.
-fn hear(state: &mut State, question: &Poll) -> Result<bool, Refusal> {
+/// Processes the reports in a poll; returns true if it can be responded to at once.
+fn on_poll(state: &mut State, poll: &Poll) -> Result<bool, Refusal> {
     let now = state.clock.now();
-    let hub = state.hub.as_mut().ok_or_else(begun)?;
-    hub.on_poll(question, now);
-    let fetched = question.fetched_list.as_ref();
-    let fetched = fetched.filter(|listing| hub.get_server_list().version != listing.version);
-    if let Some(listing) = fetched {
-        hub.set_server_list(Arc::new(listing.clone()));
-        state.news.notify_waiters();
+    let hub = state.hub.as_mut().ok_or_else(not_ready)?;
+    hub.on_poll(poll, now);
+    let fetched = poll.fetched_list.as_ref();
+    let fetched = fetched.filter(|list| hub.get_server_list().version != list.version);
+    if let Some(list) = fetched {
+        hub.set_server_list(Arc::new(list.clone()));
+        state.updates.notify_waiters();
     }
-    let is_taken = fetched.is_some();
-    state.serve();
-    Ok(is_taken || state.has_news(question))
+    let is_new_list = fetched.is_some();
+    state.grant_slots();
+    Ok(is_new_list || state.has_update(poll))
 }
 
-/// The newest table, surely.
+/// The newest accepted table, confirmed by a majority.
 async fn read(state: &Shared) -> Result<HubReply, Refusal> {
     confirm(state).await?;
     let publication = state.borrow().machine.get_publication().clone();
     Ok(HubReply::Table(publication))
 }
 
-/// Waits until a majority has confirmed after the question that this replica leads: what it holds then is the
-/// newest that was accepted before.
+/// Waits until a majority confirms, after this call began, that this replica leads.
+///
+/// Its state then includes everything that was accepted before the call.
 pub(super) async fn confirm(state: &Shared) -> Result<(), Refusal> {
-    let asked = state.borrow().clock.now();
-    let confirmed = || state.borrow().replica.is_confirmed_since(asked);
-    let wait = async {
+    let called_at = state.borrow().clock.now();
+    let confirmed = || state.borrow().replica.is_confirmed_since(called_at);
+    let confirmation = async {
         while !confirmed() {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(CONFIRMATION_CHECK_INTERVAL).await;
         }
     };
-    if tokio::time::timeout(CONFIRM, wait).await.is_err() {
-        let why = "no majority confirms that this replica leads";
+    if tokio::time::timeout(CONFIRMATION_TIMEOUT, confirmation)
+        .await
+        .is_err()
+    {
+        let why = "no majority confirmed in time that this replica leads";
         return Err(Refusal::new(Code::NotLeader, why));
     }
     Ok(())
 }
 
+/// Commits a routing table; returns once it is committed, or at once if a table as new is active.
 async fn publish(state: &Shared, publication: Publication) -> Result<HubReply, Refusal> {
     let number = publication.number;
     let bytes = publication.document.as_packed().len();
-    let wait = {
+    let committed = {
         let mut state = state.borrow_mut();
-        // Leading surely and settled, what is applied here is what is committed.
+        // A leader that a majority confirms has applied everything that is committed.
         if number <= state.machine.get_publication().number {
             return Ok(HubReply::Published);
         }
-        state.outlives_losses()?;
+        state.ensure_enough_replicas()?;
         state.propose(&Record::Publication(publication))?
     };
-    let lost = "the leader changed; send the same table again to learn what became of it";
-    wait.await
-        .map_err(|_| Refusal::new(Code::Unreachable, lost))??;
+    let leader_changed = "the leader changed; send the same table again to learn its result";
+    committed
+        .await
+        .map_err(|_| Refusal::new(Code::Unreachable, leader_changed))??;
     state
         .borrow()
         .timeline
@@ -238,6 +246,10 @@
     Ok(HubReply::Published)
 }
 
-pub(super) fn begun() -> Refusal {
-    Refusal::new(Code::NotLeader, "it has only begun to lead")
+/// The refusal of a leader that has no hub or server list yet.
+pub(super) fn not_ready() -> Refusal {
+    Refusal::new(
+        Code::NotLeader,
+        "this replica has just become the leader and is not ready yet",
+    )
 }
--- a/crates/curlewlift/src/control/known_hosts.rs
+++ b/crates/curlewlift/src/control/known_hosts.rs
@@ -1,4 +1,4 @@
-//! The hosts that are known to keep a control replica.
+//! The hosts that are known to run a control replica.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -6,22 +6,22 @@
 
 use curlewlift_core::id;
 
-/// How many are remembered: three times the replicas of a deployment that bears two lost disks.
-const MOST: usize = 15;
+/// The maximum number of hosts: three times the replicas of a deployment that tolerates two lost disks.
+const MAX_KNOWN_HOSTS: usize = 15;
 
-/// The hosts that are known to keep a control replica; a gateway and the replica beside it share them.
+/// The hosts that are known to run a control replica, shared by a gateway and the replica in its process.
 ///
-/// It is what a process has heard, not what is so: whoever asks goes on to the next.
+/// The list may be out of date: a caller that gets no response tries the next host.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KnownHosts(Arc<Mutex<Vec<id::Host>>>);
 
 impl KnownHosts {
-    /// Those that a leader names, in place of all others.
+    /// Replaces the list by the hosts that a leader named.
     pub(crate) fn set(&self, hosts: Vec<id::Host>) {
         *self.lock() = hosts;
     }
 
-    /// Adds those that somebody else has heard of; the oldest ones go.
+    /// Adds hosts that another process knows of; drops the oldest beyond the maximum.
     pub(crate) fn add(&self, hosts: impl IntoIterator<Item = id::Host>) {
         let mut known = self.lock();
         for host in hosts {
@@ -29,17 +29,17 @@
                 known.push(host);
             }
         }
-        let beyond = known.len().saturating_sub(MOST);
-        known.drain(..beyond);
+        let excess = known.len().saturating_sub(MAX_KNOWN_HOSTS);
+        known.drain(..excess);
     }
 
-    /// All of them.
+    /// All known hosts.
     pub(crate) fn get(&self) -> Vec<id::Host> {
         self.lock().clone()
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Vec<id::Host>> {
-        // Whoever panicked with the lock left a list that can be read.
+        // The list is valid even if a thread panicked while it held the lock.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/curlewlift/src/control/members.rs
+++ b/crates/curlewlift/src/control/members.rs
@@ -1,4 +1,4 @@
-//! Who belongs to the replica set: as the configuration names hosts, or as replicas ask.
+//! Membership of the replica set: by configuration, or by request of the replicas.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,27 +16,27 @@
 use crate::rpc::Method;
 use crate::rpc::RenewCall;
 
-use super::replica::STEP;
+use super::replica::STEP_TIMEOUT;
 use super::replica::State;
 
-/// How long no leader is heard before a replica asks to be taken in again: several elections.
-const LEFT_OUT: Duration = Duration::from_millis(2_500);
+/// How long a replica sees no leader before it asks to be admitted again: several elections.
+const REJOIN_DELAY: Duration = Duration::from_millis(2_500);
 
-/// # Both ways
+/// # Both kinds of membership
 impl State {
-    /// Takes in a replica with a blank disk, where this one leads.
+    /// Admits a replica with a blank disk, if this replica leads.
     pub(super) fn admit(&mut self, host: &id::Host, disk: id::Disk) -> Result<(), Refusal> {
-        self.leads()?;
+        self.ensure_leading()?;
         if self.gateways.is_some() {
-            return self.admit_asking(host, disk);
+            return self.admit_unnamed(host, disk);
         }
-        self.admit_named(host, disk)
+        self.admit_configured(host, disk)
     }
 
-    /// Says on the time line what became of the set.
-    fn note_kept(&self, kept: impl IntoIterator<Item = MemberChange>) {
-        for kept in kept {
-            let (kind, host) = match kept {
+    /// Notes changes of the replica set on the timeline.
+    fn note_changes(&self, changes: impl IntoIterator<Item = MemberChange>) {
+        for change in changes {
+            let (kind, host) = match change {
                 MemberChange::Admitted(host) => (Kind::ReplicaAdmitted, host),
                 MemberChange::Promoted(host) => (Kind::ReplicaCounts, host),
                 MemberChange::Removed(host) => (Kind::ReplicaExpelled, host),
@@ -48,8 +48,8 @@
 
 /// # Replicas whose hosts the configuration names
 impl State {
-    /// Takes in a replica if the configuration names its host.
-    fn admit_named(&mut self, host: &id::Host, disk: id::Disk) -> Result<(), Refusal> {
+    /// Admits a replica if the configuration has its host.
+    fn admit_configured(&mut self, host: &id::Host, disk: id::Disk) -> Result<(), Refusal> {
         let known = self.machine.get_snapshot().hosts.get(host);
         if known.is_none_or(|known| known.role != config::Role::Control) {
             let why = format!("the configuration has no control host `{host}`");
@@ -59,71 +59,71 @@
             return Ok(());
         }
         self.replica.admit(host, disk, self.clock.now())?;
-        self.note_kept([MemberChange::Admitted(host.clone())]);
-        self.settle();
+        self.note_changes([MemberChange::Admitted(host.clone())]);
+        self.process_output();
         Ok(())
     }
 
-    /// Lets whole learners count, and takes out who is to go.
-    pub(super) fn tend_named(&mut self) {
+    /// Promotes learners that have caught up, and removes members that must go.
+    pub(super) fn maintain_configured_replicas(&mut self) {
         let now = self.clock.now();
         for host in self.replica.caught_up_learners() {
             if self.replica.promote(&host, now).is_ok() {
-                self.note_kept([MemberChange::Promoted(host)]);
+                self.note_changes([MemberChange::Promoted(host)]);
             }
         }
         let snapshot = self.machine.get_snapshot();
         let hosts = &snapshot.hosts;
-        let wanted = |host: &id::Host| {
+        let is_configured = |host: &id::Host| {
             hosts
                 .get(host)
                 .is_some_and(|known| known.role == config::Role::Control)
         };
         let members = self.replica.members().0.iter();
         let regressed = self.replica.regressed();
-        let is_extra = |host: &&id::Host| !wanted(host) || self.removed.contains(*host);
+        let is_extra = |host: &&id::Host| !is_configured(host) || self.removed.contains(*host);
         let extra = members.map(|member| &member.host).filter(is_extra);
-        let out: BTreeSet<_> = extra.chain(regressed).cloned().collect();
-        for host in out {
-            let own = self.replica.get_leader() == Some(&host);
-            if !own && self.replica.remove(&host, now).is_ok() {
-                self.note_kept([MemberChange::Removed(host)]);
+        let to_remove: BTreeSet<_> = extra.chain(regressed).cloned().collect();
+        for host in to_remove {
+            let is_leader = self.replica.get_leader() == Some(&host);
+            if !is_leader && self.replica.remove(&host, now).is_ok() {
+                self.note_changes([MemberChange::Removed(host)]);
             }
         }
-        self.settle();
+        self.process_output();
     }
 }
 
-/// # Replicas that are taken in as they ask
+/// # Replicas that are admitted as they ask
 impl State {
-    /// Takes in a replica that nobody has named.
-    fn admit_asking(&mut self, host: &id::Host, disk: id::Disk) -> Result<(), Refusal> {
+    /// Admits a replica whose host is not configured.
+    fn admit_unnamed(&mut self, host: &id::Host, disk: id::Disk) -> Result<(), Refusal> {
         let now = self.clock.now();
-        let kept = self.upkeep.admit(&mut self.replica, host, disk, now)?;
-        self.note_kept(kept);
-        self.settle();
+        let changes = self.maintainer.admit(&mut self.replica, host, disk, now)?;
+        self.note_changes(changes);
+        self.process_output();
         Ok(())
     }
 
-    /// Lets whole learners count, and takes out who is to go.
-    pub(super) fn tend_asking(&mut self) {
+    /// Promotes learners that have caught up, and removes members that must go.
+    pub(super) fn maintain_unnamed_replicas(&mut self) {
         let now = self.clock.now();
-        let kept = self.upkeep.maintain(&mut self.replica, now);
-        self.note_kept(kept);
-        self.settle();
+        let changes = self.maintainer.maintain(&mut self.replica, now);
+        self.note_changes(changes);
+        self.process_output();
     }
 }
 
-/// # A replica's own place in the set
+/// # A replica's own membership
 impl State {
-    /// Asks the leader to be taken in, where this replica is no member or no leader is heard.
+    /// Asks all known replicas to be admitted, if this replica is not a member or has seen no leader for long.
     pub(super) fn join(&mut self) {
         let disk = self.replica.get_disk();
         let host = self.replica.get_host().clone();
-        if self.replica.members().contains(&host, disk) && !self.is_left_out() {
+        if self.replica.members().contains(&host, disk) && !self.may_be_removed() {
             return;
         }
-        for (peer, address) in self.peers_known() {
+        for (peer, address) in self.known_peers() {
             if peer == host {
                 continue;
             }
@@ -133,27 +133,29 @@
                 disk,
             };
             tokio::task::spawn_local(async move {
-                let answer: Result<(), Refusal> =
-                    client.call(address, Method::Renew, &call, STEP).await;
-                if let Err(why) = answer {
-                    log::debug!("the replica at {address} does not take this one in: {why}");
+                let admitted: Result<(), Refusal> = client
+                    .call(address, Method::Renew, &call, STEP_TIMEOUT)
+                    .await;
+                if let Err(why) = admitted {
+                    log::debug!("the replica at {address} did not admit this replica: {why}");
                 }
             });
         }
     }
 
-    /// Whether no leader has been heard for so long that others may have taken this one out.
-    fn is_left_out(&mut self) -> bool {
+    /// Whether this replica has seen no leader for so long that the others may have removed it.
+    fn may_be_removed(&mut self) -> bool {
         if self.gateways.is_none() || self.replica.get_leader().is_some() {
-            self.alone = None;
+            self.leaderless_since = None;
             return false;
         }
         let now = self.clock.now();
-        let since = *self.alone.get_or_insert(now);
-        now.since(since) > LEFT_OUT
+        let since = *self.leaderless_since.get_or_insert(now);
+        now.since(since) > REJOIN_DELAY
     }
 
-    fn peers_known(&self) -> BTreeMap<id::Host, SocketAddr> {
+    /// The addresses of all replicas that are configured, known by announcement, or members.
+    fn known_peers(&self) -> BTreeMap<id::Host, SocketAddr> {
         let mut peers = self.peers.clone();
         let known = self.gateways.as_ref().map(|gateways| gateways.known.get());
         for host in known.into_iter().flatten() {
--- a/crates/curlewlift/src/control/mod.rs
+++ b/crates/curlewlift/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! A control replica: the log, the machine above it, and the leases of the entries.
+//! A control replica: the replicated log, the state machine that it drives, and the entries' leases.
 
 mod daemon;
 mod distribution;
--- a/crates/curlewlift/src/control/quarantine.rs
+++ b/crates/curlewlift/src/control/quarantine.rs
@@ -1,4 +1,4 @@
-//! What the leader has agreed on of requests under which servers ended.
+//! The quarantine of requests under which servers crashed: proposals of the leader, and their application.
 
 use curlewlift_core::event::Kind;
 use curlewlift_core::event::Line;
@@ -8,21 +8,21 @@
 use super::replica::State;
 
 impl State {
-    /// Gives the hub the requests in quarantine as they are agreed, after `steps`.
-    pub(super) fn take_up_quarantine(&mut self, steps: &[Step]) {
+    /// Updates the hub to the committed quarantine, and notes the `steps` that changed it on the timeline.
+    pub(super) fn apply_quarantine_steps(&mut self, steps: &[Step]) {
         let now = self.clock.now();
         let Some(hub) = &mut self.hub else {
             return;
         };
         hub.apply_quarantine(self.machine.get_quarantine(), now);
         for step in steps {
-            self.timeline.note(line(step));
+            self.timeline.note(event(step));
         }
-        self.news.notify_waiters();
+        self.updates.notify_waiters();
     }
 
-    /// Proposes what is to be agreed of them.
-    pub(super) fn tend_quarantine(&mut self) {
+    /// Proposes the next steps of the quarantine.
+    pub(super) fn propose_quarantine_steps(&mut self) {
         let now = self.clock.now();
         let Some(hub) = &mut self.hub else {
             return;
@@ -31,16 +31,16 @@
         if steps.is_empty() {
             return;
         }
-        // Steps that are lost are proposed again, by this leader or by the next one.
+        // Lost steps are proposed again, by this leader or the next.
         if let Err(why) = self.propose(&Record::Quarantine(steps)) {
-            log::warn!("the requests in quarantine stay as they are: {why}");
+            log::warn!("cannot propose a change of the quarantine: {why}");
         }
     }
 }
 
-/// The line about a step.
-fn line(step: &Step) -> Line {
-    let (kind, identity, ended) = match step {
+/// The event of a step.
+fn event(step: &Step) -> Line {
+    let (kind, identity, crashed_servers) = match step {
         Step::Put(case) => (
             Kind::Quarantined,
             &case.identity,
@@ -50,9 +50,13 @@
     };
     let customer = identity.customer.as_ref();
     let customer = customer.map_or("-", |customer| customer.as_str());
-    let ended: Vec<_> = ended.into_iter().flatten().map(|name| &**name).collect();
-    let ended = ended.join(",");
+    let names: Vec<_> = crashed_servers
+        .into_iter()
+        .flatten()
+        .map(|name| &**name)
+        .collect();
+    let names = names.join(",");
     Line::new(kind).detail(format_args!(
-        "customer={customer} identity={identity} ended={ended}"
+        "customer={customer} identity={identity} ended={names}"
     ))
 }
--- a/crates/curlewlift/src/control/query.rs
+++ b/crates/curlewlift/src/control/query.rs
@@ -1,4 +1,4 @@
-//! Answers operators' queries.
+//! Runs operators' queries.
 
 use curlewlift_core::code::Refusal;
 use curlewlift_core::config::Snapshot;
@@ -11,7 +11,7 @@
 
 use super::replica::State;
 
-/// The answer to `query`, as the leader knows it now.
+/// The result of `query` from the leader's current state.
 pub(super) fn answer(state: &State, query: &Query) -> Result<String, Refusal> {
     let table = rows(state, query.subject);
     lang::answer(query, table)
@@ -47,24 +47,24 @@
 
 fn audit(state: &State) -> Table {
     let mut table = Table::default();
-    for (place, line) in state.machine.audit().enumerate() {
-        table.push(&(place + 1), line);
+    for (index, line) in state.machine.audit().enumerate() {
+        table.push(&(index + 1), line);
     }
     table
 }
 
-/// The revision at the leader, and at each entry with the age of that word.
+/// The revision at the leader, and at each entry with the age of the entry's report.
 fn revision(state: &State, snapshot: &Snapshot) -> Table {
     let mut table = Table::default();
     let own = json!({ "revision": snapshot.revision, "view": 0, "age_ms": 0 });
     table.push(&"control", &own);
     let now = state.clock.now();
-    for (host, revision, view, heard) in state
+    for (host, revision, view, reported_at) in state
         .grantor
         .iter()
         .flat_map(curlewlift_core::view::Grantor::reported_revisions)
     {
-        let age = u64::try_from(now.since(heard).as_millis()).unwrap_or(u64::MAX);
+        let age = u64::try_from(now.since(reported_at).as_millis()).unwrap_or(u64::MAX);
         table.push(
             host,
             &json!({ "revision": revision, "view": view, "age_ms": age }),
--- a/crates/curlewlift/src/control/replica.rs
+++ b/crates/curlewlift/src/control/replica.rs
@@ -1,4 +1,4 @@
-//! The state of a control replica, and what it does with the log's outputs.
+//! The state of a control replica, and the processing of the log's output.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -41,20 +41,20 @@
 
 use super::gateways::Gateways;
 
-/// How long a message of the log may take.
-pub(super) const STEP: Duration = Duration::from_millis(500);
+/// How long a message of the replicated log may take.
+pub(super) const STEP_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Entries after which the log is replaced by a snapshot.
-const COMPACT: usize = 1_000;
+const MAX_LOG_ENTRIES: usize = 1_000;
 
-/// Bytes of entries after which the log is replaced by a snapshot: some routing tables of a few
-/// hundred rules, which must not fill a small host's memory.
-const COMPACT_BYTES: usize = 256 << 10;
+/// Bytes of entries after which the log is replaced by a snapshot: a few routing tables of some
+/// hundred rules each, so that they do not fill a small host's memory.
+const MAX_LOG_BYTES: usize = 256 << 10;
 
-/// The answer to a command.
-pub(super) type Answer = Result<id::Revision, Refusal>;
+/// The result of a proposed record.
+pub(super) type CommandResult = Result<id::Revision, Refusal>;
 
-/// The state of a control replica; one task at a time has it.
+/// The state of a control replica, used by one task at a time.
 pub(super) struct State {
     pub(super) replica: Replica,
     pub(super) machine: Machine,
@@ -66,28 +66,28 @@
     lease: LeaseTiming,
     address: Option<SocketAddr>,
     pub(super) peers: BTreeMap<id::Host, SocketAddr>,
-    learned: HashMap<id::Host, SocketAddr>,
-    waiting: HashMap<id::Index, (id::Term, oneshot::Sender<Answer>)>,
+    learned_addresses: HashMap<id::Host, SocketAddr>,
+    pending_results: HashMap<id::Index, (id::Term, oneshot::Sender<CommandResult>)>,
     role: Role,
-    proposed: id::View,
-    /// Hosts whose replicas must be taken out.
+    proposed_view: id::View,
+    /// Hosts whose replicas must be removed from the replica set.
     pub(super) removed: BTreeSet<id::Host>,
     pub(super) gateways: Option<Gateways>,
-    /// What the gateways tell, while this replica leads.
+    /// The hub that serves the gateways, while this replica leads.
     pub(super) hub: Option<Hub>,
-    /// Who waits for a place at a backend server, while this replica leads.
-    pub(super) places: HashMap<Ticket, oneshot::Sender<Grant>>,
-    /// Wakes those who wait for a newer table or list.
-    pub(super) news: Rc<Notify>,
-    /// Wakes who waits for a turn to be handed a table.
-    pub(super) turn: Rc<Notify>,
-    /// Keeps the replica set whole, where replicas are taken in as they ask.
-    pub(super) upkeep: Maintainer,
-    /// Since when no leader is heard.
-    pub(super) alone: Option<Instant>,
+    /// Requests that wait for a slot at a backend server, while this replica leads.
+    pub(super) pending_slots: HashMap<Ticket, oneshot::Sender<Grant>>,
+    /// Wakes polls and requests that wait for a newer table or server list.
+    pub(super) updates: Rc<Notify>,
+    /// Wakes a gateway that waits for a slot to fetch the routing table.
+    pub(super) free_fetch_slot: Rc<Notify>,
+    /// Maintains the replica set if replicas are admitted as they ask.
+    pub(super) maintainer: Maintainer,
+    /// Since when this replica has seen no leader.
+    pub(super) leaderless_since: Option<Instant>,
 }
 
-/// # Making
+/// # Construction
 impl State {
     pub(super) fn new(
         replica: Replica,
@@ -108,24 +108,24 @@
             lease,
             address: None,
             peers: BTreeMap::new(),
-            learned: HashMap::new(),
-            waiting: HashMap::new(),
+            learned_addresses: HashMap::new(),
+            pending_results: HashMap::new(),
             role: Role::Follower,
-            proposed: id::View::default(),
+            proposed_view: id::View::default(),
             removed: BTreeSet::new(),
             gateways: None,
             hub: None,
-            places: HashMap::new(),
-            news: Rc::new(Notify::new()),
-            turn: Rc::new(Notify::new()),
-            upkeep: Maintainer::default(),
-            alone: None,
+            pending_slots: HashMap::new(),
+            updates: Rc::new(Notify::new()),
+            free_fetch_slot: Rc::new(Notify::new()),
+            maintainer: Maintainer::default(),
+            leaderless_since: None,
         })
     }
 
     pub(super) fn gateways(mut self, gateways: Option<Gateways>) -> Self {
-        let wanted = gateways.as_ref().map_or(1, |gateways| gateways.replicas);
-        self.upkeep = Maintainer::new(wanted);
+        let replicas = gateways.as_ref().map_or(1, |gateways| gateways.replicas);
+        self.maintainer = Maintainer::new(replicas);
         self.gateways = gateways;
         self
     }
@@ -151,56 +151,59 @@
     pub(super) fn tick(&mut self) {
         let now = self.clock.now();
         self.replica.tick(now);
-        self.settle();
-        self.tend();
-        self.tick_places();
-        self.tick_handout();
+        self.process_output();
+        self.maintain();
+        self.tick_slots();
+        self.tick_distribution();
     }
 
-    /// Ends the writing: the journal is as it will be found.
+    /// Closes the journal writer; the journal does not change after this.
     pub(super) fn close(&mut self) {
         self.writer.close();
     }
 
-    pub(super) fn synced(&mut self, sync: SyncId) {
+    pub(super) fn on_synced(&mut self, sync: SyncId) {
         self.replica.on_synced(sync, self.clock.now());
-        self.settle();
+        self.process_output();
     }
 
     pub(super) fn receive(&mut self, message: Message, address: SocketAddr) {
-        self.learned.insert(message.from.clone(), address);
+        self.learned_addresses.insert(message.from.clone(), address);
         self.replica.receive(message, self.clock.now());
-        self.settle();
+        self.process_output();
     }
 
-    /// Adds `record` to the log; the receiver is told once it is applied.
+    /// Proposes `record` to the log; the receiver gets the result once the record is applied.
     pub(super) fn propose(
         &mut self,
         record: &Record,
-    ) -> Result<oneshot::Receiver<Answer>, Refusal> {
+    ) -> Result<oneshot::Receiver<CommandResult>, Refusal> {
         let now = self.clock.now();
         let index = self.replica.propose(record.encode(), now)?;
-        let (answer, wait) = oneshot::channel();
-        self.waiting
-            .insert(index, (self.replica.get_term(), answer));
-        self.settle();
-        Ok(wait)
+        let (sender, receiver) = oneshot::channel();
+        self.pending_results
+            .insert(index, (self.replica.get_term(), sender));
+        self.process_output();
+        Ok(receiver)
     }
 
-    /// Whether this replica surely leads and knows all that was committed before.
-    pub(super) fn leads(&self) -> Result<(), Refusal> {
+    /// Checks that this replica is confirmed as the leader and has applied everything committed before.
+    pub(super) fn ensure_leading(&self) -> Result<(), Refusal> {
         if self.replica.has_committed_in_term() && self.replica.reaches_majority(self.clock.now()) {
             return Ok(());
         }
         let leader = self
             .replica
             .get_leader()
-            .map_or("nobody that is known", id::Host::as_str);
-        Err(Refusal::new(Code::NotLeader, format!("`{leader}` leads")))
+            .map_or("unknown", id::Host::as_str);
+        Err(Refusal::new(
+            Code::NotLeader,
+            format!("this replica is not the leader; the leader is `{leader}`"),
+        ))
     }
 
-    /// Does what the machine asks for, until it asks for nothing.
-    pub(super) fn settle(&mut self) {
+    /// Processes the log's output: writes, messages, snapshots and committed entries.
+    pub(super) fn process_output(&mut self) {
         let output = self.replica.take_output();
         if let Some(sync) = output.sync {
             let writes = output.writes;
@@ -212,7 +215,7 @@
         if let Some(snapshot) = output.install {
             match Machine::decode(&snapshot.state) {
                 Ok(machine) => self.machine = machine,
-                Err(why) => log::error!("a snapshot from the leader cannot be read: {why}"),
+                Err(why) => log::error!("cannot decode a snapshot from the leader: {why}"),
             }
         }
         for entry in output.commits {
@@ -222,7 +225,7 @@
     }
 
     fn apply(&mut self, entry: &Entry) {
-        let answer = match &entry.body {
+        let result = match &entry.body {
             Body::Data(data) => self.apply_record(data, entry.term),
             Body::Members(members) => {
                 self.removed.retain(|host| members.get(host).is_some());
@@ -230,39 +233,39 @@
             }
             Body::Noop => Ok(self.machine.get_snapshot().revision),
         };
-        if let Some((term, waiting)) = self.waiting.remove(&entry.index)
+        if let Some((term, sender)) = self.pending_results.remove(&entry.index)
             && term == entry.term
         {
-            let _ = waiting.send(answer);
+            let _ = sender.send(result);
         }
     }
 
-    /// Applies a record; a host that it takes out of the configuration loses its replica too, even
-    /// where the next command names the host again.
-    fn apply_record(&mut self, data: &[u8], term: id::Term) -> Answer {
+    /// Applies a record. If it removes a host from the configuration, the host's replica is removed
+    /// too, even if the next command adds the host again.
+    fn apply_record(&mut self, data: &[u8], term: id::Term) -> CommandResult {
         let record = Record::decode(data).map_err(|why| Refusal::new(Code::Internal, why))?;
         let before = Arc::clone(self.machine.get_snapshot());
         let had_table = self.machine.get_publication().number > 0;
         let plans = self.machine.get_rollouts().clone();
-        let answer = self.machine.apply(&record);
+        let result = self.machine.apply(&record);
         match record {
             Record::Publication(_) => {
-                self.take_up();
-                // One of an earlier term may have been handed out by an earlier leader.
+                self.apply_table();
+                // An earlier leader may have distributed a table of an earlier term.
                 if !had_table && term == self.replica.get_term() {
-                    self.first_table();
+                    self.mark_first_table();
                 }
             }
-            Record::Shares(_) | Record::Standbys(_) => self.take_up_parts(),
-            Record::Rollout(step) => self.take_up_step(&step, &plans, term),
-            Record::Quarantine(steps) => self.take_up_quarantine(&steps),
-            Record::Evacuation(order) => self.take_up_evacuation(&order),
+            Record::Shares(_) | Record::Standbys(_) => self.apply_shares(),
+            Record::Rollout(step) => self.apply_rollout_step(&step, &plans, term),
+            Record::Quarantine(steps) => self.apply_quarantine_steps(&steps),
+            Record::Evacuation(order) => self.apply_evacuation_order(&order),
             Record::Command(_) | Record::Roster(_) => {}
         }
         let after = &self.machine.get_snapshot().hosts;
-        let gone = before.hosts.keys().filter(|host| !after.contains_key(host));
-        self.removed.extend(gone.cloned());
-        answer
+        let removed = before.hosts.keys().filter(|host| !after.contains_key(host));
+        self.removed.extend(removed.cloned());
+        result
     }
 
     fn send(&self, message: Message) {
@@ -273,11 +276,11 @@
         let client = self.client.clone();
         tokio::task::spawn_local(async move {
             let step = (message, from);
-            let _: Result<(), Refusal> = client.call(to, Method::Step, &step, STEP).await;
+            let _: Result<(), Refusal> = client.call(to, Method::Step, &step, STEP_TIMEOUT).await;
         });
     }
 
-    /// Where the control replica on `host` is reached.
+    /// The address of the control replica on `host`.
     pub(super) fn locate(&self, host: &id::Host) -> Option<SocketAddr> {
         let configured = self
             .machine
@@ -285,15 +288,15 @@
             .hosts
             .get(host)
             .map(|host| host.rpc);
-        let learned = self.learned.get(host).copied();
+        let learned_addresses = self.learned_addresses.get(host).copied();
         configured
-            .or(learned)
+            .or(learned_addresses)
             .or_else(|| self.peers.get(host).copied())
             .or_else(|| (self.gateways.as_ref()?.locate)(host))
     }
 }
 
-/// # Leading
+/// # Leadership
 impl State {
     fn note_role(&mut self) {
         let role = self.replica.get_role();
@@ -307,56 +310,56 @@
             let now = self.clock.now();
             self.grantor = Some(Grantor::new(self.lease, now));
             if let Some(gateways) = &self.gateways {
-                let number = rand::rng().next_u64();
-                self.hub = Some(Hub::new(gateways.tuning, now).with_id(number));
-                self.take_up();
-                self.take_up_parts();
-                self.take_up_plans(None);
-                self.take_up_evacuated();
-                self.take_up_quarantine(&[]);
+                let hub_id = rand::rng().next_u64();
+                self.hub = Some(Hub::new(gateways.tuning, now).with_id(hub_id));
+                self.apply_table();
+                self.apply_shares();
+                self.apply_plans(None);
+                self.apply_evacuated_halls();
+                self.apply_quarantine_steps(&[]);
             }
         } else if self.role == Role::Leader {
             self.timeline
                 .note(Line::new(Kind::Follows).detail(format_args!("term={term}")));
             self.grantor = None;
             self.hub = None;
-            self.places.clear();
-            // Whoever waits is told nothing: the command may still be committed.
-            self.waiting.clear();
+            self.pending_slots.clear();
+            // Dropping the senders reports no result: the command may still be committed.
+            self.pending_results.clear();
         }
         self.role = role;
     }
 
-    /// What a leader looks after: the view, the learners, the log's length.
-    fn tend(&mut self) {
+    /// Compacts the log; on the leader, also maintains the view, the replica set and the hub's records.
+    fn maintain(&mut self) {
         let entries = self.replica.entries();
-        let bytes = entries.iter().map(size).sum::<usize>();
-        if entries.len() > COMPACT || bytes > COMPACT_BYTES {
+        let bytes = entries.iter().map(data_len).sum::<usize>();
+        if entries.len() > MAX_LOG_ENTRIES || bytes > MAX_LOG_BYTES {
             let state = self.machine.encode();
             self.replica.compact(state);
-            self.settle();
+            self.process_output();
         }
-        if self.leads().is_err() {
-            self.proposed = id::View::default();
+        if self.ensure_leading().is_err() {
+            self.proposed_view = id::View::default();
             return;
         }
         if self.gateways.is_some() {
-            self.tend_asking();
-            self.tend_parts();
-            self.tend_rollouts();
-            self.tend_quarantine();
+            self.maintain_unnamed_replicas();
+            self.propose_shares();
+            self.propose_rollout_steps();
+            self.propose_quarantine_steps();
             return;
         }
-        self.tend_view();
-        self.tend_named();
+        self.propose_view();
+        self.maintain_configured_replicas();
     }
 
-    fn tend_view(&mut self) {
+    fn propose_view(&mut self) {
         let now = self.clock.now();
         let Some(grantor) = &mut self.grantor else {
             return;
         };
-        if self.proposed > self.machine.get_roster().number {
+        if self.proposed_view > self.machine.get_roster().number {
             return;
         }
         let Some(roster) = grantor.propose_roster(&self.machine, now) else {
@@ -366,13 +369,13 @@
         let detail = format!("view={} members={}", roster.number, hosts.join(","));
         self.timeline
             .note(Line::new(Kind::ViewProposed).detail(detail));
-        self.proposed = roster.number;
+        self.proposed_view = roster.number;
         let _ = self.propose(&Record::Roster(roster));
     }
 }
 
-/// The bytes that an entry carries.
-fn size(entry: &Entry) -> usize {
+/// The size of an entry's data, in bytes.
+fn data_len(entry: &Entry) -> usize {
     match &entry.body {
         Body::Data(data) => data.len(),
         Body::Members(_) | Body::Noop => 0,
--- a/crates/curlewlift/src/control/rollouts.rs
+++ b/crates/curlewlift/src/control/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs beside the leader: orders are agreed, read, and carried on by what the hub sees.
+//! Rollouts on the leader: commits orders, reads their progress, and advances them by the hub's observations.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 
 type Shared = Rc<RefCell<State>>;
 
-/// Takes an order; answered once it is agreed, or where it was taken before.
+/// Commits an order; returns once it is committed, or at once if it was committed before.
 pub(super) async fn order(state: &Shared, mut order: Order) -> Result<HubReply, Refusal> {
     order.given_ms = crate::process::unix_ms();
     let detail = format!(
@@ -29,35 +29,36 @@
         order.target,
         order.duration.as_secs_f64()
     );
-    let answer = agree(state, order).await;
-    let code = answer
+    let result = commit(state, order).await;
+    let code = result
         .as_ref()
         .err()
         .map_or(0, |why| why.get_code().number());
     let line = Line::new(Kind::RolloutOrdered).detail(format_args!("{detail} code={code}"));
     state.borrow().timeline.note(line);
-    answer.map(|()| HubReply::Ordered)
+    result.map(|()| HubReply::Ordered)
 }
 
-async fn agree(state: &Shared, order: Order) -> Result<(), Refusal> {
-    let wait = {
+async fn commit(state: &Shared, order: Order) -> Result<(), Refusal> {
+    let committed = {
         let mut state = state.borrow_mut();
-        state.has_service(&order.service)?;
+        state.check_service(&order.service)?;
         let plans = state.machine.get_rollouts();
         plans.check_order(&order)?;
         if plans.has_order(&order) {
             return Ok(());
         }
-        state.outlives_losses()?;
+        state.ensure_enough_replicas()?;
         state.propose(&Record::Rollout(Step::Ordered(order)))?
     };
-    let lost = "the leader changed; send the same order again to learn what became of it";
-    wait.await
-        .map_err(|_| Refusal::new(Code::Unreachable, lost))??;
+    let leader_changed = "the leader changed; send the same order again to learn its result";
+    committed
+        .await
+        .map_err(|_| Refusal::new(Code::Unreachable, leader_changed))??;
     Ok(())
 }
 
-/// How far the last roll-out of a service has come, surely.
+/// The phase of the last rollout of a service, confirmed by a majority.
 pub(super) async fn read(state: &Shared, service: &id::Service) -> Result<HubReply, Refusal> {
     hub::confirm(state).await?;
     let state = state.borrow();
@@ -67,18 +68,18 @@
 }
 
 impl State {
-    /// Whether the table in force has a service, and roll-outs are to be had at all.
-    fn has_service(&self, service: &id::Service) -> Result<(), Refusal> {
+    /// Checks that the active table has the service, and that rollouts are enabled.
+    fn check_service(&self, service: &id::Service) -> Result<(), Refusal> {
         let Some(gateways) = &self.gateways else {
-            return Err(hub::begun());
+            return Err(hub::not_ready());
         };
         if gateways.tuning.rollouts.is_none() {
-            let why = "roll-outs are not to be had here: the settings bound no version on trial";
+            let why = "rollouts are disabled: the settings have no exposure bounds for a version on trial";
             return Err(Refusal::new(Code::Unknown, why));
         }
         let publication = self.machine.get_publication();
         if publication.number == 0 {
-            return Err(Refusal::new(Code::NoTable, "no routing table is in force"));
+            return Err(Refusal::new(Code::NoTable, "no routing table is active"));
         }
         let table = (gateways.decode)(publication)?;
         if table.get_services().contains_key(service) {
@@ -88,35 +89,35 @@
         Err(Refusal::new(Code::UnknownService, why))
     }
 
-    /// Takes up a step that was agreed in `term`; `before` is what was agreed before it.
-    pub(super) fn take_up_step(&mut self, step: &Step, before: &Plans, term: id::Term) {
-        // One of an earlier term was taken under an earlier hub, which may have given places by it.
-        let own = match step {
+    /// Applies a step that was committed in `term`; `before` are the plans before the step.
+    pub(super) fn apply_rollout_step(&mut self, step: &Step, before: &Plans, term: id::Term) {
+        // An order of an earlier term was applied by an earlier hub, which may have granted slots under it.
+        let new_order = match step {
             Step::Ordered(order) if term == self.replica.get_term() && !before.has_order(order) => {
                 Some(order)
             }
             _ => None,
         };
-        self.take_up_plans(own);
+        self.apply_plans(new_order);
     }
 
-    /// Gives the hub the roll-outs as they are agreed.
-    pub(super) fn take_up_plans(&mut self, own: Option<&Order>) {
+    /// Updates the hub to the committed rollouts; `new_order` is one that this leader has just committed.
+    pub(super) fn apply_plans(&mut self, new_order: Option<&Order>) {
         let now = self.clock.now();
         let Some(hub) = &mut self.hub else {
             return;
         };
         hub.apply_plans(
             self.machine.get_rollouts(),
-            own,
+            new_order,
             crate::process::unix_ms(),
             now,
         );
-        self.news.notify_waiters();
+        self.updates.notify_waiters();
     }
 
-    /// Proposes what is to be agreed of roll-outs.
-    pub(super) fn tend_rollouts(&mut self) {
+    /// Proposes the next steps of the rollouts.
+    pub(super) fn propose_rollout_steps(&mut self) {
         let now = self.clock.now();
         let Some(hub) = &mut self.hub else {
             return;
@@ -133,9 +134,9 @@
                     .note(Line::new(Kind::RolloutAdvanced).detail(detail));
                 metrics::counter!("curlewlift_rollouts", "phase" => phase.to_string()).increment(1);
             }
-            // A step that is lost is proposed again, by this leader or by the next one.
+            // A lost step is proposed again, by this leader or the next.
             if let Err(why) = self.propose(&Record::Rollout(step)) {
-                log::warn!("a roll-out stays as it is: {why}");
+                log::warn!("cannot propose the next step of a rollout: {why}");
             }
         }
     }
--- a/crates/curlewlift/src/control/shares.rs
+++ b/crates/curlewlift/src/control/shares.rs
@@ -1,4 +1,4 @@
-//! What the leader has agreed on of the parts that gateways hold.
+//! The shares of the retry budget that gateways hold: proposals of the leader, and their application.
 
 use curlewlift_core::event::Kind;
 use curlewlift_core::event::Line;
@@ -7,35 +7,35 @@
 use super::replica::State;
 
 impl State {
-    /// Gives the hub the parts and deputies as they stand in the log.
-    pub(super) fn take_up_parts(&mut self) {
+    /// Updates the hub to the committed shares and standbys.
+    pub(super) fn apply_shares(&mut self) {
         let now = self.clock.now();
         let Some(hub) = &mut self.hub else {
             return;
         };
-        let parts = self.machine.get_shares();
-        hub.apply_retry_shares(parts, now);
-        let deputies = self.machine.get_standbys();
-        hub.apply_standbys(deputies, now);
-        let (held, deputies) = (parts.holders.len(), deputies.holders.len());
-        let detail = format!("parts={} held={held} deputies={deputies}", parts.count);
+        let shares = self.machine.get_shares();
+        hub.apply_retry_shares(shares, now);
+        let standbys = self.machine.get_standbys();
+        hub.apply_standbys(standbys, now);
+        let (held, standbys) = (shares.holders.len(), standbys.holders.len());
+        let detail = format!("parts={} held={held} deputies={standbys}", shares.count);
         self.timeline
             .note(Line::new(Kind::PartsHeld).detail(detail));
-        self.news.notify_waiters();
+        self.updates.notify_waiters();
     }
 
-    /// Proposes the parts and deputies as they are to be.
-    pub(super) fn tend_parts(&mut self) {
+    /// Proposes changes to the shares and standbys.
+    pub(super) fn propose_shares(&mut self) {
         let now = self.clock.now();
         let Some(hub) = &mut self.hub else {
             return;
         };
-        let parts = hub.propose_retry_shares(now).map(Record::Shares);
-        let deputies = hub.propose_standbys(now).map(Record::Standbys);
-        for record in parts.into_iter().chain(deputies) {
-            // A change that is lost goes with this leader, and with it the hub that waits for it.
+        let shares = hub.propose_retry_shares(now).map(Record::Shares);
+        let standbys = hub.propose_standbys(now).map(Record::Standbys);
+        for record in shares.into_iter().chain(standbys) {
+            // A proposal is lost only with this leader, and then the hub that waits for it is gone too.
             if let Err(why) = self.propose(&record) {
-                log::warn!("the parts stay as they are: {why}");
+                log::warn!("cannot propose new retry shares or standbys: {why}");
             }
         }
     }
--- a/crates/curlewlift/src/control/slots.rs
+++ b/crates/curlewlift/src/control/slots.rs
@@ -1,4 +1,4 @@
-//! Places at backend servers, given to the requests of all gateways.
+//! Slots at backend servers, granted to the requests of all gateways.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -19,23 +19,25 @@
 use super::hub;
 use super::replica::State;
 
-/// How long a request waits for a new hub's first list: three words between the hub and the gateway
-/// that fetches the list, and a busy host's delay. Turned away at once, all gateways would choose by
-/// themselves just when a crowd has gathered, each unaware of the others.
-const FIRST_LIST: Duration = Duration::from_millis(200);
+/// How long a request waits for a new hub's first server list: three messages between the hub and
+/// the gateway that fetches the list, and the delay of a busy host.
+///
+/// If requests were rejected at once, all gateways would decide locally just when many requests
+/// are waiting, each unaware of the others.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(200);
 
 type Shared = Rc<RefCell<State>>;
 
-/// A place in line; left when it is dropped.
-struct InLine {
+/// A queued request; removed from the queue when it is dropped.
+struct QueuedRequest {
     state: Shared,
     ticket: Ticket,
 }
 
-impl Drop for InLine {
+impl Drop for QueuedRequest {
     fn drop(&mut self) {
         let mut state = self.state.borrow_mut();
-        state.places.remove(&self.ticket);
+        state.pending_slots.remove(&self.ticket);
         let now = state.clock.now();
         if let Some(hub) = &mut state.hub {
             hub.cancel(&self.ticket, now);
@@ -43,112 +45,116 @@
     }
 }
 
-/// What asking for a place comes to at once.
-enum Lined {
-    /// It waits in line, and is told here.
-    Up(InLine, oneshot::Receiver<Grant>),
-    /// It need not wait for this answer.
-    Answered(HubReply),
+/// The immediate result of a slot request.
+enum Enqueued {
+    /// The request is queued, and the grant is sent to the receiver.
+    Waiting(QueuedRequest, oneshot::Receiver<Grant>),
+    /// The request is decided without waiting.
+    Decided(HubReply),
 }
 
-/// Waits for a place for as long as the request may.
-pub(super) async fn want(state: &Shared, want: SlotRequest) -> Result<HubReply, Refusal> {
-    let until = Instant::now() + want.wait_limit;
-    let listed = until.min(Instant::now() + FIRST_LIST);
-    let _ = tokio::time::timeout_at(listed, first_list(state)).await;
-    let (line, place) = match line_up(state, want)? {
-        Lined::Up(line, place) => (line, place),
-        Lined::Answered(reply) => return Ok(reply),
+/// Waits for a slot until the wait limit of the request.
+pub(super) async fn request_slot(
+    state: &Shared,
+    request: SlotRequest,
+) -> Result<HubReply, Refusal> {
+    let until = Instant::now() + request.wait_limit;
+    let list_deadline = until.min(Instant::now() + FIRST_LIST_TIMEOUT);
+    let _ = tokio::time::timeout_at(list_deadline, wait_for_server_list(state)).await;
+    let (queued, grant) = match enqueue(state, request)? {
+        Enqueued::Waiting(queued, grant) => (queued, grant),
+        Enqueued::Decided(reply) => return Ok(reply),
     };
-    let place = tokio::time::timeout_at(until, place).await;
-    drop(line);
-    if let Some(elsewhere) = hub::elsewhere(&state.borrow()) {
-        return Ok(elsewhere);
+    let grant = tokio::time::timeout_at(until, grant).await;
+    drop(queued);
+    if let Some(redirect) = hub::redirect_unless_leading(&state.borrow()) {
+        return Ok(redirect);
     }
-    Ok(HubReply::Place(place.ok().and_then(Result::ok)))
+    Ok(HubReply::Place(grant.ok().and_then(Result::ok)))
 }
 
-/// Waits until the hub has a list of servers.
-async fn first_list(state: &Shared) {
-    let news = Rc::clone(&state.borrow().news);
+/// Waits until the hub has a server list.
+async fn wait_for_server_list(state: &Shared) {
+    let updates = Rc::clone(&state.borrow().updates);
     loop {
-        let listed = news.notified();
-        let hub_listed = |hub: &Hub| hub.get_server_list().version != 0;
-        if state.borrow().hub.as_ref().is_none_or(hub_listed) {
+        let update = updates.notified();
+        let has_list = |hub: &Hub| hub.get_server_list().version != 0;
+        if state.borrow().hub.as_ref().is_none_or(has_list) {
             return;
         }
-        listed.await;
+        update.await;
     }
 }
 
-/// Puts a request in line, or gives the answer that there is at once.
-fn line_up(state: &Shared, want: SlotRequest) -> Result<Lined, Refusal> {
+/// Queues a request, unless it is decided at once.
+fn enqueue(state: &Shared, request: SlotRequest) -> Result<Enqueued, Refusal> {
     let mut borrowed = state.borrow_mut();
     let now = borrowed.clock.now();
-    let hub = borrowed.hub.as_mut().ok_or_else(hub::begun)?;
+    let hub = borrowed.hub.as_mut().ok_or_else(hub::not_ready)?;
     if hub.get_server_list().version == 0 {
-        return Err(hub::begun());
+        return Err(hub::not_ready());
     }
-    let (ticket, last) = match hub.request_slot(want, now) {
-        SlotDecision::Queued(ticket, last) => (ticket, last),
-        SlotDecision::NoServers => return Ok(Lined::Answered(HubReply::Place(None))),
-        SlotDecision::Rejected(why) => return Ok(Lined::Answered(HubReply::Withheld(why))),
-        SlotDecision::NoRetry => return Ok(Lined::Answered(HubReply::NoRetry)),
-        SlotDecision::QuotaExceeded(filled) => {
-            return Ok(Lined::Answered(HubReply::Beyond(filled)));
+    let (ticket, displaced) = match hub.request_slot(request, now) {
+        SlotDecision::Queued(ticket, displaced) => (ticket, displaced),
+        SlotDecision::NoServers => return Ok(Enqueued::Decided(HubReply::Place(None))),
+        SlotDecision::Rejected(why) => return Ok(Enqueued::Decided(HubReply::Withheld(why))),
+        SlotDecision::NoRetry => return Ok(Enqueued::Decided(HubReply::NoRetry)),
+        SlotDecision::QuotaExceeded(refilled) => {
+            return Ok(Enqueued::Decided(HubReply::Beyond(refilled)));
         }
     };
-    let (sender, place) = oneshot::channel();
-    borrowed.places.insert(ticket.clone(), sender);
-    if let Some(last) = last {
-        // Dropping the sender tells who waits that it lost its place.
-        borrowed.places.remove(&last);
+    let (sender, grant) = oneshot::channel();
+    borrowed.pending_slots.insert(ticket.clone(), sender);
+    if let Some(displaced) = displaced {
+        // Dropping the sender notifies the displaced request that it is no longer queued.
+        borrowed.pending_slots.remove(&displaced);
     }
-    borrowed.serve();
+    borrowed.grant_slots();
     let state = Rc::clone(state);
-    Ok(Lined::Up(InLine { state, ticket }, place))
+    Ok(Enqueued::Waiting(QueuedRequest { state, ticket }, grant))
 }
 
-/// Takes note of what a gateway tells of its sendings.
-pub(super) fn tell(state: &Shared, report: &Report) -> Result<HubReply, Refusal> {
+/// Processes a gateway's report on its attempts.
+pub(super) fn report(state: &Shared, report: &Report) -> Result<HubReply, Refusal> {
     let mut state = state.borrow_mut();
     let now = state.clock.now();
-    let hub = state.hub.as_mut().ok_or_else(hub::begun)?;
+    let hub = state.hub.as_mut().ok_or_else(hub::not_ready)?;
     hub.report(report, now);
-    state.serve();
+    state.grant_slots();
     Ok(HubReply::Told)
 }
 
 impl State {
-    /// Gives places to those in line for whom there is room.
-    pub(super) fn serve(&mut self) {
+    /// Grants free slots to queued requests, and rejects queued requests that cannot be served in time.
+    pub(super) fn grant_slots(&mut self) {
         let now = self.clock.now();
         let Some(hub) = &mut self.hub else {
             return;
         };
         for (ticket, grant) in hub.grant_slots(now) {
-            // A grant whose request has gone is in no report, and soon counts no more.
-            if let Some(place) = self.places.remove(&ticket) {
-                let _ = place.send(grant);
+            // If the request has gone, no report confirms the grant, and the hub soon stops counting it.
+            if let Some(sender) = self.pending_slots.remove(&ticket) {
+                let _ = sender.send(grant);
             }
         }
-        let held = hub.take_limit_wait().as_millis();
-        metrics::counter!("curlewlift_limit_wait_ms").increment(u64::try_from(held).unwrap_or(0));
+        let limit_wait = hub.take_limit_wait().as_millis();
+        metrics::counter!("curlewlift_limit_wait_ms")
+            .increment(u64::try_from(limit_wait).unwrap_or(0));
         for ticket in hub.reject_doomed(now) {
-            // Dropping the sender tells who waits that there will be no place.
-            self.places.remove(&ticket);
+            // Dropping the sender notifies the request that it gets no slot.
+            self.pending_slots.remove(&ticket);
         }
     }
 
-    /// What only the passing of time has made possible.
-    pub(super) fn tick_places(&mut self) {
+    /// Advances the hub's timers, and grants the slots that have become free.
+    pub(super) fn tick_slots(&mut self) {
         let now = self.clock.now();
         if let Some(hub) = &mut self.hub {
             hub.tick(now);
             if hub.publish_limits(now) {
-                self.news.notify_waiters();
+                self.updates.notify_waiters();
             }
         }
-        self.serve();
+        self.grant_slots();
     }
 }
--- a/crates/curlewlift/src/disk/mod.rs
+++ b/crates/curlewlift/src/disk/mod.rs
@@ -1,4 +1,4 @@
-//! The data folder of a control replica; docs/design/disk.md has its layout.
+//! The data folder of a control replica; docs/design/disk.md describes its layout.
 
 mod journal;
 mod writer;
--- a/crates/curlewlift/src/disk/writer.rs
+++ b/crates/curlewlift/src/disk/writer.rs
@@ -1,4 +1,4 @@
-//! A thread that writes batches, so that a slow sync holds up nothing else.
+//! Writes the journal on a separate thread, so that a slow sync blocks nothing else.
 
 use std::sync::mpsc;
 use std::thread;
@@ -11,57 +11,62 @@
 
 use super::Journal;
 
-/// Writes that must be on disk before their number is told.
+/// Writes that must be on disk before `sync` is reported.
 pub(crate) struct Batch {
     pub(crate) writes: Vec<Write>,
     pub(crate) sync: SyncId,
 }
 
-/// What the thread is called.
-const NAME: &str = "journal";
+/// The name of the thread.
+const THREAD_NAME: &str = "journal";
 
-/// A handle of the writing thread; once it is closed, the thread has ended.
+/// The handle of the writing thread; once it is closed, the thread has ended.
 ///
-/// A replica that begins anew in the same process reads the journal at once. A former one's thread that still
-/// wrote to it then would leave entries there that the new one does not know of.
+/// A replica that is restarted in the same process reads the journal at once. If the previous replica's
+/// thread still wrote then, the journal would contain entries that the new replica does not know of.
 pub(crate) struct Writer {
-    /// None once no more comes.
+    /// None once the writer is closed.
     batches: Option<mpsc::Sender<Batch>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Writer {
-    /// Starts a thread that writes to `journal` and tells `done` what is on disk.
+    /// Starts a thread that writes to `journal` and reports each sync to `done`.
     ///
-    /// What waits while a sync is under way goes into the next one together. After a failure
-    /// `done` is told of it, and nothing more is written.
+    /// Batches that arrive during a sync are written together with the next sync. A failure is
+    /// reported to `done`, and nothing is written after it.
     ///
     /// # Errors
     ///
-    /// [`Code::Internal`] where no thread can be had.
+    /// [`Code::Internal`] if the thread cannot be started.
     pub(crate) fn start(
         mut journal: Journal,
         done: impl Fn(Result<SyncId, Refusal>) + Send + 'static,
     ) -> Result<Self, Refusal> {
         let (batches, queue) = mpsc::channel::<Batch>();
-        let thread = thread::Builder::new().name(NAME.to_owned()).spawn(move || {
-            while let Ok(first) = queue.recv() {
-                let mut sync = first.sync;
-                let mut writes = first.writes;
-                while let Ok(more) = queue.try_recv() {
-                    sync = more.sync;
-                    writes.extend(more.writes);
+        let thread = thread::Builder::new()
+            .name(THREAD_NAME.to_owned())
+            .spawn(move || {
+                while let Ok(first) = queue.recv() {
+                    let mut sync = first.sync;
+                    let mut writes = first.writes;
+                    while let Ok(next) = queue.try_recv() {
+                        sync = next.sync;
+                        writes.extend(next.writes);
+                    }
+                    let result = journal.write(writes).map(|()| sync);
+                    let failed = result.is_err();
+                    done(result);
+                    if failed {
+                        return;
+                    }
                 }
-                let result = journal.write(writes).map(|()| sync);
-                let failed = result.is_err();
-                done(result);
-                if failed {
-                    return;
-                }
-            }
-        });
+            });
         let thread = thread.map_err(|why| {
-            Refusal::new(Code::Internal, format!("no thread could be made: {why}"))
+            Refusal::new(
+                Code::Internal,
+                format!("cannot start the journal thread: {why}"),
+            )
         })?;
         Ok(Self {
             batches: Some(batches),
@@ -69,17 +74,17 @@
         })
     }
 
-    /// Writes what was handed over, and waits until the thread has ended.
+    /// Writes the batches that are queued, and waits until the thread has ended.
     pub(crate) fn close(&mut self) {
         self.batches = None;
         if let Some(Err(_)) = self.thread.take().map(JoinHandle::join) {
-            log::error!("the thread that writes the journal has panicked");
+            log::error!("the journal thread panicked");
         }
     }
 
-    /// Hands a batch over; nothing is made of it once this is closed.
+    /// Queues a batch; does nothing once the writer is closed.
     pub(crate) fn write(&self, batch: Batch) {
-        // The thread is gone only after a failure, of which `done` has been told.
+        // The thread ends early only after a failure, which it has reported to `done`.
         let _ = self.batches.as_ref().map(|batches| batches.send(batch));
     }
 }
