--- a/crates/curlewlift/src/losses/day.rs
+++ b/crates/curlewlift/src/losses/day.rs
@@ -1,4 +1,4 @@
-//! What became of each request of a day.
+//! Determines how each request of a day ended.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -8,107 +8,107 @@
 
 use super::record::Record;
 
-/// What became of a request.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Outcome {
-    /// Answered within its objective.
+    /// Responded to within its objective.
     InTime,
-    /// Answered later, or with longer pauses than wanted.
+    /// Responded to after its objective, or with longer pauses than its objective allows.
     Late,
-    /// Turned away by a gateway.
+    /// Refused by a gateway.
     Refused,
-    /// Its server failed it.
+    /// The server responded with an error status.
     Failed,
-    /// Its answer broke off.
+    /// The response was cut off.
     Cut,
-    /// Its caller went away.
+    /// The caller disconnected.
     Left,
 }
 
-/// A request and what became of it.
+/// A request that has ended.
 #[derive(Clone, Debug)]
-pub(super) struct Fate {
-    /// The second in which it ended; none where the logs have no times.
+pub(super) struct EndedRequest {
+    /// The second in which it ended; none if the logs have no times.
     pub(super) second: Option<i64>,
     pub(super) rule: String,
     pub(super) customer: String,
     pub(super) rank: String,
     pub(super) outcome: Outcome,
-    /// Why, in a word or two.
+    /// The reason of the outcome: a code name or a short phrase.
     pub(super) reason: String,
 }
 
-/// What became of each request of a day.
+/// The requests of a day, read from gateways' logs.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Day {
-    pub(super) fates: Vec<Fate>,
-    /// By second, how many more requests were at servers at its end than at its beginning.
-    pub(super) running: HashMap<i64, i64>,
-    /// What is known of requests that have been sent.
+    pub(super) ended: Vec<EndedRequest>,
+    /// The net change of the number of requests at servers, by second.
+    pub(super) running_change: HashMap<i64, i64>,
+    /// The last `sent` line of each request that has not ended.
     sent: HashMap<String, Record>,
-    /// Those that are at a server.
+    /// The requests that are at a server.
     at_servers: HashSet<String>,
-    /// How many lines told nothing of a request, or could not be read.
+    /// The number of lines that could not be parsed or are not about a request's attempts or end.
     skipped_lines: usize,
 }
 
 impl Day {
-    /// Reads a log; lines that are cut, or another program's, are passed over.
+    /// Reads a log; skips and counts incomplete lines and lines of other programs.
     pub(crate) fn read(&mut self, log: &str) {
         for line in log.lines() {
-            match Record::read(line) {
-                Some(record) => self.take(record),
+            match Record::parse(line) {
+                Some(record) => self.add(record),
                 None => self.skipped_lines += 1,
             }
         }
     }
 
-    /// How many lines could not be read or were no gateway's.
+    /// The number of lines that were skipped.
     pub(crate) fn get_skipped_lines(&self) -> usize {
         self.skipped_lines
     }
 
-    fn take(&mut self, record: Record) {
+    fn add(&mut self, record: Record) {
         let kind = Kind::try_from(record.event);
         match kind {
-            Ok(Kind::Sent) => self.begin(record),
-            Ok(Kind::SendingFailed) => self.ran(&record),
-            Ok(Kind::Ended | Kind::Refused | Kind::CallerLeft) => self.end(record),
+            Ok(Kind::Sent) => self.start_attempt(record),
+            Ok(Kind::SendingFailed) => self.leave_server(&record),
+            Ok(Kind::Ended | Kind::Refused | Kind::CallerLeft) => self.end_request(record),
             _ => self.skipped_lines += 1,
         }
     }
 
-    fn run(&mut self, at: Option<f64>, change: i64) {
-        if let Some(second) = second(at) {
-            *self.running.entry(second).or_default() += change;
+    fn change_running(&mut self, time_s: Option<f64>, change: i64) {
+        if let Some(second) = whole_second(time_s) {
+            *self.running_change.entry(second).or_default() += change;
         }
     }
 
-    fn begin(&mut self, record: Record) {
-        self.run(record.at, 1);
+    fn start_attempt(&mut self, record: Record) {
+        self.change_running(record.time_s, 1);
         self.at_servers.insert(record.request.clone());
         self.sent.insert(record.request.clone(), record);
     }
 
-    /// A request is not at a server any more.
-    fn ran(&mut self, record: &Record) {
+    /// Notes that a request is no longer at a server.
+    fn leave_server(&mut self, record: &Record) {
         if self.at_servers.remove(&record.request) {
-            self.run(record.at, -1);
+            self.change_running(record.time_s, -1);
         }
     }
 
-    fn end(&mut self, record: Record) {
-        self.ran(&record);
+    fn end_request(&mut self, record: Record) {
+        self.leave_server(&record);
         let sent = self.sent.remove(&record.request).unwrap_or_default();
-        let (outcome, reason) = outcome(&record, &sent);
-        let known = |here: Option<String>, before: Option<String>| {
-            here.or(before).unwrap_or_else(|| "-".to_owned())
+        let (outcome, reason) = classify(&record, &sent);
+        let first_known = |ended: Option<String>, sent: Option<String>| {
+            ended.or(sent).unwrap_or_else(|| "-".to_owned())
         };
-        self.fates.push(Fate {
-            second: second(record.at),
-            rule: known(record.rule, sent.rule),
-            customer: known(record.customer, sent.customer),
-            rank: known(record.rank, sent.rank),
+        self.ended.push(EndedRequest {
+            second: whole_second(record.time_s),
+            rule: first_known(record.rule, sent.rule),
+            customer: first_known(record.customer, sent.customer),
+            rank: first_known(record.rank, sent.rank),
             outcome,
             reason,
         });
@@ -116,15 +116,15 @@
 }
 
 #[allow(clippy::cast_possible_truncation, reason = "seconds of a day")]
-fn second(at: Option<f64>) -> Option<i64> {
-    at.map(|at| at.floor() as i64)
+fn whole_second(time_s: Option<f64>) -> Option<i64> {
+    time_s.map(|time_s| time_s.floor() as i64)
 }
 
-/// What became of a request that ended with `record`, and why.
-fn outcome(record: &Record, sent: &Record) -> (Outcome, String) {
+/// The outcome of a request that ended with `record`, and the reason.
+fn classify(record: &Record, sent: &Record) -> (Outcome, String) {
     if let Some(code) = record.code {
-        let known = Code::try_from(code);
-        let name = known.map_or_else(|_| code.to_string(), |code| code.name().to_owned());
+        let code_name = Code::try_from(code);
+        let name = code_name.map_or_else(|_| code.to_string(), |code| code.name().to_owned());
         return (Outcome::Refused, name);
     }
     if record.how.as_deref() == Some("cut") {
@@ -136,18 +136,21 @@
     if status >= 400 {
         return (Outcome::Failed, format!("server answered {status}"));
     }
-    let began = sent.after_ms.unwrap_or(0) + record.first_ms.unwrap_or(0);
+    let first_byte_ms = sent.after_ms.unwrap_or(0) + record.first_ms.unwrap_or(0);
     let is_stream = record.how.as_deref() == Some("stream");
-    let took = if is_stream {
-        began
+    let latency_ms = if is_stream {
+        first_byte_ms
     } else {
-        record.after_ms.unwrap_or(began)
+        record.after_ms.unwrap_or(first_byte_ms)
     };
-    if sent.objective_ms.is_some_and(|objective| took > objective) {
+    if sent
+        .objective_ms
+        .is_some_and(|objective| latency_ms > objective)
+    {
         return (Outcome::Late, "late".to_owned());
     }
-    let longest = record.longest_ms.unwrap_or(0);
-    if sent.pause_ms.is_some_and(|pause| longest > pause) {
+    let longest_pause_ms = record.longest_ms.unwrap_or(0);
+    if sent.pause_ms.is_some_and(|pause| longest_pause_ms > pause) {
         return (Outcome::Late, "paused".to_owned());
     }
     (Outcome::InTime, "in time".to_owned())
--- a/crates/curlewlift/src/losses/mod.rs
+++ b/crates/curlewlift/src/losses/mod.rs
@@ -1,4 +1,4 @@
-//! What callers lost in a day, by the gateways' own logs.
+//! Counts how a day's requests ended, from the gateways' logs.
 
 mod day;
 mod record;
--- a/crates/curlewlift/src/losses/table.rs
+++ b/crates/curlewlift/src/losses/table.rs
@@ -1,25 +1,25 @@
-//! A day's requests, counted by what they have in common.
+//! Counts a day's requests by outcome, grouped by a common property.
 
 use std::collections::BTreeMap;
 use std::fmt;
 use std::str::FromStr;
 
 use super::day::Day;
-use super::day::Fate;
+use super::day::EndedRequest;
 use super::day::Outcome;
 
-/// By what requests are counted.
+/// The property that requests are grouped by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum By {
-    /// The rule that they came under.
+    /// The routing rule.
     Rule,
-    /// How urgent they are.
+    /// The rank, which is the urgency.
     Rank,
-    /// Their customer.
+    /// The customer.
     Customer,
-    /// The second in which they ended.
+    /// The second in which the request ended.
     Second,
-    /// What became of them, and why.
+    /// The reason of the outcome.
     Reason,
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// What the requests of a row came to.
+/// The requests of a row, counted by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Row {
     pub(super) in_time: u32,
@@ -47,7 +47,7 @@
     pub(super) failed: u32,
     pub(super) cut: u32,
     pub(super) left: u32,
-    /// How many were at servers at its end; of a row that is a second.
+    /// The number of requests at servers at the end of the second; only in rows of seconds.
     pub(super) running: Option<i64>,
 }
 
@@ -64,8 +64,8 @@
         *count += 1;
     }
 
-    /// All of them.
-    pub(super) fn asked(&self) -> u32 {
+    /// The number of all requests.
+    pub(super) fn total(&self) -> u32 {
         self.in_time + self.late + self.refused + self.failed + self.cut + self.left
     }
 
@@ -82,50 +82,52 @@
     }
 }
 
-/// What stands above the counts.
-pub(super) const COLUMNS: [&str; 6] = ["in time", "late", "refused", "failed", "cut", "left"];
+/// The headings of the counts.
+pub(super) const OUTCOME_COLUMNS: [&str; 6] =
+    ["in time", "late", "refused", "failed", "cut", "left"];
 
-/// A day's requests, counted.
+/// A day's requests, counted by group.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Table {
     pub(super) rows: Vec<(String, Row)>,
 }
 
 impl Table {
-    /// Counts the requests of a day.
+    /// Counts the requests of a day by `by`.
     pub(crate) fn new(day: &Day, by: By) -> Self {
         if by == By::Second {
             return Self::by_second(day);
         }
         let mut rows: BTreeMap<String, Row> = BTreeMap::new();
-        for fate in &day.fates {
+        for request in &day.ended {
             let name = match by {
-                By::Rule => &fate.rule,
-                By::Rank => &fate.rank,
-                By::Customer => &fate.customer,
-                By::Second | By::Reason => &fate.reason,
+                By::Rule => &request.rule,
+                By::Rank => &request.rank,
+                By::Customer => &request.customer,
+                By::Second | By::Reason => &request.reason,
             };
-            rows.entry(name.clone()).or_default().add(fate.outcome);
+            rows.entry(name.clone()).or_default().add(request.outcome);
         }
         let mut rows: Vec<_> = rows.into_iter().collect();
         if by == By::Reason {
-            rows.sort_by_key(|(_, row)| std::cmp::Reverse(row.asked()));
+            rows.sort_by_key(|(_, row)| std::cmp::Reverse(row.total()));
         }
         Self { rows }
     }
 
     fn by_second(day: &Day) -> Self {
         let mut seconds: BTreeMap<i64, Row> = BTreeMap::new();
-        let timed = |fate: &Fate| fate.second.map(|second| (second, fate.outcome));
-        for (second, outcome) in day.fates.iter().filter_map(timed) {
+        let second_and_outcome =
+            |request: &EndedRequest| request.second.map(|second| (second, request.outcome));
+        for (second, outcome) in day.ended.iter().filter_map(second_and_outcome) {
             seconds.entry(second).or_default().add(outcome);
         }
-        for second in day.running.keys() {
+        for second in day.running_change.keys() {
             seconds.entry(*second).or_default();
         }
         let mut running = 0;
         for (second, row) in &mut seconds {
-            running += day.running.get(second).copied().unwrap_or(0);
+            running += day.running_change.get(second).copied().unwrap_or(0);
             row.running = Some(running);
         }
         let rows = seconds.into_iter();
@@ -142,7 +144,7 @@
         let names = self.rows.iter().map(|(name, _)| name.chars().count());
         let width = names.max().unwrap_or(0).max(8);
         write!(f, "{:width$}  {:>7}", "", "asked")?;
-        for column in COLUMNS {
+        for column in OUTCOME_COLUMNS {
             write!(f, "  {column:>7}")?;
         }
         let has_running = self.rows.iter().any(|(_, row)| row.running.is_some());
@@ -151,7 +153,7 @@
         }
         writeln!(f)?;
         for (name, row) in &self.rows {
-            write!(f, "{name:width$}  {:>7}", row.asked())?;
+            write!(f, "{name:width$}  {:>7}", row.total())?;
             for count in row.counts() {
                 write!(f, "  {count:>7}")?;
             }
--- a/crates/curlewlift/src/operate/collect.rs
+++ b/crates/curlewlift/src/operate/collect.rs
@@ -1,4 +1,4 @@
-//! Collects the events of several processes into one time line.
+//! Collects the events of several processes into one timeline.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,17 +15,18 @@
 use crate::rpc::Method;
 use crate::timeline::Timeline;
 
-/// How long one process may take.
-const CALL: Duration = Duration::from_secs(3);
+/// How long one process may take to respond.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The events that pass `filter` at the processes at `addresses`, in causal order; and which of
-/// the processes did not answer.
+/// Collects the events that match `filter` from the processes at `addresses`, in causal order.
+///
+/// Also returns the addresses of processes that did not respond.
 ///
 /// Must not be called from inside an asynchronous runtime.
 ///
 /// # Errors
 ///
-/// [`Code::Internal`] where no runtime can be made.
+/// [`Code::Internal`] if the runtime cannot be built.
 pub fn collect(
     addresses: &[SocketAddr],
     filter: &Filter,
@@ -34,22 +35,25 @@
         .enable_all()
         .build();
     let runtime = runtime.map_err(|why| Refusal::new(Code::Internal, why.to_string()))?;
-    Ok(LocalSet::new().block_on(&runtime, ask_all(addresses, filter)))
+    Ok(LocalSet::new().block_on(&runtime, collect_from_all(addresses, filter)))
 }
 
-async fn ask_all(addresses: &[SocketAddr], filter: &Filter) -> (Vec<Line>, Vec<SocketAddr>) {
+async fn collect_from_all(
+    addresses: &[SocketAddr],
+    filter: &Filter,
+) -> (Vec<Line>, Vec<SocketAddr>) {
     let client = rpc::Client::new(Timeline::new("timeline"));
     let calls = addresses
         .iter()
-        .map(|address| client.call(*address, Method::Events, filter, CALL));
-    let answers: Vec<Result<Vec<Line>, Refusal>> = join_all(calls).await;
-    let mut parts = Vec::new();
-    let mut silent = Vec::new();
-    for (address, answer) in addresses.iter().zip(answers) {
-        match answer {
-            Ok(lines) => parts.push(lines),
-            Err(_) => silent.push(*address),
+        .map(|address| client.call(*address, Method::Events, filter, CALL_TIMEOUT));
+    let responses: Vec<Result<Vec<Line>, Refusal>> = join_all(calls).await;
+    let mut events_by_process = Vec::new();
+    let mut unreachable = Vec::new();
+    for (address, response) in addresses.iter().zip(responses) {
+        match response {
+            Ok(lines) => events_by_process.push(lines),
+            Err(_) => unreachable.push(*address),
         }
     }
-    (event::merge(parts), silent)
+    (event::merge(events_by_process), unreachable)
 }
--- a/crates/curlewlift/src/operate/mod.rs
+++ b/crates/curlewlift/src/operate/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' side: gives commands, and collects the time line.
+//! The operators' client: runs commands, and collects the timeline of several processes.
 
 mod collect;
 mod operator;
--- a/crates/curlewlift/src/operate/operator.rs
+++ b/crates/curlewlift/src/operate/operator.rs
@@ -1,4 +1,4 @@
-//! Gives commands to the control replicas.
+//! Sends operators' commands to the control replicas.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,16 +13,16 @@
 use crate::rpc::Method;
 use crate::timeline::Timeline;
 
-/// How long one replica may take.
-const CALL: Duration = Duration::from_secs(3);
+/// How long one replica may take to respond.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long a leader is looked for.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// How long to look for a leader.
+const LEADER_SEARCH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Between two rounds over the replicas.
-const PAUSE: Duration = Duration::from_millis(100);
+/// The pause between two rounds over all replicas.
+const SEARCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// An operator with a key, who knows where the control replicas are.
+/// A client that runs an operator's commands on the control replicas.
 ///
 /// # Examples
 ///
@@ -39,7 +39,7 @@
 }
 
 impl Operator {
-    /// The operator `name` with its key.
+    /// Creates a client for the operator `name` with its key and the replicas' addresses.
     #[must_use]
     pub fn new(name: id::Operator, key: &str, control: Vec<SocketAddr>) -> Self {
         Self {
@@ -49,24 +49,25 @@
         }
     }
 
-    /// Gives the line `number`, to whichever replica leads, until it is answered.
+    /// Sends the command `line` with its number to the leading replica, and returns the response.
     ///
-    /// The same number with the same line is the same command, however often it is given: nothing
-    /// is applied twice. Must not be called from inside an asynchronous runtime.
+    /// The same number with the same line is the same command, however often it is sent: it is
+    /// applied only once. Must not be called from inside an asynchronous runtime.
     ///
     /// # Errors
     ///
-    /// The refusal; [`Code::Unreachable`] where no replica answered, and then the command may have
-    /// been accepted: give the same number again to learn the answer.
+    /// Returns the refusal of the command, or [`Code::Unreachable`] if no replica responded. The
+    /// command may have been accepted then: run it again with the same number to learn its result.
     pub fn run(&self, number: u64, line: &str) -> Result<String, Refusal> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build();
         let runtime = runtime.map_err(|why| Refusal::new(Code::Internal, why.to_string()))?;
-        LocalSet::new().block_on(&runtime, self.give(number, line))
+        LocalSet::new().block_on(&runtime, self.send(number, line))
     }
 
-    async fn give(&self, number: u64, line: &str) -> Result<String, Refusal> {
+    /// Tries the replicas in rounds until the leader responds or the search times out.
+    async fn send(&self, number: u64, line: &str) -> Result<String, Refusal> {
         let client = rpc::Client::new(Timeline::new(self.name.as_str()));
         let call = CommandCall {
             operator: self.name.clone(),
@@ -74,21 +75,25 @@
             number,
             line: line.to_owned(),
         };
-        let until = tokio::time::Instant::now() + PATIENCE;
+        let deadline = tokio::time::Instant::now() + LEADER_SEARCH_TIMEOUT;
         loop {
-            let mut last = Refusal::new(Code::Unreachable, "no control replica is named");
+            let mut last_refusal =
+                Refusal::new(Code::Unreachable, "no control replica is configured");
             for address in &self.control {
-                match client.call(*address, Method::Command, &call, CALL).await {
+                match client
+                    .call(*address, Method::Command, &call, CALL_TIMEOUT)
+                    .await
+                {
                     Err(why) if matches!(why.get_code(), Code::NotLeader | Code::Unreachable) => {
-                        last = why;
+                        last_refusal = why;
                     }
-                    answer => return answer,
+                    response => return response,
                 }
             }
-            if tokio::time::Instant::now() >= until {
-                return Err(last);
+            if tokio::time::Instant::now() >= deadline {
+                return Err(last_refusal);
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(SEARCH_INTERVAL).await;
         }
     }
 }
--- a/crates/curlewlift/src/timeline/mod.rs
+++ b/crates/curlewlift/src/timeline/mod.rs
@@ -1,4 +1,4 @@
-//! This process's part of the time line, and pictures of the whole.
+//! The events of this process, and the drawing of timelines as SVG.
 
 mod recorder;
 mod svg;
--- a/crates/curlewlift/src/timeline/recorder.rs
+++ b/crates/curlewlift/src/timeline/recorder.rs
@@ -1,4 +1,4 @@
-//! Keeps this process's events and its hybrid clock.
+//! Records this process's events, stamped by its hybrid clock.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -13,15 +13,15 @@
 use curlewlift_core::event::Ring;
 use curlewlift_core::event::Stamp;
 
-/// How many events a process keeps.
-const KEPT: usize = 20_000;
+/// The number of events that a process stores; older ones are dropped.
+const MAX_EVENTS: usize = 20_000;
 
 struct Inner {
     clock: Clock,
     ring: Ring,
 }
 
-/// This process's events; clones share them.
+/// Records this process's events; clones share one record.
 #[derive(Clone)]
 pub(crate) struct Timeline {
     host: Arc<str>,
@@ -29,10 +29,11 @@
 }
 
 impl Timeline {
+    /// Creates an empty timeline of the process `host`.
     pub(crate) fn new(host: &str) -> Self {
         let inner = Inner {
             clock: Clock::default(),
-            ring: Ring::new(KEPT),
+            ring: Ring::new(MAX_EVENTS),
         };
         Self {
             host: host.into(),
@@ -40,26 +41,26 @@
         }
     }
 
-    /// Keeps `line`, and writes it to the log.
+    /// Stamps and stores `line`, and writes it to the log.
     pub(crate) fn note(&self, mut line: Line) {
         let mut inner = self.lock();
-        line.stamp = inner.clock.now(wall());
+        line.stamp = inner.clock.now(wall_ms());
         self.host.as_ref().clone_into(&mut line.host);
         log::info!(target: "event", "{line}");
         inner.ring.push(line);
     }
 
-    /// The next moment of the hybrid clock.
+    /// The next stamp of the hybrid clock.
     pub(crate) fn stamp(&self) -> Stamp {
-        self.lock().clock.now(wall())
+        self.lock().clock.now(wall_ms())
     }
 
-    /// Takes note of another process's moment.
+    /// Advances the hybrid clock past a stamp of another process.
     pub(crate) fn observe(&self, other: Stamp) {
         self.lock().clock.meet(other);
     }
 
-    /// The events that pass `filter`.
+    /// The stored events that match `filter`.
     pub(crate) fn select(&self, filter: &Filter) -> Vec<Line> {
         self.lock().ring.select(filter)
     }
@@ -69,10 +70,10 @@
     }
 }
 
-/// Milliseconds since 1970; only for people to read, never to decide by.
-fn wall() -> u64 {
-    let since = SystemTime::now()
+/// The wall clock in milliseconds since 1970; for display only, no decision depends on it.
+fn wall_ms() -> u64 {
+    let elapsed = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+    u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
 }
