--- a/crates/curlewlift/tests/day_losses.rs
+++ b/crates/curlewlift/tests/day_losses.rs
@@ -1,10 +1,10 @@
-//! What callers lost in a day, by logs with lines of other programs, cut lines and a clock that jumps.
+//! The `losses` subcommand on logs with lines of other programs, truncated lines and a clock that jumps.
 
 use std::path::PathBuf;
 use std::process::Command;
 use std::process::Output;
 
-/// Two hosts' logs.
+/// The logs of two hosts.
 const LOGS: [&str; 2] = [
     r#"  0.1000 g1 {"event":100,"name":"started"}
   0.2000 g1 {"event":204,"name":"sent","request":"a","rule":"chat","customer":"ann","rank":"0.1","objective_ms":500,"pause_ms":400,"after_ms":10}
@@ -27,27 +27,28 @@
   2.7000 g2 {"event":207,"name":"ended","request":"h","how":"cut","why":"reset","aft"#,
 ];
 
-/// Runs the program on the logs.
-fn losses(name: &str, options: &[&str]) -> Output {
+/// Runs the subcommand on the logs.
+fn run_losses(name: &str, options: &[&str]) -> Output {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let folder = folder.join(format!("losses-{name}-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("the folder can be created");
     let mut command = Command::new(env!("CARGO_BIN_EXE_curlewlift"));
     command.arg("losses").args(options);
-    for (place, log) in LOGS.iter().enumerate() {
-        let path = folder.join(format!("{place}.log"));
-        std::fs::write(&path, log).expect("a file");
+    for (index, log) in LOGS.iter().enumerate() {
+        let path = folder.join(format!("{index}.log"));
+        std::fs::write(&path, log).expect("the log can be written");
         command.arg(path);
     }
-    let output = command.output().expect("it runs");
-    std::fs::remove_dir_all(&folder).expect("it was there");
+    let output = command.output().expect("the program can be started");
+    std::fs::remove_dir_all(&folder).expect("the folder can be removed");
     output
 }
 
-fn text(name: &str, by: &str) -> String {
-    let output = losses(name, &["--by", by]);
+/// The table grouped by `by`, as text.
+fn table_text(name: &str, by: &str) -> String {
+    let output = run_losses(name, &["--by", by]);
     assert!(output.status.success(), "{output:?}");
-    String::from_utf8(output.stdout).expect("text")
+    String::from_utf8(output.stdout).expect("the output is UTF-8")
 }
 
 #[test]
@@ -57,12 +58,12 @@
 0.1             3        1        1        0        0        0        1
 1.0             4        0        1        2        1        0        0
 ";
-    assert_eq!(format!("\n{}", text("rank", "rank")), table);
+    assert_eq!(format!("\n{}", table_text("rank", "rank")), table);
 }
 
 #[test]
 fn by_reason() {
-    let table = text("reason", "reason");
+    let table = table_text("reason", "reason");
     for reason in [
         "late",
         "paused",
@@ -76,32 +77,33 @@
     }
 }
 
-/// What ran at servers stands beside each second.
+/// Each second's row shows the number of requests at servers.
 #[test]
 fn by_second() {
-    let table = text("second", "second");
+    let table = table_text("second", "second");
     let running = |second: &str| {
         let row = table
             .lines()
             .find(|row| row.split_whitespace().next() == Some(second));
-        let row = row.unwrap_or_else(|| panic!("no {second}: {table}"));
+        let row = row.unwrap_or_else(|| panic!("no row for second {second}: {table}"));
         row.split_whitespace().last().map(ToOwned::to_owned)
     };
-    assert_eq!(running("0").as_deref(), Some("-1"), "the clock had jumped");
+    assert_eq!(running("0").as_deref(), Some("-1"), "the clock jumped back");
     assert_eq!(running("1").as_deref(), Some("-1"));
-    assert_eq!(running("2").as_deref(), Some("1"), "one has not ended");
+    assert_eq!(
+        running("2").as_deref(),
+        Some("1"),
+        "one request has not ended"
+    );
 }
 
 #[test]
-fn pictures_and_errors() {
-    let picture = losses("picture", &["--by", "customer", "--format", "svg"]);
-    let picture = String::from_utf8(picture.stdout).expect("text");
-    assert!(
-        picture.starts_with("<svg") && picture.contains(">ann<"),
-        "{picture}"
-    );
+fn svg_and_errors() {
+    let svg = run_losses("picture", &["--by", "customer", "--format", "svg"]);
+    let svg = String::from_utf8(svg.stdout).expect("the output is UTF-8");
+    assert!(svg.starts_with("<svg") && svg.contains(">ann<"), "{svg}");
     for options in [["--by", "weather"], ["--format", "gif"]] {
-        let output = losses(options[1], &options);
+        let output = run_losses(options[1], &options);
         assert_eq!(output.status.code(), Some(2), "{output:?}");
     }
 }
--- a/crates/curlewlift/tests/platform_evacuations.rs
+++ b/crates/curlewlift/tests/platform_evacuations.rs
@@ -1,5 +1,7 @@
-//! Evacuations with real gateways: ordered at one host, in force at all, through losses; requests that must stay in a
-//! region.
+//! Evacuations of data halls with real gateways, and requests that must stay in a region.
+//!
+//! An evacuation that is ordered at one host must apply at all hosts, also without a hub and after all hosts were
+//! killed.
 
 mod platform;
 
@@ -13,26 +15,27 @@
 use platform::wait;
 use serde_json::json;
 
-/// Gives an order, and again, as operators do, while no leader is sure; gives the status.
-fn order(hosts: &Hosts, place: usize, path: &str) -> u16 {
+/// Sends an order, again while no leader is confirmed, as operators do; returns the status.
+fn order(hosts: &Hosts, host: usize, path: &str) -> u16 {
     let head = format!("POST /api/evacuation/{path} HTTP/1.1\r\nHost: x");
     let mut status = 503;
-    wait("the order is answered", || {
-        status = ask(hosts.control(place), &head, "").status;
+    wait("a leader responds to the order", || {
+        status = ask(hosts.control(host), &head, "").status;
         status != 503
     });
     status
 }
 
-fn get(hosts: &Hosts, place: usize, id: &str, rule: &str) -> Answer {
+/// Sends a request that matches `rule` to a host.
+fn get(hosts: &Hosts, host: usize, id: &str, rule: &str) -> Answer {
     let head = format!(
         "GET /{rule}/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: {id}\r\n\
          X-Deadline-Ms: 5000\r\nAuthorization: Bearer key-ann"
     );
-    ask(hosts.callers(place), &head, "")
+    ask(hosts.callers(host), &head, "")
 }
 
-/// An engine in each of two halls.
+/// Starts three hosts, and an engine in each of two halls.
 fn start(name: &str) -> (Hosts, [Engine; 2]) {
     let engines = ["i-0", "i-1"].map(Engine::start);
     let hosts = Hosts::start(folder(name), &[]);
@@ -45,33 +48,38 @@
     (hosts, engines)
 }
 
-/// Calls at all hosts; every request is served.
-fn calls(hosts: &Hosts, name: &str) {
+/// Sends requests to all hosts; every request must be served.
+fn call_all_hosts(hosts: &Hosts, name: &str) {
     for number in 0..60 {
-        let answer = get(hosts, number % 3, &format!("{name}-{number}"), "safe");
-        assert_eq!(answer.status, 200, "{name} {number}: {}", answer.body);
+        let response = get(hosts, number % 3, &format!("{name}-{number}"), "safe");
+        assert_eq!(response.status, 200, "{name} {number}: {}", response.body);
     }
 }
 
-/// No request reaches a server of an evacuated hall, also by a host that hears no hub, and after all hosts were lost.
+/// No request reaches a server of an evacuated hall, neither from a host without a hub nor after all hosts were
+/// killed.
 #[test]
-fn nothing_sent() {
-    let (mut hosts, engines) = start("nothing_sent");
+fn evacuated_hall_unused() {
+    let (mut hosts, engines) = start("evacuated_hall_unused");
     hosts.configure(&document(7).to_string());
     for path in ["hall-9/start", "hall-0/empty", "/start", "hall-0"] {
         assert_eq!(order(&hosts, 0, path), 404, "{path}");
     }
-    calls(&hosts, "before");
+    call_all_hosts(&hosts, "before");
     assert!(engines.iter().all(|engine| !engine.came().is_empty()));
-    for place in 0..3 {
-        assert_eq!(order(&hosts, place, "hall-1/start"), 200, "also again");
+    for host in 0..3 {
+        assert_eq!(
+            order(&hosts, host, "hall-1/start"),
+            200,
+            "a repeated order is accepted"
+        );
     }
     let sent = || engines[1].came().len();
     let mut seen = sent();
-    wait("all hosts go by it", || {
-        calls(&hosts, "soon");
-        let former = std::mem::replace(&mut seen, sent());
-        former == seen
+    wait("all hosts apply the evacuation", || {
+        call_all_hosts(&hosts, "soon");
+        let previous = std::mem::replace(&mut seen, sent());
+        previous == seen
     });
     hosts.kill(0);
     hosts.kill(1);
@@ -82,23 +90,23 @@
         );
     }
     hosts.kill(2);
-    for place in hosts.places() {
-        hosts.boot(place, false);
+    for host in hosts.places() {
+        hosts.boot(host, false);
     }
-    wait("all serve again", || {
-        (0..3).all(|place| get(&hosts, place, &format!("up-{place}"), "safe").status == 200)
+    wait("all hosts serve again", || {
+        (0..3).all(|host| get(&hosts, host, &format!("up-{host}"), "safe").status == 200)
     });
-    calls(&hosts, "after");
-    assert_eq!(sent(), seen, "nothing was sent there");
+    call_all_hosts(&hosts, "after");
+    assert_eq!(sent(), seen, "no request was sent to the evacuated hall");
     assert_eq!(order(&hosts, 2, "hall-1/end"), 200);
-    wait("it is used again", || {
-        calls(&hosts, "end");
+    wait("the hall is used again", || {
+        call_all_hosts(&hosts, "end");
         sent() > seen
     });
 }
 
-/// A rule that allows one region is served there only; one that has no hall in common with its customer's regions is
-/// refused, and has not run.
+/// Requests of a rule that allows one region are served there only. If the rule has no region in common with its
+/// customer, the request is refused without an attempt.
 #[test]
 fn stays_in_region() {
     let (hosts, engines) = start("stays_in_region");
@@ -107,7 +115,7 @@
     document["routes"][1]["allowed_regions"] = json!(["region-9"]);
     document["tenants"][0]["allowed_regions"] = json!(["region-0", "region-1"]);
     hosts.configure(&document.to_string());
-    calls(&hosts, "home");
+    call_all_hosts(&hosts, "home");
     assert!(
         engines[0].came().is_empty(),
         "{:?}",
--- a/crates/curlewlift/tests/platform_journal.rs
+++ b/crates/curlewlift/tests/platform_journal.rs
@@ -1,9 +1,9 @@
-//! The journal of a replica that begins anew in the same process.
+//! The journal of a replica that is restarted in the same process.
 //!
-//! Once, beside eight busy processors, a replica found that an entry which it knew to be committed was to be cut
-//! ("what is committed is never cut", 235 times until the test gave up), after all hosts had been killed, one disk
-//! had been wiped and all were started again. The thread that writes the journal ended some time after its
-//! replica, so the next one could read the file while the former one's last batch was on its way there.
+//! Guards against a journal thread that outlives its replica: on a busy host the restarted replica could then
+//! read the journal before the old thread had written its last batch. The replica's log contradicted the journal,
+//! and it was asked to truncate an entry that it knew to be committed. This happened after all hosts had been
+//! killed, one disk had been wiped and all hosts were started again.
 
 mod platform;
 
@@ -16,42 +16,47 @@
 use platform::document;
 use platform::folder;
 
-/// How many threads write journals now.
-fn writers() -> usize {
-    let threads = std::fs::read_dir("/proc/self/task").expect("threads");
+/// The number of journal threads in this process.
+fn journal_threads() -> usize {
+    let threads =
+        std::fs::read_dir("/proc/self/task").expect("the threads of this process are listed");
     let names = threads.flatten().map(|thread| {
-        // One that has just ended has no name any more.
+        // A thread that has just ended has no name any more.
         std::fs::read_to_string(thread.path().join("comm")).unwrap_or_default()
     });
     names.filter(|name| name.trim() == "journal").count()
 }
 
 #[test]
-fn no_former_writer() {
+fn old_thread_ends() {
     let engine = Engine::start("i-1");
-    let mut hosts = Hosts::start(folder("no_former_writer"), &[(&engine, "chat")]);
+    let mut hosts = Hosts::start(folder("old_thread_ends"), &[(&engine, "chat")]);
     hosts.configure(&document(7).to_string());
-    assert_eq!(writers(), 3, "one for each disk");
+    assert_eq!(journal_threads(), 3, "one journal thread for each disk");
     for round in 0..20_u64 {
-        let over = AtomicBool::new(false);
+        let is_stopped = AtomicBool::new(false);
         std::thread::scope(|scope| {
-            for place in 0..3 {
-                let (hosts, over) = (&hosts, &over);
+            for host in 0..3 {
+                let (hosts, is_stopped) = (&hosts, &is_stopped);
                 scope.spawn(move || {
                     for version in 1..8 {
-                        if !over.load(Ordering::Relaxed) {
-                            hosts.put(place, &document(round * 10 + version).to_string());
+                        if !is_stopped.load(Ordering::Relaxed) {
+                            hosts.put(host, &document(round * 10 + version).to_string());
                         }
                     }
                 });
             }
             std::thread::sleep(Duration::from_millis(15 + round));
-            over.store(true, Ordering::Relaxed);
+            is_stopped.store(true, Ordering::Relaxed);
         });
-        hosts.places().for_each(|place| hosts.kill(place));
-        // The kernel names a thread for some microseconds after it was joined.
+        hosts.places().for_each(|host| hosts.kill(host));
+        // The kernel still lists a thread for some microseconds after it was joined.
         std::thread::sleep(Duration::from_micros(300));
-        assert_eq!(writers(), 0, "round {round}");
-        hosts.places().for_each(|place| hosts.boot(place, false));
+        assert_eq!(
+            journal_threads(),
+            0,
+            "no journal thread outlives its replica, round {round}"
+        );
+        hosts.places().for_each(|host| hosts.boot(host, false));
     }
 }
--- a/crates/curlewlift/tests/platform_rollouts.rs
+++ b/crates/curlewlift/tests/platform_rollouts.rs
@@ -1,4 +1,7 @@
-//! Roll-outs with real gateways: ordered at one host, read at another, through losses; good and bad versions.
+//! Rollouts with real gateways, of good and of bad versions.
+//!
+//! A rollout that is ordered at one host must be read alike at the others and go on through killed hosts. A bad version
+//! must be rolled back before it gets more requests than its bound allows.
 
 mod platform;
 
@@ -17,58 +20,66 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Callers at the same time.
-const CALLERS: usize = 4;
+/// The number of concurrent callers.
+const CALLER_COUNT: usize = 4;
 
-/// Gives an order, and again, as operators do, while no leader is sure; gives the status.
-fn order(hosts: &Hosts, place: usize, body: &str) -> u16 {
+/// Sends an order, again while no leader is confirmed, as operators do; returns the status.
+fn order(hosts: &Hosts, host: usize, body: &str) -> u16 {
     let head = "POST /api/rollouts/start HTTP/1.1\r\nHost: x";
     let mut status = 503;
-    wait("the order is answered", || {
-        status = ask(hosts.control(place), head, body).status;
+    wait("a leader responds to the order", || {
+        status = ask(hosts.control(host), head, body).status;
         status != 503
     });
     status
 }
 
-fn to(version: &str, seconds: f64) -> String {
+/// The body of an order to move the service to `version`.
+fn order_body(version: &str, seconds: f64) -> String {
     json!({ "service": "chat", "target_version": version, "duration_s": seconds }).to_string()
 }
 
-fn read(hosts: &Hosts, place: usize) -> Answer {
+/// Requests the state of the rollout from a host.
+fn read(hosts: &Hosts, host: usize) -> Answer {
     let head = "GET /api/rollouts/chat/get HTTP/1.1\r\nHost: x";
-    ask(hosts.control(place), head, "")
+    ask(hosts.control(host), head, "")
 }
 
-/// The state of the roll-out, where a host can tell it.
-fn state(hosts: &Hosts, place: usize) -> Option<String> {
-    let answer = read(hosts, place);
-    let body: Value = serde_json::from_str(&answer.body).ok()?;
-    (answer.status == 200).then(|| body["state"].as_str().expect("a state").to_owned())
+/// The state of the rollout; none if the host refuses to read it.
+fn state(hosts: &Hosts, host: usize) -> Option<String> {
+    let response = read(hosts, host);
+    let body: Value = serde_json::from_str(&response.body).ok()?;
+    (response.status == 200).then(|| {
+        body["state"]
+            .as_str()
+            .expect("the response has a state")
+            .to_owned()
+    })
 }
 
-/// Waits until the roll-out has come to its end, which must be this one.
-fn ends(hosts: &Hosts, place: usize, end: &str) {
+/// Waits until the rollout has ended, and checks the state that it ended in.
+fn expect_end(hosts: &Hosts, host: usize, expected: &str) {
     let mut last = None;
-    wait("it comes to its end", || {
-        let answer = read(hosts, place);
-        println!("{place}: {} {}", answer.status, answer.body);
-        last = state(hosts, place);
+    wait("the rollout ends", || {
+        let response = read(hosts, host);
+        println!("{host}: {} {}", response.status, response.body);
+        last = state(hosts, host);
         last.as_deref().is_some_and(|state| state != "serving")
     });
     let steps = hosts.rollout_steps();
-    assert_eq!(last.as_deref(), Some(end), "{steps:?}");
+    assert_eq!(last.as_deref(), Some(expected), "{steps:?}");
 }
 
-fn get(hosts: &Hosts, place: usize, id: &str) -> Answer {
+/// Sends a request to a host.
+fn get(hosts: &Hosts, host: usize, id: &str) -> Answer {
     let head = format!(
         "GET /safe/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: {id}\r\n\
          X-Deadline-Ms: 5000\r\nAuthorization: Bearer key-ann"
     );
-    ask(hosts.callers(place), &head, "")
+    ask(hosts.callers(host), &head, "")
 }
 
-/// The version's entries for two engines.
+/// The server entries of the engines, with `version`.
 fn entries(engines: &[Engine], version: &str) -> Vec<Value> {
     let entries = engines.iter().map(|engine| {
         let mut entry = entry(engine, "chat", "ready");
@@ -78,14 +89,17 @@
     entries.collect()
 }
 
-fn came(engines: &[Engine]) -> usize {
+/// The number of requests that the engines have received.
+fn received(engines: &[Engine]) -> usize {
     engines.iter().map(|engine| engine.came().len()).sum()
 }
 
-fn former() -> [Engine; 2] {
+/// The engines of the version that serves before the rollout.
+fn former_engines() -> [Engine; 2] {
     [Engine::start("i-1"), Engine::start("i-2")]
 }
 
+/// Starts three hosts that serve the engines of the former version.
 fn start(name: &str, former: &[Engine]) -> Hosts {
     let listed: Vec<_> = former.iter().map(|engine| (engine, "chat")).collect();
     let hosts = Hosts::start_rollouts(folder(name), &listed);
@@ -93,36 +107,41 @@
     hosts
 }
 
-/// Says that it is over, also where what went on has failed.
-struct Over<'a>(&'a AtomicBool);
+/// Stops the callers when it is dropped, also if the work under load panics.
+struct StopOnDrop<'a>(&'a AtomicBool);
 
-impl Drop for Over<'_> {
+impl Drop for StopOnDrop<'_> {
     fn drop(&mut self) {
         self.0.store(true, Ordering::Relaxed);
     }
 }
 
-/// Calls at the hosts in `places` while `work` is done; gives the statuses that came and their numbers.
-fn under_load(hosts: &Hosts, places: &[usize], mut work: impl FnMut()) -> Vec<(u16, usize)> {
-    let over = AtomicBool::new(false);
+/// Sends requests to the hosts in `hosts_under_load` while `work` runs; returns how often each status came back.
+fn under_load(
+    hosts: &Hosts,
+    hosts_under_load: &[usize],
+    mut work: impl FnMut(),
+) -> Vec<(u16, usize)> {
+    let is_stopped = AtomicBool::new(false);
     let next = AtomicUsize::new(0);
     let statuses: Vec<_> = [200, 429, 500, 502, 503]
         .map(|status| (status, AtomicUsize::new(0)))
         .into();
     std::thread::scope(|scope| {
-        for _ in 0..CALLERS {
+        for _ in 0..CALLER_COUNT {
             scope.spawn(|| {
-                while !over.load(Ordering::Relaxed) {
+                while !is_stopped.load(Ordering::Relaxed) {
                     let number = next.fetch_add(1, Ordering::Relaxed);
-                    let place = places[number % places.len()];
-                    let status = get(hosts, place, &format!("r-{number}")).status;
-                    let of_status = statuses.iter().find(|(known, _)| *known == status);
-                    let (_, count) = of_status.unwrap_or_else(|| panic!("status {status}"));
+                    let host = hosts_under_load[number % hosts_under_load.len()];
+                    let status = get(hosts, host, &format!("r-{number}")).status;
+                    let counter = statuses.iter().find(|(known, _)| *known == status);
+                    let (_, count) =
+                        counter.unwrap_or_else(|| panic!("unexpected status {status}"));
                     count.fetch_add(1, Ordering::Relaxed);
                 }
             });
         }
-        let _over = Over(&over);
+        let _stop = StopOnDrop(&is_stopped);
         work();
     });
     let statuses = statuses.into_iter();
@@ -133,16 +152,16 @@
 
 #[test]
 fn bad_orders() {
-    let former = former();
+    let former = former_engines();
     let hosts = start("bad_orders", &former);
-    assert_eq!(read(&hosts, 0).status, 404, "none was ordered");
+    assert_eq!(read(&hosts, 0).status, 404, "no rollout was ordered");
     for (body, status) in [
         ("{", 400),
         ("{\"service\":\"chat\"}", 400),
-        (&*to("v2", 0.0), 400),
-        (&*to("v2", -1.0), 400),
-        (&*to("v2", 1e9), 400),
-        (&*to("", 5.0), 400),
+        (&*order_body("v2", 0.0), 400),
+        (&*order_body("v2", -1.0), 400),
+        (&*order_body("v2", 1e9), 400),
+        (&*order_body("", 5.0), 400),
         (
             "{\"service\":\"none\",\"target_version\":\"v2\",\"duration_s\":5}",
             404,
@@ -154,33 +173,33 @@
     ] {
         assert_eq!(order(&hosts, 1, body), status, "{body}");
     }
-    assert_eq!(read(&hosts, 2).status, 404, "nothing of them was taken");
-    assert_eq!(order(&hosts, 0, &to("v2", 60.0)), 200);
+    assert_eq!(read(&hosts, 2).status, 404, "no invalid order was accepted");
+    assert_eq!(order(&hosts, 0, &order_body("v2", 60.0)), 200);
     assert_eq!(
-        order(&hosts, 1, &to("v2", 60.0)),
+        order(&hosts, 1, &order_body("v2", 60.0)),
         200,
-        "the same, at another host"
+        "the same order is accepted at another host"
     );
     assert_eq!(
-        order(&hosts, 2, &to("v3", 60.0)),
+        order(&hosts, 2, &order_body("v3", 60.0)),
         409,
-        "another is under way"
+        "another rollout is in progress"
     );
-    for place in 0..3 {
-        assert_eq!(state(&hosts, place).as_deref(), Some("serving"));
+    for host in 0..3 {
+        assert_eq!(state(&hosts, host).as_deref(), Some("serving"));
     }
 }
 
-/// A version that nobody ordered gets nothing, whether a hub is heard or not.
+/// A version that nobody ordered gets no requests, with a hub or without.
 #[test]
 fn not_ordered() {
-    let former = former();
+    let former = former_engines();
     let mut hosts = start("not_ordered", &former);
     let other = [Engine::start("i-3"), Engine::start("i-4")];
     let mut listed = entries(&former, "v1");
     listed.extend(entries(&other, "v2"));
     hosts.list(listed);
-    let calls = |hosts: &Hosts, name: &str| {
+    let call = |hosts: &Hosts, name: &str| {
         for number in 0..200 {
             assert_eq!(
                 get(hosts, 2, &format!("{name}-{number}")).status,
@@ -189,27 +208,29 @@
             );
         }
     };
-    calls(&hosts, "hub");
+    call(&hosts, "hub");
     hosts.kill(0);
     hosts.kill(1);
-    calls(&hosts, "alone");
-    assert_eq!(came(&other), 0);
+    call(&hosts, "alone");
+    assert_eq!(received(&other), 0);
 }
 
-/// A good version is completed although the leader's host goes in the middle; what was agreed is there after
-/// all were killed, and the former version gets nothing any more.
+/// The rollout of a good version completes although the leader's host is killed during it. The committed steps are
+/// still there after all hosts were killed, and the former version gets no requests any more.
 #[test]
 fn good_version() {
-    let former = former();
+    let former = former_engines();
     let mut hosts = start("good_version", &former);
     let target = [Engine::start("i-3"), Engine::start("i-4")];
     let mut listed = entries(&former, "v1");
     listed.extend(entries(&target, "v2"));
     hosts.list(listed);
-    assert_eq!(order(&hosts, 0, &to("v2", 4.0)), 200);
+    assert_eq!(order(&hosts, 0, &order_body("v2", 4.0)), 200);
     assert_eq!(state(&hosts, 1).as_deref(), Some("serving"));
     let statuses = under_load(&hosts, &[0, 1, 2], || {
-        wait("it is tried", || came(&target) > 20);
+        wait("the target version gets requests", || {
+            received(&target) > 20
+        });
     });
     assert!(
         statuses
@@ -219,44 +240,53 @@
     );
     hosts.kill(0);
     under_load(&hosts, &[1, 2], || {
-        ends(&hosts, 2, "completed");
+        expect_end(&hosts, 2, "completed");
     });
-    for place in 1..3 {
-        hosts.kill(place);
+    for host in 1..3 {
+        hosts.kill(host);
     }
-    for place in 0..3 {
-        hosts.boot(place, false);
+    for host in 0..3 {
+        hosts.boot(host, false);
     }
-    for place in 0..3 {
-        ends(&hosts, place, "completed");
+    for host in 0..3 {
+        expect_end(&hosts, host, "completed");
     }
-    wait("it serves", || get(&hosts, 1, "again").status == 200);
-    let before = came(&former);
+    wait("the host serves requests", || {
+        get(&hosts, 1, "again").status == 200
+    });
+    let before = received(&former);
     for number in 0..100 {
         assert_eq!(get(&hosts, 2, &format!("after-{number}")).status, 200);
     }
-    assert_eq!(came(&former), before, "nothing goes to the former version");
+    assert_eq!(
+        received(&former),
+        before,
+        "the former version gets no requests any more"
+    );
 }
 
-/// A version that fails is rolled back, with no more requests than its bound; its engines get nothing any more.
+/// A version that fails is rolled back, with no more requests than its bound, and its engines get no requests any more.
 #[test]
 fn bad_version() {
-    let former = former();
+    let former = former_engines();
     let hosts = start("bad_version", &former);
-    let fails = |id| Engine::start_always(id, "fail");
-    let target = [fails("i-3"), fails("i-4")];
+    let failing_engine = |id| Engine::start_always(id, "fail");
+    let target = [failing_engine("i-3"), failing_engine("i-4")];
     let mut listed = entries(&former, "v1");
     listed.extend(entries(&target, "v2"));
     hosts.list(listed);
-    assert_eq!(order(&hosts, 1, &to("v2", 20.0)), 200);
+    assert_eq!(order(&hosts, 1, &order_body("v2", 20.0)), 200);
     under_load(&hosts, &[0, 1, 2], || {
-        ends(&hosts, 0, "rolled_back");
+        expect_end(&hosts, 0, "rolled_back");
     });
-    let exposed = came(&target);
-    let all = exposed + came(&former);
-    assert!(exposed * 10 <= all + 500, "{exposed} of {all}");
+    let target_requests = received(&target);
+    let all = target_requests + received(&former);
+    assert!(
+        target_requests * 10 <= all + 500,
+        "{target_requests} of {all} requests went to the failing version"
+    );
     for number in 0..100 {
         assert_eq!(get(&hosts, 2, &format!("after-{number}")).status, 200);
     }
-    assert_eq!(came(&target), exposed);
+    assert_eq!(received(&target), target_requests);
 }
--- a/crates/curlewlift/tests/platform_start.rs
+++ b/crates/curlewlift/tests/platform_start.rs
@@ -1,4 +1,7 @@
-//! Requests that come before a gateway has its first routing table.
+//! Requests that arrive before a gateway has its first routing table.
+//!
+//! Such a request must wait for the table instead of being refused at once: its caller may have no retry left, and on the
+//! first start of a deployment no other host has a table either.
 
 mod platform;
 
@@ -13,53 +16,54 @@
 use platform::folder;
 use platform::wait;
 
-/// How long before the table the request comes: longer than a caller was once left to wait.
-const BEFORE: Duration = Duration::from_millis(250);
+/// How long before the table the request arrives: a wait limit that is too short would refuse it.
+const SHORT_TABLE_DELAY: Duration = Duration::from_millis(250);
 
-/// The same of a deployment that starts for the first time on a busy machine: its first election and
-/// configuration take longer than a second.
-const LONG_BEFORE: Duration = Duration::from_millis(1_500);
+/// The same for the first start of a deployment on a busy host: its first election and configuration
+/// take longer than a second.
+const LONG_TABLE_DELAY: Duration = Duration::from_millis(1_500);
 
-/// A caller comes so long before the first table of all, and is answered by a server.
-fn is_answered(name: &str, before: Duration) {
+/// Sends a request `table_delay` before the first table is put; a server must respond to it.
+fn check_early_request(name: &str, table_delay: Duration) {
     let engine = Engine::start("i-1");
     let hosts = Hosts::start(folder(name), &[(&engine, "chat")]);
     let callers = hosts.callers(0);
-    let early = thread::spawn(move || {
+    let early_caller = thread::spawn(move || {
         let head = "POST /safe/a HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: early\r\n\
                     X-Play: answer\r\nX-Deadline-Ms: 20000\r\nAuthorization: Bearer key-ann";
         ask(callers, head, "question")
     });
-    thread::sleep(before);
+    thread::sleep(table_delay);
     hosts.configure(&document(7).to_string());
-    wait("the caller is answered", || early.is_finished());
-    let answer: Answer = early.join().expect("it was answered");
-    assert_eq!((answer.status, answer.body.as_str()), (200, "done"));
+    wait("the caller gets a response", || early_caller.is_finished());
+    let response: Answer = early_caller
+        .join()
+        .expect("the caller's thread does not panic");
+    assert_eq!((response.status, response.body.as_str()), (200, "done"));
 }
 
-/// A caller that comes shortly before the first table has no need to come back: it may have no further
-/// try.
+/// A request shortly before the first table waits for it: the caller may have no retry left.
 #[test]
 fn waits_for_table() {
-    is_answered("waits_for_table", BEFORE);
+    check_early_request("waits_for_table", SHORT_TABLE_DELAY);
 }
 
-/// Where the whole deployment starts for the first time, no other host has a table either: sent away after a
-/// second, a caller found none elsewhere.
+/// On the first start of a whole deployment no other host has a table either, so a caller that is refused
+/// after a second finds none elsewhere.
 #[test]
 fn first_start() {
-    is_answered("first_start", LONG_BEFORE);
+    check_early_request("first_start", LONG_TABLE_DELAY);
 }
 
-/// One that has little time is told soon.
+/// A request with a short deadline is refused soon.
 #[test]
 fn little_time() {
     let engine = Engine::start("i-1");
     let hosts = Hosts::start(folder("little_time"), &[(&engine, "chat")]);
     let head = "POST /safe/a HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: soon\r\n\
                 X-Deadline-Ms: 400\r\nAuthorization: Bearer key-ann";
-    let answer = ask(hosts.callers(0), head, "question");
-    assert_eq!(answer.status, 503);
-    assert!(answer.body.contains("no-table"), "{}", answer.body);
-    assert!(answer.header("retry-after").is_some());
+    let response = ask(hosts.callers(0), head, "question");
+    assert_eq!(response.status, 503);
+    assert!(response.body.contains("no-table"), "{}", response.body);
+    assert!(response.header("retry-after").is_some());
 }
--- a/crates/curlewlift/tests/platform_tables.rs
+++ b/crates/curlewlift/tests/platform_tables.rs
@@ -1,4 +1,7 @@
-//! Configurations in the platform's words: taken, refused, read, after kills and lost disks.
+//! Configurations that the platform puts and reads: accepted, rejected, and read back after kills and lost disks.
+//!
+//! The highest accepted version must be served by every host, through kills and the loss of any disk; a host that is
+//! not sure of the newest version must not serve any.
 
 mod platform;
 
@@ -12,41 +15,49 @@
 use serde_json::Value;
 use serde_json::json;
 
+/// Starts three hosts with one engine.
 fn start(name: &str) -> Hosts {
     let engine = Engine::start("i-1");
     Hosts::start(folder(name), &[(&engine, "chat")])
 }
 
-fn read(hosts: &Hosts, place: usize) -> Answer {
+/// Requests the configuration from a host.
+fn read(hosts: &Hosts, host: usize) -> Answer {
     ask(
-        hosts.control(place),
+        hosts.control(host),
         "GET /api/config/get HTTP/1.1\r\nHost: x",
         "",
     )
 }
 
-fn read_back(hosts: &Hosts, place: usize) -> Option<Value> {
-    let answer = read(hosts, place);
-    (answer.status == 200).then(|| serde_json::from_str(&answer.body).expect("JSON"))
+/// The configuration as a host serves it; none if the host refuses.
+fn read_back(hosts: &Hosts, host: usize) -> Option<Value> {
+    let response = read(hosts, host);
+    (response.status == 200)
+        .then(|| serde_json::from_str(&response.body).expect("the body is JSON"))
 }
 
 #[test]
-fn highest_holds() {
-    let hosts = start("highest_holds");
-    assert_eq!(read(&hosts, 1).status, 503, "nothing to read yet");
+fn highest_version_wins() {
+    let hosts = start("highest_version_wins");
+    assert_eq!(read(&hosts, 1).status, 503, "there is no configuration yet");
     hosts.configure(&document(7).to_string());
     let newer = document(9);
     assert_eq!(hosts.put(1, &newer.to_string()), 200);
     assert_eq!(
         hosts.put(2, &document(8).to_string()),
         200,
-        "older, and taken note of"
+        "an older version is acknowledged but not applied"
     );
     let mut other = document(9);
     other["routes"][0]["timeout_ms"] = json!(1);
-    assert_eq!(hosts.put(0, &other.to_string()), 200, "the number is taken");
-    for place in 0..3 {
-        assert_eq!(read_back(&hosts, place), Some(newer.clone()));
+    assert_eq!(
+        hosts.put(0, &other.to_string()),
+        200,
+        "a second document with the same version is acknowledged but not applied"
+    );
+    for host in 0..3 {
+        assert_eq!(read_back(&hosts, host), Some(newer.clone()));
     }
 }
 
@@ -54,45 +65,65 @@
 fn invalid_refused() {
     let hosts = start("invalid_refused");
     hosts.configure(&document(7).to_string());
-    let with = |change: &dyn Fn(&mut Value)| {
+    let put_changed = |change: &dyn Fn(&mut Value)| {
         let mut other = document(8);
         change(&mut other);
         hosts.put(1, &other.to_string())
     };
-    assert_eq!(with(&|d| d["routes"][0]["service"] = json!("none")), 400);
-    assert_eq!(with(&|d| d["routes"][0]["timeout_ms"] = json!(0)), 400);
     assert_eq!(
-        with(&|d| d["routes"][0]["path_prefix"] = json!("/once/")),
+        put_changed(&|d| d["routes"][0]["service"] = json!("none")),
+        400
+    );
+    assert_eq!(
+        put_changed(&|d| d["routes"][0]["timeout_ms"] = json!(0)),
+        400
+    );
+    assert_eq!(
+        put_changed(&|d| d["routes"][0]["path_prefix"] = json!("/once/")),
+        400
+    );
+    assert_eq!(
+        put_changed(&|d| d["tenants"][0]["api_keys"] = json!(["key-ben"])),
         400
     );
     assert_eq!(
-        with(&|d| d["tenants"][0]["api_keys"] = json!(["key-ben"])),
+        put_changed(&|d| d["routes"][0]["kind"] = json!("other")),
         400
     );
-    assert_eq!(with(&|d| d["routes"][0]["kind"] = json!("other")), 400);
-    assert_eq!(with(&|d| d["version"] = json!("8")), 400);
+    assert_eq!(put_changed(&|d| d["version"] = json!("8")), 400);
     assert_eq!(
-        with(&|d| drop(d.as_object_mut().expect("fields").remove("routes"))),
+        put_changed(&|d| drop(
+            d.as_object_mut()
+                .expect("the document is an object")
+                .remove("routes")
+        )),
         400
     );
     let split = json!([{ "service": "chat", "weight": 0 }, { "service": "pay", "weight": 0 }]);
-    assert_eq!(with(&|d| d["routes"][0]["backends"] = split.clone()), 400);
+    assert_eq!(
+        put_changed(&|d| d["routes"][0]["backends"] = split.clone()),
+        400
+    );
     let text = document(8).to_string();
-    assert_eq!(hosts.put(0, &text[..text.len() - 5]), 400, "cut short");
+    assert_eq!(
+        hosts.put(0, &text[..text.len() - 5]),
+        400,
+        "a truncated document is invalid"
+    );
     let mut older = document(3);
     older["routes"][0]["timeout_ms"] = json!(0);
     assert_eq!(
         hosts.put(0, &older.to_string()),
         400,
-        "older, but invalid all the same"
+        "an invalid document is rejected even if its version is old"
     );
     assert_eq!(read_back(&hosts, 2), Some(document(7)));
 }
 
-/// Times beyond all measure are taken, and nothing ends by them.
+/// Timeouts too large for the clock are accepted, and requests are still served.
 #[test]
-fn endless_times() {
-    let hosts = start("endless_times");
+fn huge_timeouts() {
+    let hosts = start("huge_timeouts");
     let mut document = document(7);
     document["routes"][0]["timeout_ms"] = json!(1e300);
     document["routes"][0]["target_latency_ms"] = json!(1e300);
@@ -109,19 +140,19 @@
     let mut hosts = start("all_killed");
     hosts.configure(&document(7).to_string());
     for version in 8..40 {
-        let place = usize::try_from(version % 3).expect("few");
+        let host = usize::try_from(version % 3).expect("the index fits");
         let table = document(version).to_string();
-        // Operators send again what no sure leader took.
+        // As operators do, sends the table again while no confirmed leader accepts it.
         let mut status = 503;
-        wait("the table is answered", || {
-            status = hosts.put(place, &table);
+        wait("a leader responds to the table", || {
+            status = hosts.put(host, &table);
             status != 503
         });
         assert_eq!(status, 200);
     }
-    (0..3).for_each(|place| hosts.kill(place));
-    (0..3).for_each(|place| hosts.boot(place, false));
-    wait("it is read back", || read_back(&hosts, 0).is_some());
+    (0..3).for_each(|host| hosts.kill(host));
+    (0..3).for_each(|host| hosts.boot(host, false));
+    wait("the table is read back", || read_back(&hosts, 0).is_some());
     assert_eq!(read_back(&hosts, 0), Some(document(39)));
 }
 
@@ -131,32 +162,44 @@
     hosts.configure(&document(7).to_string());
     assert_eq!(hosts.put(1, &document(8).to_string()), 200);
     for lost in 0..3 {
-        let held = document(8 + lost as u64);
-        (0..3).for_each(|place| hosts.kill(place));
+        let accepted = document(8 + lost as u64);
+        (0..3).for_each(|host| hosts.kill(host));
         hosts.wipe(lost);
-        (0..3).for_each(|place| hosts.boot(place, false));
-        wait("it is read back", || read_back(&hosts, lost).is_some());
-        assert_eq!(read_back(&hosts, lost), Some(held), "without disk {lost}");
-        // The next disk may be lost only now: until then the blank one's former content still counts
-        // as a replica, and a newer table is taken by the other two alone.
-        wait("the blank disk counts", || hosts.counts_again(lost));
+        (0..3).for_each(|host| hosts.boot(host, false));
+        wait("the table is read back", || {
+            read_back(&hosts, lost).is_some()
+        });
+        assert_eq!(
+            read_back(&hosts, lost),
+            Some(accepted),
+            "without disk {lost}"
+        );
+        // The next disk may be lost only after this: until then the wiped replica is still a voter with
+        // its former disk, and only the other two replicas store a newer table.
+        wait("the replica with the blank disk is a voter again", || {
+            hosts.counts_again(lost)
+        });
         let newer = document(9 + lost as u64).to_string();
-        wait("a newer one is taken", || hosts.put(lost, &newer) == 200);
+        wait("a newer table is accepted", || {
+            hosts.put(lost, &newer) == 200
+        });
     }
 }
 
 #[test]
-fn minority_is_unsure() {
-    let mut hosts = start("minority_is_unsure");
+fn minority_refuses() {
+    let mut hosts = start("minority_refuses");
     hosts.configure(&document(7).to_string());
     hosts.kill(1);
     hosts.kill(2);
-    wait("the one that is left is unsure", || {
+    wait("the remaining host refuses to read", || {
         read(&hosts, 0).status == 503
     });
     assert_eq!(hosts.put(0, &document(8).to_string()), 503);
     hosts.boot(1, false);
-    wait("two are sure again", || read_back(&hosts, 0).is_some());
+    wait("two hosts serve the configuration again", || {
+        read_back(&hosts, 0).is_some()
+    });
 }
 
 #[test]
@@ -165,19 +208,21 @@
     hosts.configure(&document(7).to_string());
     let head = "GET /api/resolve?name=shop.example&region=r&zone=none HTTP/1.1\r\nHost: x";
     let addresses = |hosts: &Hosts| {
-        let answer = ask(hosts.directory(0), head, "");
-        let answer: Value = serde_json::from_str(&answer.body).unwrap_or_default();
-        answer["addresses"].as_array().map_or(0, Vec::len)
+        let response = ask(hosts.directory(0), head, "");
+        let body: Value = serde_json::from_str(&response.body).unwrap_or_default();
+        body["addresses"].as_array().map_or(0, Vec::len)
     };
-    wait("all are named", || addresses(&hosts) == 3);
+    wait("the directory lists all hosts", || addresses(&hosts) == 3);
     let process = hosts.stop(2);
-    wait("two are named", || addresses(&hosts) == 2);
+    wait("the directory lists the two other hosts", || {
+        addresses(&hosts) == 2
+    });
     assert!(!hosts.is_ready(2));
-    let asked = "GET /open/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a";
+    let head = "GET /open/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a";
     assert_eq!(
-        ask(hosts.callers(2), asked, "").status,
+        ask(hosts.callers(2), head, "").status,
         200,
-        "who kept its address is served"
+        "a caller that still uses its address is served"
     );
-    process.wait().expect("it ends well");
+    process.wait().expect("the process ends without an error");
 }
