--- a/crates/curlewlift/src/control/evacuations.rs
+++ b/crates/curlewlift/src/control/evacuations.rs
@@ -32,6 +32,7 @@
     result.map(|()| HubReply::Ordered)
 }
 
+/// Proposes the order, and waits until it is committed.
 async fn commit(state: &Shared, order: Order) -> Result<(), Refusal> {
     let committed = {
         let mut state = state.borrow_mut();
--- a/crates/curlewlift/src/control/handler.rs
+++ b/crates/curlewlift/src/control/handler.rs
@@ -118,7 +118,7 @@
         state.machine.authorize(&call.operator, &digest, right)?;
     }
     match statement {
-        Statement::Query(query) => super::query::answer(&state.borrow(), &query),
+        Statement::Query(query) => super::query::run(&state.borrow(), &query),
         Statement::Dry(change) => {
             let next = state.borrow().machine.get_snapshot().apply(&change)?;
             Ok(format!("would make revision {}\n", next.revision))
--- a/crates/curlewlift/src/control/hub.rs
+++ b/crates/curlewlift/src/control/hub.rs
@@ -46,7 +46,7 @@
         HubCall::Publish(publication) => publish(state, publication).await,
         // With many gateways, those with a replica in their process are never standbys.
         HubCall::Draw(_) => Ok(HubReply::Drawn(false)),
-        HubCall::Read => read(state).await,
+        HubCall::Read => read_table(state).await,
         HubCall::Rollout(order) => super::rollouts::order(state, order).await,
         HubCall::RolloutOf(service) => super::rollouts::read(state, &service).await,
         HubCall::Evacuate(order) => super::evacuations::order(state, order).await,
@@ -195,7 +195,7 @@
 }
 
 /// The newest accepted table, confirmed by a majority.
-async fn read(state: &Shared) -> Result<HubReply, Refusal> {
+async fn read_table(state: &Shared) -> Result<HubReply, Refusal> {
     confirm(state).await?;
     let publication = state.borrow().machine.get_publication().clone();
     Ok(HubReply::Table(publication))
@@ -222,7 +222,7 @@
     Ok(())
 }
 
-/// Commits a routing table; returns once it is committed, or at once if a table as new is active.
+/// Commits a routing table; returns once it is committed, or at once if the active table is at least as new.
 async fn publish(state: &Shared, publication: Publication) -> Result<HubReply, Refusal> {
     let number = publication.number;
     let bytes = publication.document.as_packed().len();
--- a/crates/curlewlift/src/control/query.rs
+++ b/crates/curlewlift/src/control/query.rs
@@ -12,11 +12,12 @@
 use super::replica::State;
 
 /// The result of `query` from the leader's current state.
-pub(super) fn answer(state: &State, query: &Query) -> Result<String, Refusal> {
+pub(super) fn run(state: &State, query: &Query) -> Result<String, Refusal> {
     let table = rows(state, query.subject);
     lang::answer(query, table)
 }
 
+/// The rows of `subject`, before filters and sorting.
 fn rows(state: &State, subject: Subject) -> Table {
     let snapshot = state.machine.get_snapshot();
     match subject {
@@ -33,6 +34,7 @@
     }
 }
 
+/// A table with a row for each item of the configuration.
 fn table<'a, K, T>(items: impl IntoIterator<Item = (&'a K, &'a T)>) -> Table
 where
     K: ToString + 'a,
@@ -45,6 +47,7 @@
     table
 }
 
+/// The audit log of changes.
 fn audit(state: &State) -> Table {
     let mut table = Table::default();
     for (index, line) in state.machine.audit().enumerate() {
@@ -56,8 +59,8 @@
 /// The revision at the leader, and at each entry with the age of the entry's report.
 fn revision(state: &State, snapshot: &Snapshot) -> Table {
     let mut table = Table::default();
-    let own = json!({ "revision": snapshot.revision, "view": 0, "age_ms": 0 });
-    table.push(&"control", &own);
+    let leader_row = json!({ "revision": snapshot.revision, "view": 0, "age_ms": 0 });
+    table.push(&"control", &leader_row);
     let now = state.clock.now();
     for (host, revision, view, reported_at) in state
         .grantor
@@ -73,6 +76,7 @@
     table
 }
 
+/// The members of the replica set, and whether they respond.
 fn replicas(state: &State) -> Table {
     let mut table = Table::default();
     let leader = state.replica.get_leader();
@@ -88,6 +92,7 @@
     table
 }
 
+/// The entries in the current view.
 fn view(state: &State) -> Table {
     let mut table = Table::default();
     let roster = state.machine.get_roster();
--- a/crates/curlewlift/src/control/replica.rs
+++ b/crates/curlewlift/src/control/replica.rs
@@ -58,6 +58,7 @@
 pub(super) struct State {
     pub(super) replica: Replica,
     pub(super) machine: Machine,
+    /// Grants the entries' leases, while this replica leads.
     pub(super) grantor: Option<Grantor>,
     pub(super) timeline: Timeline,
     pub(super) clock: Clock,
@@ -66,9 +67,12 @@
     lease: LeaseTiming,
     address: Option<SocketAddr>,
     pub(super) peers: BTreeMap<id::Host, SocketAddr>,
+    /// The addresses of replicas that have sent messages.
     learned_addresses: HashMap<id::Host, SocketAddr>,
+    /// The proposers that wait for a result, by log index and with the term of the proposal.
     pending_results: HashMap<id::Index, (id::Term, oneshot::Sender<CommandResult>)>,
     role: Role,
+    /// The number of the last view that this leader proposed.
     proposed_view: id::View,
     /// Hosts whose replicas must be removed from the replica set.
     pub(super) removed: BTreeSet<id::Host>,
@@ -148,6 +152,7 @@
 
 /// # Events
 impl State {
+    /// Advances all timers.
     pub(super) fn tick(&mut self) {
         let now = self.clock.now();
         self.replica.tick(now);
@@ -162,11 +167,13 @@
         self.writer.close();
     }
 
+    /// Notes that the writes up to `sync` are on disk.
     pub(super) fn on_synced(&mut self, sync: SyncId) {
         self.replica.on_synced(sync, self.clock.now());
         self.process_output();
     }
 
+    /// Processes a message of another replica, and remembers its address.
     pub(super) fn receive(&mut self, message: Message, address: SocketAddr) {
         self.learned_addresses.insert(message.from.clone(), address);
         self.replica.receive(message, self.clock.now());
@@ -198,7 +205,7 @@
             .map_or("unknown", id::Host::as_str);
         Err(Refusal::new(
             Code::NotLeader,
-            format!("this replica is not the leader; the leader is `{leader}`"),
+            format!("this replica is not the leader; the leader is {leader}"),
         ))
     }
 
@@ -221,9 +228,10 @@
         for entry in output.commits {
             self.apply(&entry);
         }
-        self.note_role();
+        self.update_role();
     }
 
+    /// Applies a committed entry, and sends the result to whoever proposed it here.
     fn apply(&mut self, entry: &Entry) {
         let result = match &entry.body {
             Body::Data(data) => self.apply_record(data, entry.term),
@@ -268,6 +276,7 @@
         result
     }
 
+    /// Sends a message of the log; a lost message is the log's to repeat.
     fn send(&self, message: Message) {
         let Some(to) = self.locate(&message.to) else {
             return;
@@ -288,9 +297,9 @@
             .hosts
             .get(host)
             .map(|host| host.rpc);
-        let learned_addresses = self.learned_addresses.get(host).copied();
+        let learned_address = self.learned_addresses.get(host).copied();
         configured
-            .or(learned_addresses)
+            .or(learned_address)
             .or_else(|| self.peers.get(host).copied())
             .or_else(|| (self.gateways.as_ref()?.locate)(host))
     }
@@ -298,7 +307,8 @@
 
 /// # Leadership
 impl State {
-    fn note_role(&mut self) {
+    /// Sets up or drops the leader's state when the role changes.
+    fn update_role(&mut self) {
         let role = self.replica.get_role();
         if role == self.role {
             return;
@@ -354,6 +364,7 @@
         self.maintain_configured_replicas();
     }
 
+    /// Proposes a new view if the live entries have changed.
     fn propose_view(&mut self) {
         let now = self.clock.now();
         let Some(grantor) = &mut self.grantor else {
--- a/crates/curlewlift/src/program/operate.rs
+++ b/crates/curlewlift/src/program/operate.rs
@@ -42,12 +42,12 @@
 /// be sent again as the same command.
 fn run_line(operator: &Operator, number: u64, line: &str) -> Result<(), Refusal> {
     let is_change = matches!(lang::parse(line)?, lang::Statement::Change(_));
-    let answer = operator.run(number, line).inspect_err(|_| {
+    let response = operator.run(number, line).inspect_err(|_| {
         if is_change {
             eprintln!("command number {number}");
         }
     })?;
-    print!("{answer}");
+    print!("{response}");
     Ok(())
 }
 
--- a/crates/curlewlift/src/settings/resolve.rs
+++ b/crates/curlewlift/src/settings/resolve.rs
@@ -133,7 +133,7 @@
                 .map_err(|why: id::Invalid| why.to_string())?;
             let address = address.trim().parse();
             let address = address
-                .map_err(|_| format!("`{part}` is not an IP address and port after the `=`"))?;
+                .map_err(|_| format!("`{part}` has no IP address and port after the `=`"))?;
             if peers.insert(name, address).is_some() {
                 return Err(format!("`{part}` names a host that is already in the list"));
             }
@@ -200,6 +200,7 @@
     pub(crate) http: SocketAddr,
     pub(crate) control: Vec<SocketAddr>,
     pub(crate) lease: LeaseTiming,
+    /// How long a stopping entry still serves callers that use its address.
     pub(crate) keep: Duration,
 }
 
@@ -240,6 +241,7 @@
     pub(crate) peers: BTreeMap<id::Host, SocketAddr>,
     pub(crate) platform: Option<SocketAddr>,
     pub(crate) data: PathBuf,
+    /// Whether to found a new system if the folder is empty.
     pub(crate) found: bool,
     pub(crate) lease: LeaseTiming,
 }
--- a/crates/curlewlift/tests/platform_start.rs
+++ b/crates/curlewlift/tests/platform_start.rs
@@ -16,7 +16,7 @@
 use platform::folder;
 use platform::wait;
 
-/// How long before the table the request arrives: a wait limit that is too short would refuse it.
+/// The delay of the first table after the request: the gateway must let the caller wait at least this long.
 const SHORT_TABLE_DELAY: Duration = Duration::from_millis(250);
 
 /// The same for the first start of a deployment on a busy host: its first election and configuration
@@ -57,9 +57,9 @@
 
 /// A request with a short deadline is refused soon.
 #[test]
-fn little_time() {
+fn short_deadline() {
     let engine = Engine::start("i-1");
-    let hosts = Hosts::start(folder("little_time"), &[(&engine, "chat")]);
+    let hosts = Hosts::start(folder("short_deadline"), &[(&engine, "chat")]);
     let head = "POST /safe/a HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: soon\r\n\
                 X-Deadline-Ms: 400\r\nAuthorization: Bearer key-ann";
     let response = ask(hosts.callers(0), head, "question");
