--- a/crates/curlewlift/src/control/daemon.rs
+++ b/crates/curlewlift/src/control/daemon.rs
@@ -34,7 +34,7 @@
 /// The interval between two ticks of the replica.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The interval between two attempts of a blank replica to join.
+/// The interval between two attempts of a replica to join or rejoin the replica set.
 const JOIN_INTERVAL: Duration = Duration::from_millis(300);
 
 /// The builder of a control replica.
--- a/crates/curlewlift/src/losses/day.rs
+++ b/crates/curlewlift/src/losses/day.rs
@@ -68,6 +68,7 @@
         self.skipped_lines
     }
 
+    /// Adds a parsed line.
     fn add(&mut self, record: Record) {
         let kind = Kind::try_from(record.event);
         match kind {
@@ -97,6 +98,7 @@
         }
     }
 
+    /// Records how a request ended, with what its last `sent` line adds.
     fn end_request(&mut self, record: Record) {
         self.leave_server(&record);
         let sent = self.sent.remove(&record.request).unwrap_or_default();
--- a/crates/curlewlift/src/program/losses.rs
+++ b/crates/curlewlift/src/program/losses.rs
@@ -22,7 +22,7 @@
     for path in &args.logs {
         let log = std::fs::read(path);
         let log = log.map_err(|why| bad_setting("LOGS", path, &why.to_string()))?;
-        // Lines that are not valid UTF-8 fail to parse and are skipped.
+        // Invalid UTF-8 occurs only in lines that are skipped anyway.
         day.read(&String::from_utf8_lossy(&log));
     }
     let table = Table::new(&day, by);
--- a/crates/curlewlift/src/program/operate.rs
+++ b/crates/curlewlift/src/program/operate.rs
@@ -32,10 +32,10 @@
 
 /// A command number from the clock, which no earlier command of this operator is likely to have.
 fn time_based_number() -> u64 {
-    let since = SystemTime::now()
+    let elapsed = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+    u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
 }
 
 /// Runs one command and prints its response; prints the number of a failed change, so that it can
--- a/crates/curlewlift/src/settings/args.rs
+++ b/crates/curlewlift/src/settings/args.rs
@@ -47,10 +47,10 @@
     /// name of this host's data hall (CURLEWLIFT_HALL)
     #[argh(option)]
     pub(crate) hall: Option<String>,
-    /// address for other processes, as ADDRESS:PORT (CURLEWLIFT_RPC)
+    /// address to listen at for other processes, as ADDRESS:PORT (CURLEWLIFT_RPC)
     #[argh(option)]
     pub(crate) rpc: Option<String>,
-    /// address for callers, as ADDRESS:PORT (CURLEWLIFT_HTTP)
+    /// address to listen at for callers, as ADDRESS:PORT (CURLEWLIFT_HTTP)
     #[argh(option)]
     pub(crate) http: Option<String>,
     /// the control replicas, as NAME=ADDRESS:PORT,... (CURLEWLIFT_CONTROL)
@@ -73,7 +73,7 @@
     /// name of this host (CURLEWLIFT_HOST)
     #[argh(option)]
     pub(crate) host: Option<String>,
-    /// address for other processes, as ADDRESS:PORT (CURLEWLIFT_RPC)
+    /// address to listen at for other processes, as ADDRESS:PORT (CURLEWLIFT_RPC)
     #[argh(option)]
     pub(crate) rpc: Option<String>,
     /// the control replicas, as NAME=ADDRESS:PORT,... (CURLEWLIFT_CONTROL)
@@ -96,7 +96,7 @@
     pub(crate) lease_ms: Option<String>,
 }
 
-/// Runs a gateway on the platform, and a control replica beside it where the host has a disk.
+/// Runs a gateway on the platform, and a control replica in the same process if the host has a disk.
 #[derive(Debug, Default, FromArgs)]
 #[argh(subcommand, name = "platform")]
 pub(crate) struct Platform {
--- a/crates/curlewlift/tests/platform_tables.rs
+++ b/crates/curlewlift/tests/platform_tables.rs
@@ -172,7 +172,7 @@
         assert_eq!(
             read_back(&hosts, lost),
             Some(accepted),
-            "without disk {lost}"
+            "read back after the loss of disk {lost}"
         );
         // The next disk may be lost only after this: until then the wiped replica is still a voter with
         // its former disk, and only the other two replicas store a newer table.
