--- /dev/null
+++ b/crates/curlewlift/src/control/shares.rs
@@ -0,0 +1,42 @@
+//! The shares of the retry budget that gateways hold: proposals of the leader, and their application.
+
+use curlewlift_core::event::Kind;
+use curlewlift_core::event::Line;
+use curlewlift_core::state::Record;
+
+use super::replica::State;
+
+impl State {
+    /// Updates the hub to the committed shares and standbys.
+    pub(super) fn apply_shares(&mut self) {
+        let now = self.clock.now();
+        let Some(hub) = &mut self.hub else {
+            return;
+        };
+        let shares = self.machine.get_shares();
+        hub.apply_retry_shares(shares, now);
+        let standbys = self.machine.get_standbys();
+        hub.apply_standbys(standbys, now);
+        let (held, standbys) = (shares.holders.len(), standbys.holders.len());
+        let detail = format!("parts={} held={held} deputies={standbys}", shares.count);
+        self.timeline
+            .note(Line::new(Kind::PartsHeld).detail(detail));
+        self.updates.notify_waiters();
+    }
+
+    /// Proposes changes to the shares and standbys.
+    pub(super) fn propose_shares(&mut self) {
+        let now = self.clock.now();
+        let Some(hub) = &mut self.hub else {
+            return;
+        };
+        let shares = hub.propose_retry_shares(now).map(Record::Shares);
+        let standbys = hub.propose_standbys(now).map(Record::Standbys);
+        for record in shares.into_iter().chain(standbys) {
+            // A proposal is lost only with this leader, and then the hub that waits for it is gone too.
+            if let Err(why) = self.propose(&record) {
+                log::warn!("cannot propose new retry shares or standbys: {why}");
+            }
+        }
+    }
+}
--- a/crates/curlewlift/src/operate/mod.rs
+++ b/crates/curlewlift/src/operate/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' side: gives commands, and collects the time line.
+//! The operators' client: runs commands, and collects the timeline of several processes.
 
+mod collect;
 mod operator;
-mod story;
 
+pub use collect::collect;
 pub use operator::Operator;
-pub use story::collect;
