--- a/crates/core/src/fleet/index.rs
+++ b/crates/core/src/fleet/index.rs
@@ -205,7 +205,7 @@
     /// expected to finish earlier.
     fn consider(&self, index: usize, cached: Tokens, work: &Work, best: &mut Option<(f64, Pick)>) {
         let server = &self.servers[index];
-        let first = server.first_token_seconds(work.prompt.less(cached));
+        let first = server.first_token_seconds(work.prompt.saturating_sub(cached));
         let total = first + server.decode_seconds(work.output);
         if best.as_ref().is_some_and(|current| current.0 <= total) {
             return;
@@ -231,7 +231,7 @@
             .prefixes
             .first()
             .map_or(Tokens(0), |prefix| prefix.length);
-        let prompt = work.prompt.less(longest).as_f64();
+        let prompt = work.prompt.saturating_sub(longest).as_f64();
         let output = work.output.as_f64();
         let times = self.live_by_speed.keys().map(|speed| {
             let first = prompt / step_to_rate(speed.prefill);
@@ -254,7 +254,7 @@
             server.last_progress = now;
         }
         server.running_requests += 1;
-        server.backlog += work.prompt.less(pick.cached);
+        server.backlog += work.prompt.saturating_sub(pick.cached);
         for prefix in work
             .prefixes
             .iter()
@@ -275,7 +275,9 @@
         now: Instant,
     ) {
         let server = &mut self.servers[pick.server_index];
-        server.backlog = server.backlog.less(work.prompt.less(pick.cached));
+        server.backlog = server
+            .backlog
+            .saturating_sub(work.prompt.saturating_sub(pick.cached));
         if let Some(took) = took.filter(|_| self.tuning.learn_speed) {
             server.on_first_token(took, pick.estimate.first_token, now);
         }
--- a/crates/core/src/queue/dispatch.rs
+++ b/crates/core/src/queue/dispatch.rs
@@ -134,7 +134,7 @@
         running.last_progress = (now, tokens);
         self.fleet.on_tokens(
             running.pick.server_index,
-            tokens.less(previous_tokens),
+            tokens.saturating_sub(previous_tokens),
             now.since(since),
         );
     }
--- a/crates/core/src/queue/tier_queue.rs
+++ b/crates/core/src/queue/tier_queue.rs
@@ -73,8 +73,8 @@
         let (_, waiting) = queue.requests.pop_first()?;
         let weight = u64::from(waiting.request.weight.max(1));
         queue.virtual_time += waiting.cost().0 * VIRTUAL_TIME_PER_TOKEN / weight;
-        queue.work = queue.work.less(waiting.cost());
-        self.work = self.work.less(waiting.cost());
+        queue.work = queue.work.saturating_sub(waiting.cost());
+        self.work = self.work.saturating_sub(waiting.cost());
         if !queue.requests.is_empty() {
             self.order.insert((queue.virtual_time, customer));
         }
@@ -89,8 +89,8 @@
     ) -> Option<WaitingRequest> {
         let queue = self.customers.get_mut(customer)?;
         let waiting = queue.requests.remove(&key)?;
-        queue.work = queue.work.less(waiting.cost());
-        self.work = self.work.less(waiting.cost());
+        queue.work = queue.work.saturating_sub(waiting.cost());
+        self.work = self.work.saturating_sub(waiting.cost());
         if queue.requests.is_empty() {
             self.order.remove(&(queue.virtual_time, customer.clone()));
         }
--- a/crates/core/src/unit/size.rs
+++ b/crates/core/src/unit/size.rs
@@ -19,7 +19,7 @@
         impl $name {
             /// What is left of this after taking `other` away, zero at the least.
             #[must_use]
-            pub const fn less(self, other: Self) -> Self {
+            pub const fn saturating_sub(self, other: Self) -> Self {
                 Self(self.0.saturating_sub(other.0))
             }
 
