--- a/crates/core/src/event/hybrid.rs
+++ b/crates/core/src/event/hybrid.rs
@@ -51,7 +51,7 @@
 /// let mut fast = Clock::default();
 /// let mut slow = Clock::default();
 /// let sent = fast.now(2_000);
-/// slow.meet(sent);
+/// slow.observe(sent);
 /// assert!(slow.now(1_000) > sent, "what follows from a message comes after it");
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
@@ -66,7 +66,7 @@
     }
 
     /// Takes note of another process's moment.
-    pub fn meet(&mut self, other: Stamp) {
+    pub fn observe(&mut self, other: Stamp) {
         self.0 = self.0.max(other);
     }
 }
--- a/crates/curlewlift/src/timeline/keep.rs
+++ b/crates/curlewlift/src/timeline/keep.rs
@@ -56,7 +56,7 @@
 
     /// Takes note of another process's moment.
     pub(crate) fn meet(&self, other: Stamp) {
-        self.lock().clock.meet(other);
+        self.lock().clock.observe(other);
     }
 
     /// The events that pass `filter`.
