--- a/crates/core/src/config/snapshot.rs
+++ b/crates/core/src/config/snapshot.rs
@@ -136,7 +136,7 @@
 impl Snapshot {
     /// The customer whose bearer key has the hash `digest`, in constant time a customer.
     #[must_use]
-    pub fn customer(&self, digest: &str) -> Option<(&id::Customer, &Arc<Customer>)> {
+    pub fn customer_by_key_hash(&self, digest: &str) -> Option<(&id::Customer, &Arc<Customer>)> {
         use subtle::ConstantTimeEq;
         let mut found = None;
         for pair in &self.customers {
@@ -149,7 +149,7 @@
 
     /// The service that serves `model`.
     #[must_use]
-    pub fn service(&self, model: &str) -> Option<(&id::Service, &Arc<Service>)> {
+    pub fn service_by_model(&self, model: &str) -> Option<(&id::Service, &Arc<Service>)> {
         let serves =
             |service: &Service| service.model.as_ref().is_some_and(|m| m.as_str() == model);
         self.services.iter().find(|pair| serves(pair.1))
@@ -157,7 +157,7 @@
 
     /// The time in which a first token is of use to `customer`, if its tier has one.
     #[must_use]
-    pub fn first(&self, customer: &Customer) -> Option<Duration> {
+    pub fn first_token_limit(&self, customer: &Customer) -> Option<Duration> {
         let tier = self.tiers.get(&customer.tier)?;
         (tier.first_ms > 0).then(|| Duration::from_millis(tier.first_ms))
     }
--- a/crates/curlewlift/src/entry/admit.rs
+++ b/crates/curlewlift/src/entry/admit.rs
@@ -95,7 +95,7 @@
     let key = text.strip_prefix("Bearer ").ok_or_else(wrong)?;
     let digest = crate::key::digest(key);
     let snapshot = node.snapshot();
-    let found = snapshot.customer(&digest);
+    let found = snapshot.customer_by_key_hash(&digest);
     let unknown = || Refusal::new(Code::WrongKey, "no customer has this key");
     found
         .map(|(name, rights)| (name.clone(), Arc::clone(rights)))
--- a/crates/curlewlift/src/entry/owner.rs
+++ b/crates/curlewlift/src/entry/owner.rs
@@ -169,7 +169,7 @@
     };
     let snapshot = node.snapshot();
     let rights = snapshot.customers.get(&customer);
-    let first = rights.and_then(|rights| snapshot.first(rights));
+    let first = rights.and_then(|rights| snapshot.first_token_limit(rights));
     let ask = Request {
         ticket: queue::Ticket {
             host,
--- a/crates/curlewlift/src/entry/parse.rs
+++ b/crates/curlewlift/src/entry/parse.rs
@@ -130,7 +130,7 @@
             format!("no service has the model `{model}`"),
         )
     };
-    let (service, _) = snapshot.service(model).ok_or_else(unknown)?;
+    let (service, _) = snapshot.service_by_model(model).ok_or_else(unknown)?;
     let stream = flag(object, "stream")?;
     let output = limit(object)?;
     let texts = prompt(object)?;
