--- a/crates/core/src/lang/mod.rs
+++ b/crates/core/src/lang/mod.rs
@@ -6,7 +6,7 @@
 
 pub use parser::parse;
 pub use query::Table;
-pub use query::answer;
+pub use query::run_query;
 pub use statement::Condition;
 pub use statement::Format;
 pub use statement::Query;
--- a/crates/core/src/lang/query.rs
+++ b/crates/core/src/lang/query.rs
@@ -39,7 +39,7 @@
 /// # Errors
 ///
 /// [`Code::Unknown`] where a column is named that no row has.
-pub fn answer(query: &Query, table: Table) -> Result<String, Refusal> {
+pub fn run_query(query: &Query, table: Table) -> Result<String, Refusal> {
     let mut rows = table.rows;
     known(query, &rows)?;
     rows.retain(|row| {
--- a/crates/curlewlift/src/control/query.rs
+++ b/crates/curlewlift/src/control/query.rs
@@ -14,7 +14,7 @@
 /// The answer to `query`, as the leader knows it now.
 pub(super) fn answer(state: &State, query: &Query) -> Result<String, Refusal> {
     let table = rows(state, query.subject);
-    lang::answer(query, table)
+    lang::run_query(query, table)
 }
 
 fn rows(state: &State, subject: Subject) -> Table {
