--- a/crates/core/src/id/mod.rs
+++ b/crates/core/src/id/mod.rs
@@ -8,7 +8,7 @@
 pub use name::Customer;
 pub use name::Hall;
 pub use name::Host;
-pub use name::Invalid;
+pub use name::InvalidName;
 pub use name::Model;
 pub use name::Operator;
 pub use name::Server;
--- a/crates/core/src/id/name.rs
+++ b/crates/core/src/id/name.rs
@@ -8,30 +8,30 @@
 use serde::Serialize;
 
 /// The longest name, in bytes.
-const LONGEST: usize = 63;
+const MAX_NAME_BYTES: usize = 63;
 
 /// The reason why a text is not a name.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Invalid(String);
+pub struct InvalidName(String);
 
-impl fmt::Display for Invalid {
+impl fmt::Display for InvalidName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "`{}` is not a name: 1 to {LONGEST} of a-z, 0-9, `-`, `_`, `.`, first a letter or digit",
+            "`{}` is not a name: 1 to {MAX_NAME_BYTES} of a-z, 0-9, `-`, `_`, `.`, first a letter or digit",
             self.0
         )
     }
 }
 
-impl std::error::Error for Invalid {}
+impl std::error::Error for InvalidName {}
 
 /// Whether `text` has the shape that every name must have.
 fn is_name(text: &str) -> bool {
     let allowed = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b"-_.".contains(&b);
     let first = text.bytes().next();
     first.is_some_and(|b| b.is_ascii_lowercase() || b.is_ascii_digit())
-        && text.len() <= LONGEST
+        && text.len() <= MAX_NAME_BYTES
         && text.bytes().all(allowed)
 }
 
@@ -47,7 +47,7 @@
         #[doc = concat!("let name: curlewlift_core::id::", stringify!($name), " = \"a-1\".parse()?;")]
         /// assert_eq!(name.to_string(), "a-1");
         #[doc = concat!("assert!(\"A 1\".parse::<curlewlift_core::id::", stringify!($name), ">().is_err());")]
-        /// # Ok::<(), curlewlift_core::id::Invalid>(())
+        /// # Ok::<(), curlewlift_core::id::InvalidName>(())
         /// ```
         #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
         #[serde(try_from = "String", into = "String")]
@@ -68,21 +68,21 @@
         }
 
         impl FromStr for $name {
-            type Err = Invalid;
+            type Err = InvalidName;
 
-            fn from_str(text: &str) -> Result<Self, Invalid> {
+            fn from_str(text: &str) -> Result<Self, InvalidName> {
                 if is_name(text) {
                     Ok(Self(text.into()))
                 } else {
-                    Err(Invalid(text.to_owned()))
+                    Err(InvalidName(text.to_owned()))
                 }
             }
         }
 
         impl TryFrom<String> for $name {
-            type Error = Invalid;
+            type Error = InvalidName;
 
-            fn try_from(text: String) -> Result<Self, Invalid> {
+            fn try_from(text: String) -> Result<Self, InvalidName> {
                 text.parse()
             }
         }
--- a/crates/core/src/id/number.rs
+++ b/crates/core/src/id/number.rs
@@ -56,7 +56,7 @@
 /// let one: id::Customer = "one".parse()?;
 /// let two: id::Customer = "two".parse()?;
 /// assert_ne!(id::Key::new(&one, "k"), id::Key::new(&two, "k"));
-/// # Ok::<(), id::Invalid>(())
+/// # Ok::<(), id::InvalidName>(())
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key(pub u128);
--- a/crates/core/src/quarantine/identity.rs
+++ b/crates/core/src/quarantine/identity.rs
@@ -21,7 +21,7 @@
 /// let first = Identity::new(ann.clone(), "shop.example", "/chat/1", b"hello");
 /// assert_eq!(first, Identity::new(ann.clone(), "shop.example", "/chat/1", b"hello"));
 /// assert_ne!(first, Identity::new(ann, "shop.example", "/chat/1", b"hello!"));
-/// # Ok::<(), curlewlift_core::id::Invalid>(())
+/// # Ok::<(), curlewlift_core::id::InvalidName>(())
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Identity {
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -59,7 +59,7 @@
 /// let first = machine.apply(&Record::Command(command.clone()));
 /// let again = machine.apply(&Record::Command(command));
 /// assert_eq!(first, again);
-/// # Ok::<(), curlewlift_core::id::Invalid>(())
+/// # Ok::<(), curlewlift_core::id::InvalidName>(())
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
--- a/crates/curlewlift/src/settings/resolve.rs
+++ b/crates/curlewlift/src/settings/resolve.rs
@@ -119,7 +119,7 @@
             let name = name
                 .trim()
                 .parse()
-                .map_err(|why: id::Invalid| why.to_string())?;
+                .map_err(|why: id::InvalidName| why.to_string())?;
             let address = address.trim().parse();
             let address = address.map_err(|_| format!("`{part}` has no IP address and port"))?;
             if peers.insert(name, address).is_some() {
