--- a/crates/core/src/platform.rs
+++ b/crates/core/src/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's list of live and leaving hosts, which lags, repeats itself and loses hosts.
 //!
-//! [`Watch`] turns copies of the list into commands to drain and undrain backend servers. An older
+//! [`ListWatcher`] turns copies of the list into commands to drain and undrain backend servers. An older
 //! copy never replaces a newer one; a host that a copy has lost is not taken for gone; and a host
 //! that comes back is taken back only after some newer copies have said so, so that nothing flaps.
 
@@ -50,23 +50,23 @@
 /// ```
 /// use curlewlift_core::config::Snapshot;
 /// use curlewlift_core::platform::List;
-/// use curlewlift_core::platform::Watch;
+/// use curlewlift_core::platform::ListWatcher;
 /// let list = List {
 ///     version: 1,
 ///     hosts: Vec::new(),
 /// };
-/// assert!(Watch::default().take(&list, &Snapshot::default()).is_empty());
+/// assert!(ListWatcher::default().update(&list, &Snapshot::default()).is_empty());
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Watch {
+pub struct ListWatcher {
     version: u64,
     /// Servers that the list said are leaving, and how many newer copies in a row said "live".
     drained: BTreeMap<id::Server, u32>,
 }
 
-impl Watch {
+impl ListWatcher {
     /// Takes a copy of the list; tells what to command, given the configuration in force.
-    pub fn take(&mut self, list: &List, snapshot: &Snapshot) -> Vec<Order> {
+    pub fn update(&mut self, list: &List, snapshot: &Snapshot) -> Vec<Order> {
         if list.version <= self.version {
             return Vec::new();
         }
--- a/crates/core/tests/platform_list.rs
+++ b/crates/core/tests/platform_list.rs
@@ -5,8 +5,8 @@
 use curlewlift_core::lang::Statement;
 use curlewlift_core::platform::Host;
 use curlewlift_core::platform::List;
+use curlewlift_core::platform::ListWatcher;
 use curlewlift_core::platform::Order;
-use curlewlift_core::platform::Watch;
 
 fn apply(snapshot: &Snapshot, line: &str) -> Snapshot {
     let Ok(Statement::Change(change)) = lang::parse(line) else {
@@ -40,22 +40,22 @@
 #[test]
 fn older_copies() {
     let mut snapshot = configured();
-    let mut watch = Watch::default();
+    let mut watcher = ListWatcher::default();
     let x = "x".parse().expect("a name");
     assert!(
-        watch
-            .take(&list(5, &[("x", false), ("y", false)]), &snapshot)
+        watcher
+            .update(&list(5, &[("x", false), ("y", false)]), &snapshot)
             .is_empty()
     );
     assert_eq!(
-        watch.take(&list(7, &[("x", true)]), &snapshot),
+        watcher.update(&list(7, &[("x", true)]), &snapshot),
         [Order::Drain(x)]
     );
     snapshot = apply(&snapshot, "drain server x");
     for version in [5, 6, 7] {
         let old = list(version, &[("x", false), ("y", true)]);
         assert!(
-            watch.take(&old, &snapshot).is_empty(),
+            watcher.update(&old, &snapshot).is_empty(),
             "older never replaces newer"
         );
     }
@@ -64,10 +64,12 @@
 #[test]
 fn lost_host() {
     let snapshot = configured();
-    let mut watch = Watch::default();
-    watch.take(&list(1, &[("x", false), ("y", false)]), &snapshot);
+    let mut watcher = ListWatcher::default();
+    watcher.update(&list(1, &[("x", false), ("y", false)]), &snapshot);
     assert!(
-        watch.take(&list(2, &[("x", false)]), &snapshot).is_empty(),
+        watcher
+            .update(&list(2, &[("x", false)]), &snapshot)
+            .is_empty(),
         "y is not gone"
     );
 }
@@ -75,13 +77,13 @@
 #[test]
 fn no_flapping() {
     let mut snapshot = configured();
-    let mut watch = Watch::default();
+    let mut watcher = ListWatcher::default();
     let x: curlewlift_core::id::Server = "x".parse().expect("a name");
     let mut orders = Vec::new();
     for version in 1..=12 {
         // Now leaving, now live; then live for good.
         let leaving = version < 8 && version % 2 == 1;
-        for order in watch.take(&list(version, &[("x", leaving)]), &snapshot) {
+        for order in watcher.update(&list(version, &[("x", leaving)]), &snapshot) {
             let line = match &order {
                 Order::Drain(name) => format!("drain server {name}"),
                 Order::Undrain(name) => format!("undrain server {name}"),
@@ -96,9 +98,9 @@
 #[test]
 fn operators_drain() {
     let snapshot = apply(&configured(), "drain server x");
-    let mut watch = Watch::default();
+    let mut watcher = ListWatcher::default();
     for version in 1..10 {
-        let orders = watch.take(&list(version, &[("x", false)]), &snapshot);
+        let orders = watcher.update(&list(version, &[("x", false)]), &snapshot);
         assert!(
             orders.is_empty(),
             "what the operators drained is theirs to take back"
--- a/crates/curlewlift/src/control/platform.rs
+++ b/crates/curlewlift/src/control/platform.rs
@@ -8,8 +8,8 @@
 use axum::body::Body;
 use axum::http::Request;
 use curlewlift_core::platform::List;
+use curlewlift_core::platform::ListWatcher;
 use curlewlift_core::platform::Order;
-use curlewlift_core::platform::Watch;
 use curlewlift_core::state::Command;
 use curlewlift_core::state::Record;
 use http_body_util::BodyExt;
@@ -38,12 +38,12 @@
 pub(super) async fn watch(state: Rc<RefCell<State>>, platform: SocketAddr) {
     let executor = hyper_util::rt::TokioExecutor::new();
     let client: Client<HttpConnector, Body> = Client::builder(executor).build_http();
-    let mut watch = Watch::default();
+    let mut watch = ListWatcher::default();
     loop {
         tokio::time::sleep(EVERY).await;
         if state.borrow().leads().is_err() {
             // The next time it leads it begins with what the list says then.
-            watch = Watch::default();
+            watch = ListWatcher::default();
             continue;
         }
         match tokio::time::timeout(PATIENCE, ask(&client, platform)).await {
@@ -65,8 +65,8 @@
     serde_json::from_slice(&body.to_bytes()).ok()
 }
 
-fn command(state: &Rc<RefCell<State>>, watch: &mut Watch, list: &List) {
-    let orders = watch.take(list, state.borrow().machine.get_snapshot());
+fn command(state: &Rc<RefCell<State>>, watch: &mut ListWatcher, list: &List) {
+    let orders = watch.update(list, state.borrow().machine.get_snapshot());
     for order in orders {
         let line = match order {
             Order::Drain(name) => format!("drain server {name}"),
