--- a/crates/curlewlift/src/platform/mod.rs
+++ b/crates/curlewlift/src/platform/mod.rs
@@ -7,7 +7,7 @@
 mod document;
 mod entries;
 mod evacuations;
-mod heads;
+mod headers;
 mod http;
 mod instances;
 mod operator;
--- a/crates/curlewlift/src/platform/start.rs
+++ b/crates/curlewlift/src/platform/start.rs
@@ -37,7 +37,7 @@
 use super::Settings;
 use super::directory;
 use super::document;
-use super::heads;
+use super::headers;
 use super::instances;
 use super::operator;
 
@@ -125,7 +125,7 @@
             callers: listen.callers,
         },
         callers,
-        dialect: heads::DIALECT,
+        dialect: headers::DIALECT,
         allowed: settings.retries(),
         tolerance: settings.tolerance(),
         grace: Grace {
