--- a/crates/curlewlift/src/control/daemon.rs
+++ b/crates/curlewlift/src/control/daemon.rs
@@ -184,7 +184,7 @@
 async fn run(control: Control, journal: Journal, mut signal: Signal) -> Result<(), Refusal> {
     let clock = control.clock;
     let timeline = Timeline::new(control.host.as_str());
-    let listener = crate::process::listener(control.listener)?;
+    let listener = crate::process::tokio_listener(control.listener)?;
     let address = listener.local_addr().map_err(|why| {
         Refusal::new(
             Code::Internal,
--- a/crates/curlewlift/src/entry/daemon.rs
+++ b/crates/curlewlift/src/entry/daemon.rs
@@ -110,8 +110,8 @@
 }
 
 async fn run(entry: Entry, mut signal: Signal) -> Result<(), Refusal> {
-    let rpc_listener = process::listener(entry.rpc)?;
-    let http_listener = process::listener(entry.http)?;
+    let rpc_listener = process::tokio_listener(entry.rpc)?;
+    let http_listener = process::tokio_listener(entry.http)?;
     let timeline = Timeline::new(entry.host.as_str());
     let member = Member {
         host: entry.host,
--- a/crates/curlewlift/src/gateway/daemon.rs
+++ b/crates/curlewlift/src/gateway/daemon.rs
@@ -115,7 +115,7 @@
     ) -> Result<(), Refusal> {
         let timeline = Timeline::new(self.host.as_str());
         let client = rpc::Client::new(timeline);
-        let listener = process::listener(self.callers)?;
+        let listener = process::tokio_listener(self.callers)?;
         let kept = self.beside.is_some();
         let node = Node::new(
             ServerListCache::new(self.host.clone(), kept),
--- a/crates/curlewlift/src/gateway/exchange.rs
+++ b/crates/curlewlift/src/gateway/exchange.rs
@@ -128,7 +128,7 @@
     let stream = connect
         .map_err(|_| Failure::NotSent("no connection in time".to_owned()))?
         .map_err(|why| Failure::NotSent(why.to_string()))?;
-    crate::process::watch_connection(&stream);
+    crate::process::configure_connection(&stream);
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (sender, connection) = handshake.map_err(|why| Failure::NotSent(why.to_string()))?;
     let connection = Connection(tokio::task::spawn_local(async move {
--- a/crates/curlewlift/src/gateway/meet.rs
+++ b/crates/curlewlift/src/gateway/meet.rs
@@ -32,7 +32,7 @@
 
 /// Answers where control may be found, at `address`, on a host without a replica.
 pub(super) fn serve(node: &Rc<Node>, address: SocketAddr) -> Result<(), Refusal> {
-    let listener = process::listener(process::bind(address)?)?;
+    let listener = process::tokio_listener(process::bind(address)?)?;
     let timeline = node.rpc.get_timeline().clone();
     tokio::task::spawn_local(rpc::serve(listener, handler(Rc::clone(node)), timeline));
     Ok(())
--- a/crates/curlewlift/src/gateway/serve.rs
+++ b/crates/curlewlift/src/gateway/serve.rs
@@ -57,7 +57,7 @@
     F: Fn(Request<Incoming>) -> A + 'static,
     A: Future<Output = Answer> + 'static,
 {
-    crate::process::watch_connection(&stream);
+    crate::process::configure_connection(&stream);
     let service = service_fn(move |request| {
         let answer = answer(request);
         async move { Ok::<_, Infallible>(answer.await) }
--- a/crates/curlewlift/src/platform/start.rs
+++ b/crates/curlewlift/src/platform/start.rs
@@ -244,7 +244,7 @@
     F: Fn(Request<Incoming>) -> A + 'static,
     A: Future<Output = Answer> + 'static,
 {
-    let listener = process::listener(listener)?;
+    let listener = process::tokio_listener(listener)?;
     tokio::task::spawn_local(serve(listener, Limits::default, answer));
     Ok(())
 }
--- a/crates/curlewlift/src/process.rs
+++ b/crates/curlewlift/src/process.rs
@@ -157,7 +157,7 @@
 #[derive(Clone, Debug)]
 pub struct Clock {
     began: Duration,
-    /// Beyond what the machine was suspended for; see [`Clock::suspend`].
+    /// Beyond what the machine was suspended for; see [`Clock::simulate_suspend`].
     skipped: Arc<AtomicU64>,
 }
 
@@ -180,7 +180,7 @@
 
     /// Goes on by `length` as if the host had been suspended, for whoever wants to see what a process makes
     /// of that; clones go on alike.
-    pub fn suspend(&self, length: Duration) {
+    pub fn simulate_suspend(&self, length: Duration) {
         let micros = u64::try_from(length.as_micros()).unwrap_or(u64::MAX);
         self.skipped.fetch_add(micros, Ordering::Relaxed);
     }
@@ -193,7 +193,7 @@
 }
 
 /// `listener` for the runtime.
-pub(crate) fn listener(listener: TcpListener) -> Result<tokio::net::TcpListener, Refusal> {
+pub(crate) fn tokio_listener(listener: TcpListener) -> Result<tokio::net::TcpListener, Refusal> {
     let made = listener
         .set_nonblocking(true)
         .and_then(|()| tokio::net::TcpListener::from_std(listener));
@@ -232,7 +232,7 @@
 const UNACKNOWLEDGED: Duration = Duration::from_secs(4);
 
 /// Sends small pieces at once, and finds out when the peer has gone silently.
-pub(crate) fn watch_connection(stream: &tokio::net::TcpStream) {
+pub(crate) fn configure_connection(stream: &tokio::net::TcpStream) {
     let socket = socket2::SockRef::from(stream);
     let set = stream
         .set_nodelay(true)
--- a/crates/curlewlift/src/program/logs.rs
+++ b/crates/curlewlift/src/program/logs.rs
@@ -74,7 +74,7 @@
             .build();
         let Ok(runtime) = runtime else { return };
         runtime.block_on(async move {
-            let Ok(listener) = crate::process::listener(listener) else {
+            let Ok(listener) = crate::process::tokio_listener(listener) else {
                 return;
             };
             let router =
--- a/crates/curlewlift/src/rpc/client.rs
+++ b/crates/curlewlift/src/rpc/client.rs
@@ -155,7 +155,7 @@
     let stream = tokio::time::timeout(CONNECT, TcpStream::connect(address)).await;
     let stream = stream.map_err(|_| unreachable(address, "no connection in time"))?;
     let stream = stream.map_err(|why| unreachable(address, &why.to_string()))?;
-    crate::process::watch_connection(&stream);
+    crate::process::configure_connection(&stream);
     let (reader, writer) = stream.compat().split();
     let network = VatNetwork::new(
         futures::io::BufReader::new(reader),
--- a/crates/curlewlift/src/rpc/server.rs
+++ b/crates/curlewlift/src/rpc/server.rs
@@ -68,7 +68,7 @@
 }
 
 async fn answer(stream: TcpStream, node: Node) {
-    crate::process::watch_connection(&stream);
+    crate::process::configure_connection(&stream);
     let (reader, writer) = stream.compat().split();
     let network = VatNetwork::new(
         futures::io::BufReader::new(reader),
--- a/crates/curlewlift/tests/platform/hosts.rs
+++ b/crates/curlewlift/tests/platform/hosts.rs
@@ -181,7 +181,7 @@
     /// A host comes out of a suspension of that length: its timers have stood still, and its connections are
     /// as they were.
     pub(crate) fn suspend(&self, place: usize, length: Duration) {
-        self.clocks[place].suspend(length);
+        self.clocks[place].simulate_suspend(length);
     }
 
     /// A host's process is killed.
