--- a/crates/core/src/code/outcome.rs
+++ b/crates/core/src/code/outcome.rs
@@ -5,16 +5,17 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What is known of a request's fate.
+/// Whether a request ran, as far as that is known.
 ///
-/// A caller must handle all three: there is no default.
+/// Callers must handle all three cases; there is no default.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// A backend server ran it, and its answer is whole.
+    /// A backend server ran it, and the response is complete.
     Run,
-    /// No byte of it reached a backend server, or the server said that it refused before running.
+    /// No byte of it reached a backend server, or the server reported that it refused the request
+    /// before running it.
     NotRun,
-    /// A byte of it went out and no whole answer came back.
+    /// At least one byte of it was sent, and no complete response came back.
     Unknown,
 }
 
--- a/crates/core/src/code/refusal.rs
+++ b/crates/core/src/code/refusal.rs
@@ -1,4 +1,4 @@
-//! The reason why something was not done.
+//! The error type of the project: a result code with an explanation.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 
 use super::Code;
 
-/// A numbered code with what was wrong and what would be right.
+/// The reason why something was not done: a result code, and what is wrong and expected instead.
 ///
 /// # Examples
 ///
@@ -38,7 +38,7 @@
         self.code
     }
 
-    /// What was wrong and what would be right, for people.
+    /// What is wrong and what is expected instead, for people to read.
     #[must_use]
     pub fn get_detail(&self) -> &str {
         &self.detail
--- a/crates/core/src/code/table.rs
+++ b/crates/core/src/code/table.rs
@@ -1,4 +1,4 @@
-//! The table of result codes; docs/CODES.md is kept equal to it by a test.
+//! The table of result codes; a test checks that docs/CODES.md is equal to it.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -17,13 +17,13 @@
             /// Every code, in the order of its number.
             pub const ALL: &[Self] = &[$(Self::$variant),*];
 
-            /// The short name.
+            /// The short name, as in headers and messages.
             #[must_use]
             pub const fn name(self) -> &'static str {
                 match self { $(Self::$variant => $name),* }
             }
 
-            /// The HTTP status that goes with it towards callers.
+            /// The HTTP status of the response that callers receive with it.
             #[must_use]
             pub const fn status(self) -> u16 {
                 match self { $(Self::$variant => $status),* }
@@ -42,7 +42,7 @@
             fn try_from(number: u16) -> Result<Self, String> {
                 match number {
                     $($number => Ok(Self::$variant),)*
-                    _ => Err(format!("{number} is no result code")),
+                    _ => Err(format!("{number} is not a result code")),
                 }
             }
         }
@@ -70,9 +70,9 @@
 }
 
 codes! {
-    Done = 0, "done", 200, "The request was answered whole, or the command is in force.";
+    Done = 0, "done", 200, "The request was answered in full, or the command is in effect.";
     BadJson = 1001, "bad-json", 400, "The body is not JSON, or a field has the wrong type.";
-    MissingField = 1002, "missing-field", 400, "A field that is needed is not there.";
+    MissingField = 1002, "missing-field", 400, "A required field is missing.";
     BadHeader = 1003, "bad-header", 400, "A header is given twice or has a value that cannot be read.";
     WrongMethod = 1004, "wrong-method", 405, "The path does not take this method.";
     UnknownModel = 1005, "unknown-model", 404, "No service has this model.";
@@ -81,46 +81,46 @@
     TooLarge = 1008, "too-large", 413, "The body is larger than the customer may send.";
     TooSlow = 1009, "too-slow", 408, "The body did not arrive in time.";
     PastDeadline = 1010, "past-deadline", 400, "The deadline had passed when the request arrived.";
-    WrongKey = 2001, "wrong-key", 401, "The bearer key is not there or belongs to no customer.";
+    WrongKey = 2001, "wrong-key", 401, "The bearer key is missing or belongs to no customer.";
     RateLimit = 2002, "rate-limit", 429, "The customer sends more requests a second than it may.";
-    OpenLimit = 2003, "open-limit", 429, "The customer has as many requests open as it may.";
+    OpenLimit = 2003, "open-limit", 429, "The customer has reached its limit of open requests.";
     Forbidden = 2004, "forbidden", 403, "The operator may not give this command.";
-    Allowance = 2005, "allowance", 429, "The customer has used up its allowance; come back later.";
-    Shed = 3001, "shed", 503, "The service is full and this was the lowest tier that waited.";
-    CannotFinish = 3002, "cannot-finish", 503, "The deadline cannot be met; refused before prefill.";
-    QueueLimit = 3003, "queue-limit", 503, "The customer has as much waiting as it may.";
-    Expired = 3004, "expired", 504, "The deadline passed while the request waited.";
+    Allowance = 2005, "allowance", 429, "The customer has used up its quota; retry later.";
+    Shed = 3001, "shed", 503, "The service's queue is full and this request had the lowest tier in it.";
+    CannotFinish = 3002, "cannot-finish", 503, "The deadline cannot be met; the request was refused before prefill.";
+    QueueLimit = 3003, "queue-limit", 503, "The customer has reached its limit of queued requests.";
+    Expired = 3004, "expired", 504, "The deadline passed while the request was queued.";
     NoServer = 3005, "no-server", 503, "No backend server of the service is live.";
-    ServersRest = 3006, "servers-rest", 503, "All backend servers of the service have asked for rest; come back when the first has had it.";
-    ServersLimited = 3007, "servers-limited", 503, "All backend servers of the service have named how many requests a second they take, and no place would come in time; come back later.";
-    NoHome = 3008, "no-home", 503, "The regions that the rule and the customer allow have no data hall in common.";
+    ServersRest = 3006, "servers-rest", 503, "All backend servers of the service are backing off; retry when the first backoff has ended.";
+    ServersLimited = 3007, "servers-limited", 503, "All backend servers of the service limit their request rate, and none has a slot free in time; retry later.";
+    NoHome = 3008, "no-home", 503, "The rule and the customer allow no common region that has a data hall.";
     Refused = 4001, "refused", 502, "The backend server refused before running.";
-    Broken = 4002, "broken", 502, "The answer ended before its end.";
-    Late = 4003, "late", 504, "The answer was not whole when the deadline passed.";
-    RetryBudget = 4004, "retry-budget", 503, "It did not run, and no further sending is allowed at present.";
-    Quarantined = 4005, "quarantined", 502, "Backend servers ended under this request before; it is kept away from them for a while.";
-    Suspected = 4006, "suspected", 503, "Backend servers ended under this request before, and it is being sent elsewhere; it did not run here.";
+    Broken = 4002, "broken", 502, "The response broke off before it was complete.";
+    Late = 4003, "late", 504, "The response was not complete when the deadline passed.";
+    RetryBudget = 4004, "retry-budget", 503, "The request did not run, and the retry budget allows no retry at present.";
+    Quarantined = 4005, "quarantined", 502, "Backend servers crashed under this request before; it is in quarantine for a while.";
+    Suspected = 4006, "suspected", 503, "Backend servers crashed under this request before, and another attempt of it is in progress; it did not run here.";
     OtherBody = 5001, "other-body", 422, "The request key was used before with another body.";
-    InFlight = 5002, "in-flight", 409, "A request with this key is running; ask for it again later.";
-    ClaimUnknown = 5003, "claim-unknown", 409, "A request with this key may have run; its answer is not kept.";
-    UnknownKey = 5004, "unknown-key", 404, "No request with this key is kept.";
-    KeyTooOld = 5005, "key-too-old", 409, "The record of this key may have been dropped; not run as if new.";
-    KeyLimit = 5006, "key-limit", 429, "The customer has as many keys kept as it may.";
-    Syntax = 6001, "syntax", 400, "The command cannot be read.";
+    InFlight = 5002, "in-flight", 409, "A request with this key is running; retry later.";
+    ClaimUnknown = 5003, "claim-unknown", 409, "A request with this key may have run; its response is not stored.";
+    UnknownKey = 5004, "unknown-key", 404, "No request with this key is stored.";
+    KeyTooOld = 5005, "key-too-old", 409, "The record of this key may have been dropped; the request was not run as a new one.";
+    KeyLimit = 5006, "key-limit", 429, "The customer has reached its limit of stored keys.";
+    Syntax = 6001, "syntax", 400, "The command cannot be parsed.";
     Conflict = 6002, "conflict", 409, "The command's number was used with other content.";
-    Unknown = 6003, "unknown", 404, "The command names something that is not there.";
-    Exists = 6004, "exists", 409, "The command creates something that is there.";
+    Unknown = 6003, "unknown", 404, "The command names something that does not exist.";
+    Exists = 6004, "exists", 409, "The command creates something that exists already.";
     InUse = 6005, "in-use", 409, "The command would remove something that is in use.";
     BadValue = 6006, "bad-value", 400, "A field has a value that it cannot take.";
     Floor = 6007, "floor", 409, "The command would leave too few live backend servers or hosts.";
-    NotLeader = 7001, "not-leader", 503, "This control replica does not lead; ask the one it names.";
-    NoLease = 7002, "no-lease", 503, "This entry's lease has run out; use another address.";
-    Unreachable = 7003, "unreachable", 503, "A process that had to be asked did not answer.";
+    NotLeader = 7001, "not-leader", 503, "This control replica is not the leader; send to the one that it names.";
+    NoLease = 7002, "no-lease", 503, "This entry's lease has expired; use another address.";
+    Unreachable = 7003, "unreachable", 503, "A process that is needed for the request did not respond.";
     Leaving = 7004, "leaving", 503, "This entry is stopping; use another address.";
-    WrongView = 7005, "wrong-view", 503, "The two entries hold different views; ask again.";
-    Internal = 7006, "internal", 500, "An invariant did not hold; the event log has the place.";
+    WrongView = 7005, "wrong-view", 503, "The two entries have different views; retry.";
+    Internal = 7006, "internal", 500, "An invariant was violated; the event log says where.";
     NoTable = 7007, "no-table", 503, "This gateway has no routing table yet; use another address.";
     BadSetting = 8001, "bad-setting", 500, "A setting is unknown, out of range or contradicts another.";
-    Damaged = 9001, "damaged", 500, "A file of the data folder is damaged and was not guessed at.";
+    Damaged = 9001, "damaged", 500, "A file of the data folder is damaged; its content is not repaired by guessing.";
     DiskFailed = 9002, "disk-failed", 500, "A write or sync failed; the process stopped.";
 }
--- a/crates/core/src/event/filter.rs
+++ b/crates/core/src/event/filter.rs
@@ -1,4 +1,4 @@
-//! Which events to show.
+//! Selects events.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,34 +7,34 @@
 
 use super::Line;
 
-/// Which events to show; what is not set lets all pass.
+/// Which events to show; a condition that is not set matches every event.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Filter {
-    /// Of this request.
+    /// Only events of this request.
     pub key: Option<id::Key>,
-    /// Of this customer.
+    /// Only events of this customer.
     pub customer: Option<id::Customer>,
-    /// About this backend server.
+    /// Only events about this backend server.
     pub server: Option<id::Server>,
-    /// Of this host.
+    /// Only events of this host.
     pub host: Option<String>,
-    /// With this number.
+    /// Only events with this number.
     pub number: Option<u16>,
-    /// Not before this, in milliseconds since 1970.
+    /// Only events from this time on, in milliseconds since 1970.
     pub since: Option<u64>,
 }
 
 impl Filter {
-    /// Whether `line` passes.
+    /// Whether `line` meets all conditions.
     #[must_use]
-    pub fn passes(&self, line: &Line) -> bool {
-        fn fits<T: PartialEq>(wanted: Option<&T>, there: Option<&T>) -> bool {
-            wanted.is_none() || wanted == there
+    pub fn matches(&self, line: &Line) -> bool {
+        fn field_matches<T: PartialEq>(wanted: Option<&T>, actual: Option<&T>) -> bool {
+            wanted.is_none() || wanted == actual
         }
-        fits(self.key.as_ref(), line.key.as_ref())
-            && fits(self.customer.as_ref(), line.customer.as_ref())
-            && fits(self.server.as_ref(), line.server.as_ref())
-            && fits(self.host.as_ref(), Some(&line.host))
+        field_matches(self.key.as_ref(), line.key.as_ref())
+            && field_matches(self.customer.as_ref(), line.customer.as_ref())
+            && field_matches(self.server.as_ref(), line.server.as_ref())
+            && field_matches(self.host.as_ref(), Some(&line.host))
             && self
                 .number
                 .is_none_or(|number| number == line.kind.number())
--- a/crates/core/src/event/hybrid.rs
+++ b/crates/core/src/event/hybrid.rs
@@ -1,4 +1,4 @@
-//! A hybrid logical clock: wall time that never runs against cause and effect.
+//! A hybrid logical clock: wall time, corrected so that an effect never comes before its cause.
 //!
 //! Source: Kulkarni, Demirbas et al., "Logical Physical Clocks" (2014).
 
@@ -10,14 +10,14 @@
 /// Bits of the counter within a millisecond.
 const COUNTER_BITS: u32 = 16;
 
-/// A moment of the hybrid clock: milliseconds since 1970 and a counter within them.
+/// A timestamp of the hybrid clock: milliseconds since 1970, and a counter within the millisecond.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Stamp(pub u64);
 
 impl Stamp {
-    /// The wall time's milliseconds.
+    /// The wall time, in milliseconds since 1970.
     #[must_use]
     pub const fn millis(self) -> u64 {
         self.0 >> COUNTER_BITS
@@ -52,20 +52,20 @@
 /// let mut slow = Clock::default();
 /// let sent = fast.now(2_000);
 /// slow.observe(sent);
-/// assert!(slow.now(1_000) > sent, "what follows from a message comes after it");
+/// assert!(slow.now(1_000) > sent, "an effect of a message comes after the message");
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Clock(Stamp);
 
 impl Clock {
-    /// The next moment, at `wall` milliseconds since 1970; later than any before.
+    /// The next timestamp, at `wall` milliseconds since 1970; later than any before.
     pub fn now(&mut self, wall: u64) -> Stamp {
         let physical = Stamp(wall << COUNTER_BITS);
         self.0 = physical.max(Stamp(self.0.0 + 1));
         self.0
     }
 
-    /// Takes note of another process's moment.
+    /// Advances the clock to another process's timestamp, received with a message.
     pub fn observe(&mut self, other: Stamp) {
         self.0 = self.0.max(other);
     }
--- a/crates/core/src/event/line.rs
+++ b/crates/core/src/event/line.rs
@@ -10,28 +10,28 @@
 use super::Kind;
 use super::Stamp;
 
-/// One event; it never holds a customer's content.
+/// One event; it never contains a customer's content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Line {
-    /// When, by the hybrid clock.
+    /// When it happened, by the hybrid clock.
     pub stamp: Stamp,
-    /// Where.
+    /// The host on which it happened.
     pub host: String,
-    /// What.
+    /// What happened.
     pub kind: Kind,
-    /// The request it is about.
+    /// The request that it is about.
     pub key: Option<id::Key>,
-    /// The customer it is about.
+    /// The customer that it is about.
     pub customer: Option<id::Customer>,
-    /// The backend server it is about.
+    /// The backend server that it is about.
     pub server: Option<id::Server>,
-    /// More, for people.
+    /// Further details, for people to read.
     pub detail: String,
 }
 
-/// # Building
+/// # Builder methods
 impl Line {
-    /// An event of `kind`; its host and moment are set when it is kept.
+    /// An event of `kind`; its host and stamp are set when it is recorded.
     #[must_use]
     pub fn new(kind: Kind) -> Self {
         Self {
--- a/crates/core/src/event/mod.rs
+++ b/crates/core/src/event/mod.rs
@@ -1,4 +1,4 @@
-//! The time line: numbered events of every process under a hybrid clock.
+//! The timeline: numbered events of every process, ordered by a hybrid clock.
 
 mod filter;
 mod hybrid;
--- a/crates/core/src/event/ring.rs
+++ b/crates/core/src/event/ring.rs
@@ -5,7 +5,7 @@
 use super::Filter;
 use super::Line;
 
-/// The newest events; the oldest go when it is full.
+/// The newest events; when it is full, the oldest event is dropped.
 #[derive(Clone, Debug)]
 pub struct Ring {
     lines: VecDeque<Line>,
@@ -13,7 +13,7 @@
 }
 
 impl Ring {
-    /// An empty ring for `limit` events.
+    /// An empty ring that holds up to `limit` events.
     #[must_use]
     pub fn new(limit: usize) -> Self {
         Self {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Keeps `line`.
+    /// Adds `line`, in place of the oldest event where the ring is full.
     pub fn push(&mut self, line: Line) {
         if self.lines.len() >= self.limit {
             self.lines.pop_front();
@@ -30,21 +30,22 @@
         self.lines.push_back(line);
     }
 
-    /// The events that pass, oldest first.
+    /// The events that match `filter`, oldest first.
     #[must_use]
     pub fn select(&self, filter: &Filter) -> Vec<Line> {
         self.lines
             .iter()
-            .filter(|line| filter.passes(line))
+            .filter(|line| filter.matches(line))
             .cloned()
             .collect()
     }
 }
 
-/// The events of several processes in one order that no cause contradicts.
+/// Merges the events of several processes in the order of their stamps, so that no effect comes
+/// before its cause.
 #[must_use]
-pub fn merge(parts: Vec<Vec<Line>>) -> Vec<Line> {
-    let mut all: Vec<_> = parts.into_iter().flatten().collect();
+pub fn merge(timelines: Vec<Vec<Line>>) -> Vec<Line> {
+    let mut all: Vec<_> = timelines.into_iter().flatten().collect();
     all.sort_by(|a, b| (a.stamp, &a.host).cmp(&(b.stamp, &b.host)));
     all
 }
