--- a/crates/core/src/config/change.rs
+++ b/crates/core/src/config/change.rs
@@ -1,4 +1,4 @@
-//! A change of the configuration.
+//! Changes of the configuration.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,7 +9,7 @@
 
 use super::State;
 
-/// What kind of item a change is about.
+/// The kind of item that a change is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
@@ -38,9 +38,9 @@
         Self::Tier,
     ];
 
-    /// The word for one item of the kind.
+    /// The kind's name in commands and messages.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn name(self) -> &'static str {
         match self {
             Self::Customer => "customer",
             Self::Host => "host",
@@ -54,7 +54,7 @@
 
 impl fmt::Display for Kind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.word())
+        f.write_str(self.name())
     }
 }
 
@@ -62,15 +62,15 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let found = Self::ALL.iter().find(|kind| kind.word() == text);
+        let found = Self::ALL.iter().find(|kind| kind.name() == text);
         found.copied().ok_or_else(|| {
-            let words: Vec<_> = Self::ALL.iter().map(|kind| kind.word()).collect();
-            format!("`{text}` is no kind: one of {}", words.join(", "))
+            let names: Vec<_> = Self::ALL.iter().map(|kind| kind.name()).collect();
+            format!("`{text}` is not a kind; the kinds are {}", names.join(", "))
         })
     }
 }
 
-/// A field of an item and the value that it shall have.
+/// A field of an item, and the value to set.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Field {
     /// The field's name.
@@ -79,7 +79,7 @@
     pub value: Value,
 }
 
-/// A change, applied whole or refused whole.
+/// A change; it is applied or refused as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Change {
@@ -89,7 +89,7 @@
         kind: Kind,
         /// Its name.
         name: String,
-        /// Its fields; those left out have their defaults.
+        /// Its fields; fields that are left out have their defaults.
         fields: Vec<Field>,
     },
     /// Sets fields of an item.
@@ -101,14 +101,14 @@
         /// The fields to set.
         fields: Vec<Field>,
     },
-    /// Takes an item away.
+    /// Removes an item.
     Remove {
         /// Its kind.
         kind: Kind,
         /// Its name.
         name: String,
     },
-    /// Marks a server or host as live or leaving.
+    /// Sets the state of a server or host.
     Mark {
         /// Its kind.
         kind: Kind,
--- a/crates/core/src/config/check.rs
+++ b/crates/core/src/config/check.rs
@@ -1,4 +1,4 @@
-//! What must hold in every revision.
+//! Checks of a new revision of the configuration.
 
 use std::collections::BTreeMap;
 
@@ -10,11 +10,11 @@
 use super::Snapshot;
 use super::State;
 
-/// Whether each name that is used is there, and what must be unique is.
-pub(super) fn references(next: &Snapshot) -> Result<(), Refusal> {
+/// Checks that each item that is referred to exists, and that ranks, keys and models are unique.
+pub(super) fn check_references(next: &Snapshot) -> Result<(), Refusal> {
     for (name, customer) in &next.customers {
         if !next.tiers.contains_key(&customer.tier) {
-            return Err(dangling(
+            return Err(missing_reference(
                 &format!("customer `{name}`"),
                 &format!("tier `{}`", customer.tier),
             ));
@@ -23,25 +23,25 @@
             let why = format!("customer `{name}`: weight must be 1 or more");
             return Err(Refusal::new(Code::BadValue, why));
         }
-        key_hash(&format!("customer `{name}`"), &customer.key_hash)?;
+        check_key_hash(&format!("customer `{name}`"), &customer.key_hash)?;
     }
     for (name, operator) in &next.operators {
-        key_hash(&format!("operator `{name}`"), &operator.key_hash)?;
+        check_key_hash(&format!("operator `{name}`"), &operator.key_hash)?;
     }
     for (name, server) in &next.servers {
         if !next.services.contains_key(&server.service) {
             let missing = format!("service `{}`", server.service);
-            return Err(dangling(&format!("server `{name}`"), &missing));
+            return Err(missing_reference(&format!("server `{name}`"), &missing));
         }
         if server.slots == 0 || server.prefill.0 == 0 || server.decode.0 == 0 {
             let why = format!("server `{name}`: slots, prefill and decode must be 1 or more");
             return Err(Refusal::new(Code::BadValue, why));
         }
     }
-    unique(next)
+    check_unique(next)
 }
 
-fn unique(next: &Snapshot) -> Result<(), Refusal> {
+fn check_unique(next: &Snapshot) -> Result<(), Refusal> {
     let mut ranks = BTreeMap::new();
     for (name, tier) in &next.tiers {
         if let Some(other) = ranks.insert(tier.rank, name) {
@@ -69,8 +69,9 @@
     Ok(())
 }
 
-/// Whether a change leaves each service its floor of live servers, and each hall an entry.
-pub(super) fn floors(old: &Snapshot, next: &Snapshot) -> Result<(), Refusal> {
+/// Checks that a change leaves each service its minimum of live servers, and each data hall a live
+/// entry.
+pub(super) fn check_floors(old: &Snapshot, next: &Snapshot) -> Result<(), Refusal> {
     for (name, service) in &next.services {
         let before = live_servers(old, name);
         let after = live_servers(next, name);
@@ -93,8 +94,8 @@
     Ok(())
 }
 
-fn live_servers(of: &Snapshot, service: &id::Service) -> u32 {
-    let live = of
+fn live_servers(snapshot: &Snapshot, service: &id::Service) -> u32 {
+    let live = snapshot
         .servers
         .values()
         .filter(|server| &server.service == service);
@@ -102,24 +103,27 @@
     u32::try_from(count).unwrap_or(u32::MAX)
 }
 
-fn live_entries(of: &Snapshot, hall: &id::Hall) -> usize {
-    let entries = of.hosts.values().filter(|host| host.role == Role::Entry);
+fn live_entries(snapshot: &Snapshot, hall: &id::Hall) -> usize {
+    let entries = snapshot
+        .hosts
+        .values()
+        .filter(|host| host.role == Role::Entry);
     entries
         .filter(|host| &host.hall == hall && host.state == State::Live)
         .count()
 }
 
-fn dangling(user: &str, missing: &str) -> Refusal {
+fn missing_reference(user: &str, missing: &str) -> Refusal {
     Refusal::new(
         Code::InUse,
-        format!("{user} needs {missing}, which would not be there"),
+        format!("{user} needs {missing}, which would not exist"),
     )
 }
 
-/// Whether `hash` is a SHA-256 in hexadecimal.
-fn key_hash(user: &str, hash: &str) -> Result<(), Refusal> {
-    let hex = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
-    if hash.len() == 64 && hash.bytes().all(hex) {
+/// Checks that `hash` is a SHA-256 in hexadecimal.
+fn check_key_hash(user: &str, hash: &str) -> Result<(), Refusal> {
+    let is_hex = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
+    if hash.len() == 64 && hash.bytes().all(is_hex) {
         return Ok(());
     }
     let why = format!("{user}: key_hash must be 64 hexadecimal digits, the key's SHA-256");
--- a/crates/core/src/config/item.rs
+++ b/crates/core/src/config/item.rs
@@ -1,4 +1,4 @@
-//! What the operators set: customers, tiers, services, servers, hosts, operators.
+//! The items that operators configure: customers, tiers, services, servers, hosts, operators.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -11,18 +11,19 @@
 use crate::unit::Rate;
 use crate::unit::Tokens;
 
-/// A tier of requests; the lower the rank, the later it is shed.
+/// A tier of requests; under overload, tiers with a higher rank number are shed first.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tier {
-    /// Place among the tiers, 0 the highest; no two tiers share one.
+    /// Its rank, 0 being the highest; no two tiers have the same one.
     pub rank: u8,
-    /// Milliseconds in which a first token is of use; 0 where only the deadline counts.
+    /// The time within which a first token must arrive to be useful, in milliseconds; 0 where only
+    /// the deadline counts.
     #[serde(default)]
     pub first_ms: u64,
 }
 
-/// A party that sends requests, and what it may.
+/// A party that sends requests, and its limits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
@@ -30,22 +31,22 @@
     pub key_hash: String,
     /// The tier of its requests.
     pub tier: id::Tier,
-    /// Its share against others of its tier.
-    #[serde(default = "one")]
+    /// Its weight among the customers of its tier.
+    #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Requests a second that it may send.
+    /// The requests a second that it may send.
     #[serde(default = "default_rate")]
     pub rate: Rate,
-    /// Requests that it may have open at one entry.
+    /// The requests that it may have open at one entry.
     #[serde(default = "default_open")]
     pub open: u32,
-    /// Requests that it may have waiting in one service's queue.
+    /// The requests that it may have in one service's queue.
     #[serde(default = "default_waiting")]
     pub waiting: u32,
-    /// The largest body that it may send.
+    /// The largest request body that it may send.
     #[serde(default = "default_body")]
     pub body: Bytes,
-    /// Request keys of it that one entry keeps.
+    /// The request keys of this customer that one entry stores.
     #[serde(default = "default_keys")]
     pub keys: u32,
     /// Whether its prompts may share cached prefixes with other customers'.
@@ -53,20 +54,20 @@
     pub shared_prefixes: bool,
 }
 
-/// What callers ask for.
+/// A service that callers use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
     /// The model that its engines serve; none for a plain service.
     #[serde(default)]
     pub model: Option<id::Model>,
-    /// Live backend servers that a drain must leave.
+    /// The minimum of live backend servers that a drain must leave.
     #[serde(default)]
     pub floor: u32,
-    /// Work that may wait, in tokens.
+    /// The work that may be queued, in tokens.
     #[serde(default = "default_work")]
     pub work: Tokens,
-    /// Calls that may never be repeated, as `METHOD /path-prefix`.
+    /// Calls that must never be retried, as `METHOD /path-prefix`.
     #[serde(default)]
     pub sole: Vec<String>,
 }
@@ -77,23 +78,23 @@
 pub struct Server {
     /// The service that it serves.
     pub service: id::Service,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
-    /// The data hall that it stands in.
+    /// The data hall that it is in.
     pub hall: id::Hall,
-    /// Requests that it runs at once.
+    /// The requests that it runs at once.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Prompt tokens a second that it is expected to process.
+    /// The prompt tokens a second that it is expected to process.
     #[serde(default = "default_prefill")]
     pub prefill: Rate,
-    /// Tokens a second that it is expected to generate for one request.
+    /// The tokens a second that it is expected to generate for one request.
     #[serde(default = "default_decode")]
     pub decode: Rate,
-    /// Whether it checks who gives it an order.
+    /// Whether it checks who sends it a command.
     #[serde(default)]
     pub fenced: bool,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     #[serde(default)]
     pub state: State,
 }
@@ -102,16 +103,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Host {
-    /// What runs there.
+    /// The process that it runs.
     pub role: Role,
-    /// The data hall that it stands in.
+    /// The data hall that it is in.
     pub hall: id::Hall,
-    /// Where the other processes reach it.
+    /// The address at which the other processes reach it.
     pub rpc: SocketAddr,
-    /// Whether it may own services' queues; where no live entry may, all do. Entries only.
-    #[serde(default = "yes")]
+    /// Whether it may own services' queues; where no live entry may, all of them do. Entries only.
+    #[serde(default = "default_owns")]
     pub owns: bool,
-    /// Where callers reach it; entries only.
+    /// The address at which callers reach it; entries only.
     #[serde(default)]
     pub http: Option<SocketAddr>,
     /// Whether callers are sent to it.
@@ -119,7 +120,7 @@
     pub state: State,
 }
 
-/// A person or program that gives commands.
+/// A person or program that sends commands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operator {
@@ -133,32 +134,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Right {
-    /// Ask.
+    /// Queries only.
     Read,
-    /// Ask and change.
+    /// Queries and changes.
     Write,
 }
 
-/// What a host runs.
+/// The process that a host runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// A replica of the log.
+    /// A control replica, which holds a copy of the replicated log.
     Control,
-    /// An entry for callers.
+    /// An entry, which accepts callers' requests.
     Entry,
 }
 
-/// Whether a server or host takes new work.
+/// Whether a server or host accepts new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It does.
+    /// It accepts new work.
     #[default]
     Live,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes its current work and accepts none that is new.
     Leaving,
-    /// As leaving, and an entry's process ends once it has finished; for hosts only.
+    /// As leaving, and an entry's process exits once it has finished; for hosts only.
     Stopping,
 }
 
@@ -172,11 +173,11 @@
     }
 }
 
-fn yes() -> bool {
+fn default_owns() -> bool {
     true
 }
 
-fn one() -> u32 {
+fn default_weight() -> u32 {
     1
 }
 
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration: an immutable snapshot a revision, and the changes between them.
+//! The configuration: an immutable snapshot for each revision, and the changes between revisions.
 
 mod change;
 mod check;
--- a/crates/core/src/config/snapshot.rs
+++ b/crates/core/src/config/snapshot.rs
@@ -27,7 +27,7 @@
 use super::Tier;
 use super::check;
 
-/// One immutable revision; a change makes the next one and shares what it leaves as it was.
+/// One immutable revision; applying a change returns the next one, which shares unchanged items.
 ///
 /// Applying a change costs one copy of the maps' pointers: linear in the number of items.
 ///
@@ -64,11 +64,11 @@
 }
 
 impl Snapshot {
-    /// The next revision, with `change` applied whole.
+    /// Applies `change` and returns the next revision.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] with the reason; nothing is applied then.
+    /// A [`Refusal`] with the reason; the change is then not applied at all.
     pub fn apply(&self, change: &Change) -> Result<Self, Refusal> {
         let mut next = self.clone();
         match change {
@@ -79,22 +79,22 @@
                 let stops_server = *kind == Kind::Server && *state == State::Stopping;
                 if !matches!(kind, Kind::Server | Kind::Host) || stops_server {
                     let why = format!(
-                        "a {kind} cannot be {state}: drain takes a server or host, stop a host"
+                        "a {kind} cannot be {state}: only servers and hosts can be drained, and only hosts stopped"
                     );
                     return Err(Refusal::new(Code::BadValue, why));
                 }
                 let value = serde_json::to_value(state).unwrap_or(Value::Null);
-                let name_of_field = "state".to_owned();
+                let field_name = "state".to_owned();
                 let fields = [Field {
-                    name: name_of_field,
+                    name: field_name,
                     value,
                 }];
                 next.alter(*kind, name, &fields)?;
             }
         }
         next.revision = self.revision.next();
-        check::references(&next)?;
-        check::floors(self, &next)?;
+        check::check_references(&next)?;
+        check::check_floors(self, &next)?;
         Ok(next)
     }
 
@@ -132,9 +132,9 @@
     }
 }
 
-/// # What requests ask of it
+/// # Look-ups for requests
 impl Snapshot {
-    /// The customer whose bearer key has the hash `digest`, in constant time a customer.
+    /// The customer whose bearer key has the hash `digest`; each comparison takes constant time.
     #[must_use]
     pub fn customer_by_key_hash(&self, digest: &str) -> Option<(&id::Customer, &Arc<Customer>)> {
         use subtle::ConstantTimeEq;
@@ -155,7 +155,8 @@
         self.services.iter().find(|pair| serves(pair.1))
     }
 
-    /// The time in which a first token is of use to `customer`, if its tier has one.
+    /// The time within which a first token must arrive to be useful to `customer`, if its tier has
+    /// such a limit.
     #[must_use]
     pub fn first_token_limit(&self, customer: &Customer) -> Option<Duration> {
         let tier = self.tiers.get(&customer.tier)?;
@@ -171,8 +172,8 @@
     }
 }
 
-/// Reads `text` as a name.
-fn name_of<K>(text: &str) -> Result<K, Refusal>
+/// Parses `text` as a name.
+fn parse_name<K>(text: &str) -> Result<K, Refusal>
 where
     K: FromStr,
     K::Err: Display,
@@ -181,7 +182,7 @@
         .map_err(|why: K::Err| Refusal::new(Code::BadValue, why.to_string()))
 }
 
-fn not_there(kind: Kind, name: &str) -> Refusal {
+fn unknown_item(kind: Kind, name: &str) -> Refusal {
     Refusal::new(Code::Unknown, format!("there is no {kind} `{name}`"))
 }
 
@@ -196,9 +197,9 @@
     K::Err: Display,
     T: DeserializeOwned,
 {
-    let key: K = name_of(name)?;
+    let key: K = parse_name(name)?;
     if items.contains_key(&key) {
-        let why = format!("there is a {kind} `{name}` already");
+        let why = format!("there is already a {kind} `{name}`");
         return Err(Refusal::new(Code::Exists, why));
     }
     let item = merge(Value::Object(serde_json::Map::new()), kind, name, fields)?;
@@ -217,8 +218,10 @@
     K::Err: Display,
     T: DeserializeOwned + Serialize,
 {
-    let key: K = name_of(name)?;
-    let old = items.get_mut(&key).ok_or_else(|| not_there(kind, name))?;
+    let key: K = parse_name(name)?;
+    let old = items
+        .get_mut(&key)
+        .ok_or_else(|| unknown_item(kind, name))?;
     let value = serde_json::to_value(old.as_ref()).unwrap_or_default();
     *old = Arc::new(merge(value, kind, name, fields)?);
     Ok(())
@@ -229,14 +232,14 @@
     K: FromStr + Ord,
     K::Err: Display,
 {
-    let key: K = name_of(name)?;
+    let key: K = parse_name(name)?;
     items
         .remove(&key)
         .map(|_| ())
-        .ok_or_else(|| not_there(kind, name))
+        .ok_or_else(|| unknown_item(kind, name))
 }
 
-/// Sets `fields` in `item`, and reads the whole as the kind's type.
+/// Sets `fields` in `item`, and decodes the result as the kind's type.
 fn merge<T: DeserializeOwned>(
     mut item: Value,
     kind: Kind,
