--- a/crates/core/src/id/mod.rs
+++ b/crates/core/src/id/mod.rs
@@ -1,6 +1,6 @@
-//! Names and numbers that tell one thing from another.
+//! Identifiers: names and numbers.
 //!
-//! Each is a newtype, so that a customer's name cannot be handed over where a server's is due.
+//! Each is a newtype, so that the compiler rejects a customer's name where a server's is expected.
 
 mod name;
 mod number;
--- a/crates/core/src/id/name.rs
+++ b/crates/core/src/id/name.rs
@@ -1,4 +1,4 @@
-//! Names that operators give.
+//! Names that operators choose.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,10 +7,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The longest name, in bytes.
+/// The maximum length of a name, in bytes.
 const MAX_NAME_BYTES: usize = 63;
 
-/// The reason why a text is not a name.
+/// The error for a text that is not a valid name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidName(String);
 
@@ -18,7 +18,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "`{}` is not a name: 1 to {MAX_NAME_BYTES} of a-z, 0-9, `-`, `_`, `.`, first a letter or digit",
+            "`{}` is not a name: use 1 to {MAX_NAME_BYTES} characters of a-z, 0-9, `-`, `_`, `.`, the first a letter or digit",
             self.0
         )
     }
@@ -26,7 +26,7 @@
 
 impl std::error::Error for InvalidName {}
 
-/// Whether `text` has the shape that every name must have.
+/// Whether `text` is a valid name.
 fn is_name(text: &str) -> bool {
     let allowed = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b"-_.".contains(&b);
     let first = text.bytes().next();
@@ -98,17 +98,17 @@
 names! {
     /// A customer: a party that sends requests.
     Customer,
-    /// A data hall: a part of a site that can be lost as one.
+    /// A data hall: a part of a site that can fail as a whole.
     Hall,
     /// A host that runs one of curlewlift's processes.
     Host,
     /// A model that engines serve.
     Model,
-    /// An operator: a person or program that gives commands.
+    /// An operator: a person or program that sends commands.
     Operator,
     /// A backend server: an engine or a plain server.
     Server,
-    /// A service: what callers ask for, served by one or more backend servers.
+    /// A service that callers use, provided by one or more backend servers.
     Service,
     /// A tier of requests.
     Tier,
--- a/crates/core/src/id/number.rs
+++ b/crates/core/src/id/number.rs
@@ -1,4 +1,4 @@
-//! Numbers that only grow, and hashes that name.
+//! Identifiers that are numbers or hashes.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -29,25 +29,25 @@
 }
 
 numbers! {
-    /// The identity of a control host's disk, drawn when the disk is first written.
+    /// The identity of a control host's disk, a random number chosen when the disk is first written.
     Disk,
-    /// A place in the replicated log; the first entry has index 1.
+    /// An index in the replicated log; the first entry has index 1.
     Index,
-    /// A revision of the configuration; each accepted change makes the next one.
+    /// A revision of the configuration; each accepted change creates the next one.
     Revision,
-    /// A shard of the request keys.
+    /// A shard of the space of request keys.
     Shard,
-    /// A term of the replicated log; at most one leader a term.
+    /// A term of the replicated log; each term has at most one leader.
     Term,
-    /// A place in a service's queue, unique at the entry that asked.
+    /// The number of a request in a service's queue, unique at the entry that sent it.
     Ticket,
     /// A view: a numbered list of the entries that share the work.
     View,
 }
 
-/// A request key within its customer, as a 128-bit hash.
+/// A customer's request key, as a 128-bit hash.
 ///
-/// The customer's name is part of what is hashed, so equal keys of two customers differ.
+/// The customer's name is hashed too, so equal keys of two customers have different hashes.
 ///
 /// # Examples
 ///
@@ -62,7 +62,7 @@
 pub struct Key(pub u128);
 
 impl Key {
-    /// The key that `customer` calls `text`.
+    /// The hash of the request key `text` of `customer`.
     #[must_use]
     pub fn new(customer: &super::Customer, text: &str) -> Self {
         use sha2::Digest;
@@ -71,12 +71,12 @@
         hash.update([0]);
         hash.update(text);
         let digest = hash.finalize();
-        let mut first = [0; 16];
-        first.copy_from_slice(&digest[..16]);
-        Self(u128::from_be_bytes(first))
+        let mut prefix = [0; 16];
+        prefix.copy_from_slice(&digest[..16]);
+        Self(u128::from_be_bytes(prefix))
     }
 
-    /// The shard that keeps this key, out of `count`.
+    /// The shard, out of `count`, that stores this key.
     ///
     /// # Panics
     ///
@@ -84,8 +84,8 @@
     #[must_use]
     pub fn shard(self, count: u64) -> Shard {
         #[allow(clippy::cast_possible_truncation)]
-        let low = self.0 as u64;
-        Shard(low % count)
+        let low_bits = self.0 as u64;
+        Shard(low_bits % count)
     }
 }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,8 @@
-//! The decisions and the coordination of curlewlift, without sockets, clocks, files or tasks.
+//! The scheduling and coordination logic of curlewlift, without sockets, clocks, files or tasks.
 //!
-//! Each part is a state machine: time and messages go in, messages and effects come out. Others
-//! can embed a part by itself; the `curlewlift` crate runs them all as daemons.
+//! Each module is a state machine: it takes the time and messages as input and returns messages and
+//! effects. Other programs can embed a single module; the `curlewlift` crate runs all of them as
+//! daemons.
 
 pub mod claim;
 pub mod clock;
--- a/crates/core/src/unit/mod.rs
+++ b/crates/core/src/unit/mod.rs
@@ -1,4 +1,4 @@
-//! Sizes and rates.
+//! Units: bytes, tokens and rates.
 
 mod size;
 
--- a/crates/core/src/unit/size.rs
+++ b/crates/core/src/unit/size.rs
@@ -1,4 +1,4 @@
-//! Amounts of work and of memory.
+//! Amounts of memory and work, and rates.
 
 use std::iter::Sum;
 use std::ops::Add;
@@ -17,13 +17,13 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// What is left of this after taking `other` away, zero at the least.
+            /// Subtracts `other`; the result is at least zero.
             #[must_use]
             pub const fn saturating_sub(self, other: Self) -> Self {
                 Self(self.0.saturating_sub(other.0))
             }
 
-            /// The amount as a floating point number, for means and ratios.
+            /// The amount as a floating point number, for averages and ratios.
             #[must_use]
             #[allow(clippy::cast_precision_loss)]
             pub const fn as_f64(self) -> f64 {
@@ -58,8 +58,8 @@
 sizes! {
     /// A number of bytes.
     Bytes,
-    /// A number a second.
+    /// A number of things a second.
     Rate,
-    /// A number of tokens of prompt or answer.
+    /// A number of tokens of a prompt or response.
     Tokens,
 }
