--- a/crates/core/src/lang/mod.rs
+++ b/crates/core/src/lang/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' language: one statement a line; docs/LANGUAGE.md has the grammar.
+//! The operators' command language, one statement for each line; docs/LANGUAGE.md has the grammar.
 
 mod parser;
 mod query;
--- a/crates/core/src/lang/parser.rs
+++ b/crates/core/src/lang/parser.rs
@@ -1,4 +1,4 @@
-//! Reads one statement.
+//! The parser of statements.
 
 use serde_json::Value;
 use winnow::Parser;
@@ -35,9 +35,9 @@
 use super::Subject;
 
 type Input<'a> = &'a str;
-type Read<T> = Result<T, ErrMode<ContextError>>;
+type Parsed<T> = Result<T, ErrMode<ContextError>>;
 
-/// Reads `line` as one statement.
+/// Parses `line` as one statement.
 ///
 /// # Errors
 ///
@@ -48,93 +48,93 @@
 /// ```
 /// use curlewlift_core::lang;
 /// assert!(lang::parse("show servers where hall = waw-a sort by name as json").is_ok());
-/// let why = lang::parse("show serfers").unwrap_err();
-/// assert!(why.to_string().contains("column 6"));
+/// let error = lang::parse("show serfers").unwrap_err();
+/// assert!(error.to_string().contains("column 6"));
 /// ```
 pub fn parse(line: &str) -> Result<Statement, Refusal> {
-    let whole = delimited(
+    let full_line = delimited(
         multispace0,
         statement,
         (multispace0, expected(eof, "the end of the line")),
     );
-    let mut whole = whole;
-    whole.parse(line).map_err(|why| {
-        let wanted: Vec<_> = why.inner().context().map(ToString::to_string).collect();
+    let mut full_line = full_line;
+    full_line.parse(line).map_err(|error| {
+        let wanted: Vec<_> = error.inner().context().map(ToString::to_string).collect();
         let wanted = if wanted.is_empty() {
             "expected show, create, change, remove, drain, undrain, stop or dry".to_owned()
         } else {
             wanted.join(" or ")
         };
-        let column = why.offset() + 1;
+        let column = error.offset() + 1;
         let detail = format!("column {column}: {wanted}\n  {line}\n  {:>column$}", "^");
         Refusal::new(Code::Syntax, detail)
     })
 }
 
-fn statement(input: &mut Input<'_>) -> Read<Statement> {
+fn statement(input: &mut Input<'_>) -> Parsed<Statement> {
     alt((
-        preceded(word("show"), cut_err(query)).map(Statement::Query),
-        preceded(word("dry"), cut_err(change)).map(Statement::Dry),
+        preceded(keyword("show"), cut_err(query)).map(Statement::Query),
+        preceded(keyword("dry"), cut_err(change)).map(Statement::Dry),
         change.map(Statement::Change),
     ))
     .parse_next(input)
 }
 
-fn change(input: &mut Input<'_>) -> Read<Change> {
-    let verbs = "create, change, remove, drain, undrain or stop";
-    expected(alt((create, alter, remove, drain, undrain, stop)), verbs).parse_next(input)
+fn change(input: &mut Input<'_>) -> Parsed<Change> {
+    let commands = "create, change, remove, drain, undrain or stop";
+    expected(alt((create, alter, remove, drain, undrain, stop)), commands).parse_next(input)
 }
 
-fn create(input: &mut Input<'_>) -> Read<Change> {
+fn create(input: &mut Input<'_>) -> Parsed<Change> {
     let (kind, name, fields) =
-        preceded(word("create"), cut_err((kind, name, fields))).parse_next(input)?;
+        preceded(keyword("create"), cut_err((kind, name, fields))).parse_next(input)?;
     Ok(Change::Create { kind, name, fields })
 }
 
-fn alter(input: &mut Input<'_>) -> Read<Change> {
+fn alter(input: &mut Input<'_>) -> Parsed<Change> {
     let (kind, name, fields) =
-        preceded(word("change"), cut_err((kind, name, fields))).parse_next(input)?;
+        preceded(keyword("change"), cut_err((kind, name, fields))).parse_next(input)?;
     Ok(Change::Alter { kind, name, fields })
 }
 
-fn remove(input: &mut Input<'_>) -> Read<Change> {
-    let (kind, name) = preceded(word("remove"), cut_err((kind, name))).parse_next(input)?;
+fn remove(input: &mut Input<'_>) -> Parsed<Change> {
+    let (kind, name) = preceded(keyword("remove"), cut_err((kind, name))).parse_next(input)?;
     Ok(Change::Remove { kind, name })
 }
 
-fn drain(input: &mut Input<'_>) -> Read<Change> {
+fn drain(input: &mut Input<'_>) -> Parsed<Change> {
     mark("drain", State::Leaving, input)
 }
 
-fn undrain(input: &mut Input<'_>) -> Read<Change> {
+fn undrain(input: &mut Input<'_>) -> Parsed<Change> {
     mark("undrain", State::Live, input)
 }
 
-fn stop(input: &mut Input<'_>) -> Read<Change> {
+fn stop(input: &mut Input<'_>) -> Parsed<Change> {
     mark("stop", State::Stopping, input)
 }
 
-fn mark(verb: &'static str, state: State, input: &mut Input<'_>) -> Read<Change> {
-    let (kind, name) = preceded(word(verb), cut_err((kind, name))).parse_next(input)?;
+fn mark(verb: &'static str, state: State, input: &mut Input<'_>) -> Parsed<Change> {
+    let (kind, name) = preceded(keyword(verb), cut_err((kind, name))).parse_next(input)?;
     Ok(Change::Mark { kind, name, state })
 }
 
-fn kind(input: &mut Input<'_>) -> Read<Kind> {
+fn kind(input: &mut Input<'_>) -> Parsed<Kind> {
     let kinds = "customer, host, operator, server, service or tier";
     expected(lexeme(text.verify_map(|word| word.parse().ok())), kinds).parse_next(input)
 }
 
-fn name(input: &mut Input<'_>) -> Read<String> {
+fn name(input: &mut Input<'_>) -> Parsed<String> {
     expected(lexeme(text), "a name")
         .map(str::to_owned)
         .parse_next(input)
 }
 
-fn fields(input: &mut Input<'_>) -> Read<Vec<Field>> {
+fn fields(input: &mut Input<'_>) -> Parsed<Vec<Field>> {
     repeat(0.., field).parse_next(input)
 }
 
-fn field(input: &mut Input<'_>) -> Read<Field> {
+fn field(input: &mut Input<'_>) -> Parsed<Field> {
     let name = terminated(text, (multispace0, '=', multispace0)).parse_next(input)?;
     let value = expected(cut_err(lexeme(value)), "a value").parse_next(input)?;
     Ok(Field {
@@ -143,14 +143,14 @@
     })
 }
 
-fn query(input: &mut Input<'_>) -> Read<Query> {
+fn query(input: &mut Input<'_>) -> Parsed<Query> {
     let subjects =
         "customers, hosts, operators, servers, services, tiers, revision, audit, view or replicas";
     let subject = expected(subject, subjects).parse_next(input)?;
-    let conditions = opt(preceded(word("where"), cut_err(conditions))).parse_next(input)?;
-    let sort = opt(preceded((word("sort"), word("by")), cut_err(sort))).parse_next(input)?;
-    let columns = opt(preceded(word("columns"), cut_err(columns))).parse_next(input)?;
-    let format = opt(preceded(word("as"), cut_err(format))).parse_next(input)?;
+    let conditions = opt(preceded(keyword("where"), cut_err(conditions))).parse_next(input)?;
+    let sort = opt(preceded((keyword("sort"), keyword("by")), cut_err(sort))).parse_next(input)?;
+    let columns = opt(preceded(keyword("columns"), cut_err(columns))).parse_next(input)?;
+    let format = opt(preceded(keyword("as"), cut_err(format))).parse_next(input)?;
     Ok(Query {
         subject,
         conditions: conditions.unwrap_or_default(),
@@ -160,15 +160,15 @@
     })
 }
 
-fn subject(input: &mut Input<'_>) -> Read<Subject> {
-    lexeme(text.verify_map(Subject::from_word)).parse_next(input)
+fn subject(input: &mut Input<'_>) -> Parsed<Subject> {
+    lexeme(text.verify_map(Subject::from_keyword)).parse_next(input)
 }
 
-fn conditions(input: &mut Input<'_>) -> Read<Vec<Condition>> {
-    separated(1.., condition, word("and")).parse_next(input)
+fn conditions(input: &mut Input<'_>) -> Parsed<Vec<Condition>> {
+    separated(1.., condition, keyword("and")).parse_next(input)
 }
 
-fn condition(input: &mut Input<'_>) -> Read<Condition> {
+fn condition(input: &mut Input<'_>) -> Parsed<Condition> {
     let field = name(input)?;
     let relation = expected(lexeme(relation), "=, !=, < or >").parse_next(input)?;
     let value = expected(lexeme(value), "a value").parse_next(input)?;
@@ -179,7 +179,7 @@
     })
 }
 
-fn relation(input: &mut Input<'_>) -> Read<Relation> {
+fn relation(input: &mut Input<'_>) -> Parsed<Relation> {
     alt((
         "!=".value(Relation::Differs),
         "=".value(Relation::Equal),
@@ -189,43 +189,43 @@
     .parse_next(input)
 }
 
-fn sort(input: &mut Input<'_>) -> Read<(String, bool)> {
+fn sort(input: &mut Input<'_>) -> Parsed<(String, bool)> {
     let column = name(input)?;
-    let down = opt(word("down")).parse_next(input)?;
-    Ok((column, down.is_some()))
+    let descending = opt(keyword("down")).parse_next(input)?;
+    Ok((column, descending.is_some()))
 }
 
-fn columns(input: &mut Input<'_>) -> Read<Vec<String>> {
+fn columns(input: &mut Input<'_>) -> Parsed<Vec<String>> {
     separated(1.., name, lexeme(",")).parse_next(input)
 }
 
-fn format(input: &mut Input<'_>) -> Read<Format> {
+fn format(input: &mut Input<'_>) -> Parsed<Format> {
     let formats = alt((
-        word("json").value(Format::Json),
-        word("table").value(Format::Table),
+        keyword("json").value(Format::Json),
+        keyword("table").value(Format::Table),
     ));
     expected(formats, "json or table").parse_next(input)
 }
 
-fn value(input: &mut Input<'_>) -> Read<Value> {
+fn value(input: &mut Input<'_>) -> Parsed<Value> {
     alt((list, quoted, text.map(scalar))).parse_next(input)
 }
 
-fn list(input: &mut Input<'_>) -> Read<Value> {
+fn list(input: &mut Input<'_>) -> Parsed<Value> {
     let items = separated(0.., lexeme(alt((quoted, text.map(scalar)))), lexeme(","));
     delimited(lexeme("["), items, "]")
         .map(Value::Array)
         .parse_next(input)
 }
 
-fn quoted(input: &mut Input<'_>) -> Read<Value> {
-    let inside = take_while(0.., |c: char| c != '"');
-    delimited('"', inside, '"')
+fn quoted(input: &mut Input<'_>) -> Parsed<Value> {
+    let content = take_while(0.., |c: char| c != '"');
+    delimited('"', content, '"')
         .map(|text: &str| Value::from(text))
         .parse_next(input)
 }
 
-/// A number, a truth value or, failing both, a text.
+/// A boolean, a number or, if it is neither, a string.
 fn scalar(text: &str) -> Value {
     match text {
         "true" => Value::from(true),
@@ -236,28 +236,30 @@
     }
 }
 
-fn text<'a>(input: &mut Input<'a>) -> Read<&'a str> {
+fn text<'a>(input: &mut Input<'a>) -> Parsed<&'a str> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.:/".contains(c);
     take_while(1.., allowed).parse_next(input)
 }
 
-/// The word `exact`, and the space after it.
-fn word<'a>(exact: &'static str) -> impl Parser<Input<'a>, (), ErrMode<ContextError>> {
-    let ends = alt((multispace1, eof));
-    (exact, ends).void()
+/// Parses `keyword` and the space after it.
+fn keyword<'a>(keyword: &'static str) -> impl Parser<Input<'a>, (), ErrMode<ContextError>> {
+    let end_of_word = alt((multispace1, eof));
+    (keyword, end_of_word).void()
 }
 
-/// What `inner` reads, and the space after it.
+/// Parses `inner` and the space after it.
 fn lexeme<'a, T>(
     inner: impl Parser<Input<'a>, T, ErrMode<ContextError>>,
 ) -> impl Parser<Input<'a>, T, ErrMode<ContextError>> {
     terminated(inner, multispace0)
 }
 
-/// Names what `inner` reads, for the error message.
+/// Describes what `inner` parses, for the error message.
 fn expected<'a, T>(
     inner: impl Parser<Input<'a>, T, ErrMode<ContextError>>,
-    what: &'static str,
+    description: &'static str,
 ) -> impl Parser<Input<'a>, T, ErrMode<ContextError>> {
-    inner.context(StrContext::Expected(StrContextValue::Description(what)))
+    inner.context(StrContext::Expected(StrContextValue::Description(
+        description,
+    )))
 }
--- a/crates/core/src/lang/query.rs
+++ b/crates/core/src/lang/query.rs
@@ -1,4 +1,4 @@
-//! Answers queries over rows of any kind.
+//! Runs queries over rows of any kind.
 
 use std::cmp::Ordering;
 use std::fmt::Write;
@@ -21,7 +21,7 @@
 }
 
 impl Table {
-    /// Adds the fields of `item`, after a first column `name`.
+    /// Adds a row with the column `name` and the fields of `item`.
     pub fn push(&mut self, name: &impl ToString, item: &impl Serialize) {
         let mut row = serde_json::Map::new();
         row.insert("name".to_owned(), Value::from(name.to_string()));
@@ -32,44 +32,44 @@
     }
 }
 
-/// Filters, sorts and prints `table` as `query` says.
+/// Filters, sorts and prints the rows of `table`, as `query` specifies.
 ///
-/// Linear in the rows but for the sort.
+/// Takes time linear in the number of rows, except for sorting.
 ///
 /// # Errors
 ///
-/// [`Code::Unknown`] where a column is named that no row has.
+/// [`Code::Unknown`] if the query names a column that the rows don't have.
 pub fn run_query(query: &Query, table: Table) -> Result<String, Refusal> {
     let mut rows = table.rows;
-    known(query, &rows)?;
+    check_columns(query, &rows)?;
     rows.retain(|row| {
         query
             .conditions
             .iter()
-            .all(|condition| holds(condition, row))
+            .all(|condition| row_matches(condition, row))
     });
-    if let Some((column, down)) = &query.sort {
+    if let Some((column, descending)) = &query.sort {
         rows.sort_by(|a, b| compare(&a[column], &b[column]));
-        if *down {
+        if *descending {
             rows.reverse();
         }
     }
     if !query.columns.is_empty() {
         for row in &mut rows {
-            let chosen = query.columns.iter();
-            *row = chosen
+            let selected = query.columns.iter();
+            *row = selected
                 .map(|c| (c.clone(), row.get(c).cloned().unwrap_or_default()))
                 .collect();
         }
     }
     Ok(match query.format {
-        Format::Json => json(&rows),
-        Format::Table => columns(&rows),
+        Format::Json => print_json(&rows),
+        Format::Table => print_columns(&rows),
     })
 }
 
-/// Whether each column that the query names is there.
-fn known(query: &Query, rows: &[serde_json::Map<String, Value>]) -> Result<(), Refusal> {
+/// Checks that each column that the query names exists.
+fn check_columns(query: &Query, rows: &[serde_json::Map<String, Value>]) -> Result<(), Refusal> {
     let Some(first) = rows.first() else {
         return Ok(());
     };
@@ -80,15 +80,15 @@
         .chain(&query.columns)
         .find(|name| !first.contains_key(*name));
     let Some(name) = missing else { return Ok(()) };
-    let there: Vec<_> = first.keys().map(String::as_str).collect();
+    let existing: Vec<_> = first.keys().map(String::as_str).collect();
     let why = format!(
-        "there is no column `{name}`; there are {}",
-        there.join(", ")
+        "there is no column `{name}`; the columns are {}",
+        existing.join(", ")
     );
     Err(Refusal::new(Code::Unknown, why))
 }
 
-fn holds(condition: &Condition, row: &serde_json::Map<String, Value>) -> bool {
+fn row_matches(condition: &Condition, row: &serde_json::Map<String, Value>) -> bool {
     let order = compare(&row[&condition.field], &condition.value);
     match condition.relation {
         Relation::Equal => order == Ordering::Equal,
@@ -98,15 +98,15 @@
     }
 }
 
-/// Numbers by size, all else as it is printed.
+/// Compares numbers by value, and all else by its printed form.
 fn compare(a: &Value, b: &Value) -> Ordering {
     match (a.as_u64(), b.as_u64()) {
         (Some(a), Some(b)) => a.cmp(&b),
-        _ => plain(a).cmp(&plain(b)),
+        _ => cell_text(a).cmp(&cell_text(b)),
     }
 }
 
-fn plain(value: &Value) -> String {
+fn cell_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Null => "-".to_owned(),
@@ -114,7 +114,7 @@
     }
 }
 
-fn json(rows: &[serde_json::Map<String, Value>]) -> String {
+fn print_json(rows: &[serde_json::Map<String, Value>]) -> String {
     let mut out = String::new();
     for row in rows {
         let _ = writeln!(out, "{}", Value::Object(row.clone()));
@@ -122,14 +122,14 @@
     out
 }
 
-fn columns(rows: &[serde_json::Map<String, Value>]) -> String {
+fn print_columns(rows: &[serde_json::Map<String, Value>]) -> String {
     let Some(first) = rows.first() else {
         return String::new();
     };
     let names: Vec<_> = first.keys().cloned().collect();
     let mut cells = vec![names.clone()];
     for row in rows {
-        cells.push(names.iter().map(|name| plain(&row[name])).collect());
+        cells.push(names.iter().map(|name| cell_text(&row[name])).collect());
     }
     let mut out = String::new();
     for line in &cells {
--- a/crates/core/src/lang/statement.rs
+++ b/crates/core/src/lang/statement.rs
@@ -1,4 +1,4 @@
-//! What a line can say.
+//! The statements of the language.
 
 use serde_json::Value;
 
@@ -7,15 +7,15 @@
 /// One line of the language.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Statement {
-    /// Asks.
+    /// Shows rows.
     Query(Query),
     /// Changes the configuration.
     Change(Change),
-    /// Tells what a change would do and does not do it.
+    /// Checks a change and shows its result without applying it.
     Dry(Change),
 }
 
-/// What a query is about.
+/// The rows that a query shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Subject {
     /// The customers.
@@ -30,9 +30,9 @@
     Services,
     /// The tiers.
     Tiers,
-    /// The revision in force, here and at each entry.
+    /// The revision in effect, here and at each entry.
     Revision,
-    /// The commands so far.
+    /// The commands that were run so far.
     Audit,
     /// The view of the entries.
     View,
@@ -41,9 +41,9 @@
 }
 
 impl Subject {
-    /// The subject that `word` names.
-    pub(super) fn from_word(word: &str) -> Option<Self> {
-        Some(match word {
+    /// The subject that `keyword` names.
+    pub(super) fn from_keyword(keyword: &str) -> Option<Self> {
+        Some(match keyword {
             "customers" => Self::Customers,
             "hosts" => Self::Hosts,
             "operators" => Self::Operators,
@@ -59,17 +59,17 @@
     }
 }
 
-/// How an answer is printed.
+/// The output format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// Columns for people.
+    /// Aligned columns, for people to read.
     #[default]
     Table,
-    /// One JSON object a line.
+    /// One JSON object for each line.
     Json,
 }
 
-/// How a field is compared.
+/// A comparison of a field with a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Relation {
     /// Equal.
@@ -82,28 +82,28 @@
     Greater,
 }
 
-/// What a row must fulfil.
+/// A condition on rows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Condition {
     /// The column.
     pub field: String,
     /// The comparison.
     pub relation: Relation,
-    /// What it is compared with.
+    /// The value that it is compared with.
     pub value: Value,
 }
 
 /// A query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Query {
-    /// What it is about.
+    /// The rows to show.
     pub subject: Subject,
-    /// What each row must fulfil, all of them.
+    /// The conditions that each row must meet, all of them.
     pub conditions: Vec<Condition>,
-    /// The column to sort by, and whether downwards.
+    /// The column to sort by, and whether in descending order.
     pub sort: Option<(String, bool)>,
     /// The columns to show; empty for all.
     pub columns: Vec<String>,
-    /// How to print.
+    /// The output format.
     pub format: Format,
 }
