--- a/crates/core/src/platform.rs
+++ b/crates/core/src/platform.rs
@@ -1,8 +1,9 @@
-//! The platform's list of live and leaving hosts, which lags, repeats itself and loses hosts.
+//! The platform's list of live and leaving hosts. Copies of it may be late, repeated or incomplete.
 //!
-//! [`ListWatcher`] turns copies of the list into commands to drain and undrain backend servers. An older
-//! copy never replaces a newer one; a host that a copy has lost is not taken for gone; and a host
-//! that comes back is taken back only after some newer copies have said so, so that nothing flaps.
+//! [`ListWatcher`] turns copies of the list into commands to drain and undrain backend servers. An
+//! older copy never replaces a newer one, and a host that is missing from a copy is not drained. A
+//! host that was leaving is undrained only after several newer copies in a row list it as live, so
+//! that it doesn't flap.
 
 use std::collections::BTreeMap;
 
@@ -13,37 +14,37 @@
 use crate::config::State;
 use crate::id;
 
-/// Newer copies that must all say "live" before a server that left is taken back.
-const STEADY: u32 = 3;
+/// How many newer copies in a row must list a drained server as live before it is undrained.
+const LIVE_COPIES_TO_UNDRAIN: u32 = 3;
 
-/// A copy of the list.
+/// A copy of the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct List {
-    /// Grows with each change; copies may come in any order.
+    /// The list's version, which grows with each change; copies may arrive in any order.
     pub version: u64,
-    /// The hosts that it names.
+    /// The hosts on the list.
     pub hosts: Vec<Host>,
 }
 
-/// One host of the list.
+/// One host on the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
     /// The backend server's name.
     pub name: id::Server,
-    /// Whether it leaves.
+    /// Whether the host is leaving.
     pub leaving: bool,
 }
 
-/// A command that follows from the list.
+/// A command to carry out because of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// The server takes no new work.
+    /// The server must get no new work.
     Drain(id::Server),
-    /// The server takes new work again.
+    /// The server may get new work again.
     Undrain(id::Server),
 }
 
-/// What the list has said so far; memory is linear in the servers that it drained.
+/// Follows the list; memory is linear in the number of servers that it drained.
 ///
 /// # Examples
 ///
@@ -60,32 +61,33 @@
 #[derive(Clone, Debug, Default)]
 pub struct ListWatcher {
     version: u64,
-    /// Servers that the list said are leaving, and how many newer copies in a row said "live".
+    /// Servers that the list had as leaving, and how many newer copies in a row had them as live.
     drained: BTreeMap<id::Server, u32>,
 }
 
 impl ListWatcher {
-    /// Takes a copy of the list; tells what to command, given the configuration in force.
+    /// Applies a copy of the list, and returns the commands that follow from it under the current
+    /// configuration.
     pub fn update(&mut self, list: &List, snapshot: &Snapshot) -> Vec<Order> {
         if list.version <= self.version {
             return Vec::new();
         }
         self.version = list.version;
         let hosts = list.hosts.iter();
-        let orders = hosts.filter_map(|host| self.look(host, snapshot));
+        let orders = hosts.filter_map(|host| self.check_host(host, snapshot));
         orders.collect()
     }
 
-    fn look(&mut self, host: &Host, snapshot: &Snapshot) -> Option<Order> {
+    fn check_host(&mut self, host: &Host, snapshot: &Snapshot) -> Option<Order> {
         let server = snapshot.servers.get(&host.name)?;
         if host.leaving {
             self.drained.insert(host.name.clone(), 0);
             return (server.state == State::Live).then(|| Order::Drain(host.name.clone()));
         }
-        // What the operators drained is theirs to take back.
-        let steady = self.drained.get_mut(&host.name)?;
-        *steady += 1;
-        if *steady < STEADY {
+        // A server that the operators drained is left for them to undrain.
+        let live_copies = self.drained.get_mut(&host.name)?;
+        *live_copies += 1;
+        if *live_copies < LIVE_COPIES_TO_UNDRAIN {
             return None;
         }
         self.drained.remove(&host.name);
