--- a/crates/curlewlift/src/key.rs
+++ b/crates/curlewlift/src/key.rs
@@ -1,11 +1,11 @@
-//! Keys of customers and operators; only their hashes are kept.
+//! Keys of customers and operators; only their hashes are stored.
 
 use std::fmt::Write;
 
 use sha2::Digest;
 use sha2::Sha256;
 
-/// The SHA-256 of `key` in hexadecimal, as the configuration keeps it.
+/// The SHA-256 of `key` in hexadecimal, as the configuration stores it.
 ///
 /// # Examples
 ///
--- a/crates/curlewlift/src/lib.rs
+++ b/crates/curlewlift/src/lib.rs
@@ -1,6 +1,6 @@
-//! curlewlift: a request scheduler that stands between callers and unlike engines.
+//! curlewlift: a request scheduler between callers and backend servers of different kinds.
 //!
-//! This crate runs the daemons; the decisions are in `curlewlift-core`, re-exported as [`core`].
+//! This crate runs the daemons; the scheduling logic is in `curlewlift-core`, re-exported as [`core`].
 
 mod control;
 mod disk;
--- a/crates/curlewlift/src/process.rs
+++ b/crates/curlewlift/src/process.rs
@@ -1,4 +1,4 @@
-//! A process of the system on a thread of its own: started, stopped, killed, waited for.
+//! Runs a process of the system on its own thread: starts it, stops or kills it, and waits for it.
 
 use std::future::Future;
 use std::io;
@@ -21,35 +21,35 @@
 use tokio::sync::watch;
 use tokio::task::LocalSet;
 
-/// How many new connections wait to be taken: all hosts of a large fleet turn to a new leader at the same moment, and the
-/// opening packet of one that finds the queue full goes again only after a second.
-const BACKLOG: i32 = 4_096;
+/// The length of the queue of new connections that are not accepted yet. All hosts of a large fleet connect to a new
+/// leader at the same moment, and a SYN packet that finds the queue full is sent again only after a second.
+const ACCEPT_BACKLOG: i32 = 4_096;
 
 /// The time of day, in milliseconds of Unix time.
 pub(crate) fn unix_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |since| {
-        u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(0, |elapsed| {
+        u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
     })
 }
 
-/// What a process is told from outside.
+/// An order to a process from outside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Order {
-    /// Go on.
+    /// Keep running.
     Run,
-    /// Finish and end.
+    /// Finish the current work and exit.
     Stop,
-    /// End at once, as if killed.
+    /// Exit at once, as if killed.
     Kill,
 }
 
-/// The process's side of its orders.
+/// Receives a process's orders.
 #[derive(Clone)]
 pub(crate) struct Signal(watch::Receiver<Order>);
 
 impl Signal {
-    /// Waits for an order other than to go on.
+    /// Waits for an order other than [`Order::Run`].
     pub(crate) async fn next(&mut self) -> Order {
         match self.0.wait_for(|order| *order != Order::Run).await {
             Ok(order) => *order,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Waits until it must end at once.
+    /// Waits for [`Order::Kill`].
     pub(crate) async fn killed(&mut self) {
         let _ = self.0.wait_for(|order| *order == Order::Kill).await;
     }
@@ -65,20 +65,20 @@
 
 /// A running process.
 ///
-/// > **Note:** it runs on a thread with a runtime of its own, so that several can run in one test
-/// > or example and each can be killed by itself.
+/// > **Note:** it runs on its own thread with its own runtime, so that several can run in one test
+/// > or example and each can be killed separately.
 #[derive(Debug)]
 pub struct Process {
     orders: Arc<watch::Sender<Order>>,
     thread: JoinHandle<Result<(), Refusal>>,
 }
 
-/// Gives orders to a process from elsewhere, such as a signal handler.
+/// Stops a process from elsewhere, such as a signal handler.
 #[derive(Clone, Debug)]
 pub struct Handle(Arc<watch::Sender<Order>>);
 
 impl Handle {
-    /// Asks it to finish and end.
+    /// Asks the process to finish its work and exit.
     pub fn stop(&self) {
         self.0.send_replace(Order::Stop);
     }
@@ -96,19 +96,25 @@
                 .enable_all()
                 .build();
             let runtime = runtime.map_err(|why| {
-                Refusal::new(Code::Internal, format!("no runtime could be made: {why}"))
+                Refusal::new(
+                    Code::Internal,
+                    format!("the async runtime cannot be created: {why}"),
+                )
             })?;
-            let mut killed = Signal(receiver.clone());
+            let mut signal = Signal(receiver.clone());
             let local = LocalSet::new();
             local.block_on(&runtime, async move {
                 tokio::select! {
                     result = main(Signal(receiver)) => result,
-                    () = killed.killed() => Ok(()),
+                    () = signal.killed() => Ok(()),
                 }
             })
         });
         let thread = thread.map_err(|why| {
-            Refusal::new(Code::Internal, format!("no thread could be made: {why}"))
+            Refusal::new(
+                Code::Internal,
+                format!("the process's thread cannot be created: {why}"),
+            )
         })?;
         Ok(Self {
             orders: Arc::new(orders),
@@ -116,91 +122,96 @@
         })
     }
 
-    /// A handle that gives orders from elsewhere.
+    /// A handle by which the process can be stopped from elsewhere.
     #[must_use]
     pub fn handle(&self) -> Handle {
         Handle(Arc::clone(&self.orders))
     }
 
-    /// Asks it to finish and end.
+    /// Asks the process to finish its work and exit.
     pub fn stop(&self) {
         self.orders.send_replace(Order::Stop);
     }
 
-    /// Ends it at once, with all its connections, as if it had been killed.
+    /// Ends the process at once, with all its connections, as if it had been killed, and waits for it.
     pub fn kill(self) {
         self.orders.send_replace(Order::Kill);
         let _ = self.thread.join();
     }
 
-    /// Whether it has ended.
+    /// Whether the process has ended.
     #[must_use]
     pub fn is_ended(&self) -> bool {
         self.thread.is_finished()
     }
 
-    /// Waits until it has ended.
+    /// Waits until the process has ended.
     ///
     /// # Errors
     ///
-    /// What ended it, if that was a failure.
+    /// The failure that ended the process, if there was one.
     pub fn wait(self) -> Result<(), Refusal> {
         let result = self.thread.join();
-        result.unwrap_or_else(|_| Err(Refusal::new(Code::Internal, "a thread has panicked")))
+        result.unwrap_or_else(|_| {
+            Err(Refusal::new(
+                Code::Internal,
+                "the process's thread has panicked",
+            ))
+        })
     }
 }
 
-/// The clock that a process's decisions go by: it never goes back, and goes on while the host is suspended.
+/// The clock for a process's decisions: it never goes back, and it advances while the host is suspended.
 ///
-/// A lease, a place, a part of an allowance or a belief that others have let run out meanwhile must be over
-/// here as well; the steady clock that timers use stands still, and the time of day may jump.
+/// Leases, slot grants, quota shares and cached information that expire elsewhere during a suspension must
+/// have expired here as well. The monotonic clock that timers use stops meanwhile, and the time of day may jump.
 #[derive(Clone, Debug)]
 pub struct Clock {
-    began: Duration,
-    /// Beyond what the machine was suspended for; see [`Clock::simulate_suspend`].
-    skipped: Arc<AtomicU64>,
+    started_at: Duration,
+    /// The simulated suspensions, in microseconds; see [`Clock::simulate_suspend`].
+    simulated_us: Arc<AtomicU64>,
 }
 
 impl Clock {
-    /// A clock that begins now.
+    /// A clock that starts now.
     #[must_use]
     pub fn start() -> Self {
         Self {
-            began: since_boot(),
-            skipped: Arc::default(),
+            started_at: since_boot(),
+            simulated_us: Arc::default(),
         }
     }
 
-    /// The time since it began.
+    /// The time since the clock was started.
     #[must_use]
     pub fn now(&self) -> clock::Instant {
-        let skipped = Duration::from_micros(self.skipped.load(Ordering::Relaxed));
-        clock::Instant::default() + since_boot().saturating_sub(self.began) + skipped
+        let simulated = Duration::from_micros(self.simulated_us.load(Ordering::Relaxed));
+        clock::Instant::default() + since_boot().saturating_sub(self.started_at) + simulated
     }
 
-    /// Goes on by `length` as if the host had been suspended, for whoever wants to see what a process makes
-    /// of that; clones go on alike.
+    /// Advances the clock by `length`, as if the host had been suspended, to test how a process copes with
+    /// that. Clones advance as well.
     pub fn simulate_suspend(&self, length: Duration) {
         let micros = u64::try_from(length.as_micros()).unwrap_or(u64::MAX);
-        self.skipped.fetch_add(micros, Ordering::Relaxed);
+        self.simulated_us.fetch_add(micros, Ordering::Relaxed);
     }
 }
 
-/// The time since the machine was started, suspensions included.
+/// The time since the host was booted, including suspensions.
 fn since_boot() -> Duration {
-    let time = clock_gettime(ClockId::CLOCK_BOOTTIME);
-    Duration::from(time.expect("Linux has had this clock since 2.6.39"))
+    let boot_time = clock_gettime(ClockId::CLOCK_BOOTTIME);
+    Duration::from(boot_time.expect("Linux has CLOCK_BOOTTIME since 2.6.39"))
 }
 
-/// `listener` for the runtime.
+/// Turns `listener` into a listener of the async runtime.
 pub(crate) fn tokio_listener(listener: TcpListener) -> Result<tokio::net::TcpListener, Refusal> {
-    let made = listener
+    let tokio_listener = listener
         .set_nonblocking(true)
         .and_then(|()| tokio::net::TcpListener::from_std(listener));
-    made.map_err(|why| {
+    tokio_listener.map_err(|why| {
         Refusal::new(
             Code::Internal,
-            format!("the listener cannot be used: {why}"),
+            format!("the listening socket cannot be used by the async runtime: {why}"),
         )
     })
 }
@@ -209,7 +220,7 @@
 ///
 /// # Errors
 ///
-/// [`Code::BadSetting`] where the address cannot be had.
+/// [`Code::BadSetting`] if the process cannot listen at the address.
 pub(crate) fn bind(address: SocketAddr) -> Result<TcpListener, Refusal> {
     listen(address).map_err(|why| {
         let why = format!("cannot listen at {address}: {why}");
@@ -220,24 +231,24 @@
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let domain = socket2::Domain::for_address(address);
     let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None)?;
-    // A process that starts again finds connections of the one before it.
+    // After a restart, connections of the former process may still hold the address.
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(ACCEPT_BACKLOG)?;
     Ok(socket.into())
 }
 
-/// How long bytes may go unacknowledged before a connection counts as dead: a peer that lost its
-/// power or is cut off says nothing.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(4);
+/// How long sent bytes may stay unacknowledged before a connection counts as dead. A peer that lost
+/// power or network doesn't close its connections.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Sends small pieces at once, and finds out when the peer has gone silently.
+/// Sets a connection's options: small writes are sent at once, and an unresponsive peer is noticed.
 pub(crate) fn configure_connection(stream: &tokio::net::TcpStream) {
     let socket = socket2::SockRef::from(stream);
-    let set = stream
+    let result = stream
         .set_nodelay(true)
-        .and_then(|()| socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED)));
-    if let Err(why) = set {
-        log::debug!("a connection's options cannot be set: {why}");
+        .and_then(|()| socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT)));
+    if let Err(why) = result {
+        log::debug!("the socket options of a connection cannot be set: {why}");
     }
 }
