--- a/crates/curlewlift/src/platform/entries.rs
+++ b/crates/curlewlift/src/platform/entries.rs
@@ -1,8 +1,9 @@
-//! The entries of a page of the platform's list, read one by one from its bytes.
+//! Decodes a page of the platform's list of backend servers, entry by entry.
 //!
-//! Others write entries too: with fields missing or of another type, cut, or with bytes that are no text.
-//! Such an entry names no backend server, and the others hold. Read as one document, a page with one bad
-//! entry among 1,000 took all 1,000 servers away for as long as the entry was there.
+//! Other programs write entries too, and some are malformed: fields are missing or of another type, the entry
+//! is truncated, or it contains bytes that are not UTF-8. Such an entry is left out, and the others are used.
+//! If the page were decoded as one document, a single malformed entry among 1,000 would hide all 1,000 servers
+//! for as long as it is on the list.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -15,45 +16,45 @@
 #[cfg(test)]
 mod tests;
 
-/// The largest entry, in bytes: some hundred times the usual one.
-const LARGEST: usize = 64 << 10;
+/// The largest entry, in bytes: about a hundred times the typical one.
+const MAX_ENTRY_BYTES: usize = 64 << 10;
 
-/// How many places of a page may begin like an entry and be none. Each is read for [`LARGEST`] bytes at most:
-/// 32 MB in all, some 50 ms of a core.
-const FAILED: usize = 512;
+/// At how many positions of a damaged page decoding an entry may fail before the page is given up. Each attempt reads
+/// at most [`MAX_ENTRY_BYTES`]: 32 MB in all, about 50 ms of one core.
+const MAX_FAILED_ENTRIES: usize = 512;
 
 /// A page of the list.
 #[derive(Debug, Default)]
 pub(super) struct Page {
-    /// The servers that its entries name.
+    /// The servers of the entries that could be decoded.
     pub(super) servers: Vec<Server>,
-    /// The entries that name none.
+    /// The entries that could not be decoded.
     pub(super) unreadable: Vec<Unreadable>,
-    /// The page that follows; none where this is the last.
+    /// The token of the next page; none on the last page.
     pub(super) next: Option<String>,
 }
 
-/// An entry that names no server.
+/// An entry that could not be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Unreadable {
-    /// Its place on the page, the first one being 0.
-    pub(super) place: usize,
-    /// Why it names none.
+    /// Its index on the page, from 0.
+    pub(super) index: usize,
+    /// The reason.
     pub(super) why: String,
 }
 
-/// A page as it is usually written.
+/// A well-formed page.
 #[derive(Deserialize)]
-struct Whole<'a> {
+struct WellFormedPage<'a> {
     #[serde(borrow)]
     instances: Vec<&'a RawValue>,
     next_token: Option<String>,
 }
 
-/// An entry as it is usually written; what it says of its models is not read.
+/// A well-formed entry; its models are ignored.
 #[derive(Deserialize)]
 struct Instance {
-    /// What the server calls itself.
+    /// The name that the server calls itself by.
     id: String,
     service: String,
     address: SocketAddr,
@@ -61,18 +62,18 @@
     zone: String,
     version: String,
     slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     state: State,
-    /// How much longer it is cold, in milliseconds. The list would have another version at each fetch, so only whether
-    /// it is at all is kept.
+    /// How much longer it is cold, in milliseconds. The value changes at each fetch, which would give the list a new
+    /// version each time, so only whether it is above zero is used.
     #[serde(rename = "cold_left_ms")]
-    cold: f64,
-    /// When it began, in milliseconds; an older platform does not tell.
-    #[serde(default)]
-    born: Option<u64>,
+    cold_ms: f64,
+    /// When it was started, in milliseconds; older platforms leave it out.
+    #[serde(rename = "born", default)]
+    started_ms: Option<u64>,
 }
 
-/// Whether a server takes new work.
+/// Whether a server accepts new work.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum State {
@@ -81,104 +82,109 @@
 }
 
 impl Page {
-    /// Reads a page.
+    /// Decodes a page.
     ///
     /// # Errors
     ///
-    /// Where it cannot be told whether another page follows: what is on that one would be taken for gone.
-    pub(super) fn read(bytes: &[u8]) -> Result<Self, String> {
-        // What is no text within an entry makes that entry's fields unknown names, and nothing else.
+    /// If the page doesn't say whether another page follows: the servers of that page would be taken for removed.
+    pub(super) fn decode(bytes: &[u8]) -> Result<Self, String> {
+        // Bytes that are not UTF-8 are replaced; that can spoil only the entry in which they are.
         let text = String::from_utf8_lossy(bytes);
-        let (entries, next) = match serde_json::from_str::<Whole<'_>>(&text) {
-            Ok(whole) => {
-                let entries = whole.instances.into_iter();
-                let entries = entries.map(|entry| server(entry.get()));
-                (entries.collect(), whole.next_token)
+        let (entries, next) = match serde_json::from_str::<WellFormedPage<'_>>(&text) {
+            Ok(page) => {
+                let entries = page.instances.into_iter();
+                let entries = entries.map(|entry| decode_entry(entry.get()));
+                (entries.collect(), page.next_token)
             }
-            Err(_) => (salvage(&text)?, next(&text)?),
+            Err(_) => (find_entries(&text)?, find_next_token(&text)?),
         };
         let mut page = Self {
             next,
             ..Self::default()
         };
-        for (place, entry) in Vec::into_iter(entries).enumerate() {
+        for (index, entry) in Vec::into_iter(entries).enumerate() {
             match entry {
                 Ok(server) => page.servers.push(server),
-                Err(why) => page.unreadable.push(Unreadable { place, why }),
+                Err(why) => page.unreadable.push(Unreadable { index, why }),
             }
         }
         Ok(page)
     }
 }
 
-/// The server that an entry names, or why it names none.
-fn server(entry: &str) -> Result<Server, String> {
-    if entry.len() > LARGEST {
-        return Err(format!("it has {} bytes", entry.len()));
+/// Decodes an entry into its server; the error says why that is not possible.
+fn decode_entry(entry: &str) -> Result<Server, String> {
+    if entry.len() > MAX_ENTRY_BYTES {
+        return Err(format!(
+            "the entry has {} bytes, more than {MAX_ENTRY_BYTES}",
+            entry.len()
+        ));
     }
-    let instance: Instance = serde_json::from_str(entry).map_err(told)?;
+    let instance: Instance = serde_json::from_str(entry).map_err(error_text)?;
     let name = instance.id;
     if name.is_empty() || !name.bytes().all(|byte| byte.is_ascii_graphic()) {
-        return Err("its name cannot be sent in a head".to_owned());
+        return Err("the server's name cannot be sent in a header".to_owned());
     }
-    let incarnation = match instance.born {
-        Some(born) => format!("{name}/{born}").into(),
+    let incarnation = match instance.started_ms {
+        Some(started_ms) => format!("{name}/{started_ms}").into(),
         None => name.as_str().into(),
     };
     Ok(Server {
         incarnation,
         name: name.into(),
-        started_ms: instance.born.unwrap_or_default(),
-        version: instance.version.parse().map_err(told)?,
-        service: instance.service.parse().map_err(told)?,
+        started_ms: instance.started_ms.unwrap_or_default(),
+        version: instance.version.parse().map_err(error_text)?,
+        service: instance.service.parse().map_err(error_text)?,
         address: instance.address,
         hall: instance.zone.into(),
         slots: instance.slots,
         leaving: matches!(instance.state, State::Draining),
-        cold: instance.cold > 0.0,
+        cold: instance.cold_ms > 0.0,
     })
 }
 
-fn told(why: impl fmt::Display) -> String {
+fn error_text(why: impl fmt::Display) -> String {
     why.to_string()
 }
 
-/// The entries of a page that is no document as a whole: whatever reads as one, wherever it begins.
-fn salvage(text: &str) -> Result<Vec<Result<Server, String>>, String> {
+/// Finds the entries of a page that is not a valid document: whatever can be decoded as an entry, wherever it begins.
+fn find_entries(text: &str) -> Result<Vec<Result<Server, String>>, String> {
     let list = text.split_once("\"instances\"");
-    let (_, mut rest) = list.ok_or("it has no list")?;
+    let (_, mut rest) = list.ok_or("the page has no list of instances")?;
     let mut entries = Vec::new();
     let mut failed = 0;
-    while let Some(at) = rest.find('{') {
-        rest = &rest[at..];
-        let most = rest.floor_char_boundary(LARGEST);
-        let mut values = serde_json::Deserializer::from_str(&rest[..most]).into_iter::<Value>();
+    while let Some(start) = rest.find('{') {
+        rest = &rest[start..];
+        let max_end = rest.floor_char_boundary(MAX_ENTRY_BYTES);
+        let mut values = serde_json::Deserializer::from_str(&rest[..max_end]).into_iter::<Value>();
         let value = values.next().and_then(Result::ok);
-        let value = value.ok_or_else(|| "it is cut, or no document".to_owned());
-        let entry = value.and_then(|value| server(&value.to_string()));
+        let value = value.ok_or_else(|| "the entry is truncated or not valid JSON".to_owned());
+        let entry = value.and_then(|value| decode_entry(&value.to_string()));
         if entry.is_ok() {
             rest = &rest[values.byte_offset()..];
         } else {
-            // An entry that is cut may have taken up the next one.
+            // A truncated entry may extend into the next one, so the search goes on just behind its start.
             rest = &rest[1..];
             failed += 1;
         }
         entries.push(entry);
-        if failed > FAILED {
-            return Err(format!("over {FAILED} of its entries cannot be read"));
+        if failed > MAX_FAILED_ENTRIES {
+            return Err(format!(
+                "more than {MAX_FAILED_ENTRIES} entries of the page cannot be decoded"
+            ));
         }
     }
     Ok(entries)
 }
 
-/// The page that follows one that is no document as a whole.
-fn next(text: &str) -> Result<Option<String>, String> {
+/// Finds the token of the next page on a page that is not a valid document.
+fn find_next_token(text: &str) -> Result<Option<String>, String> {
     let after = text.rsplit_once("\"next_token\"").map(|(_, after)| after);
     let value = after.and_then(|after| after.trim_start().strip_prefix(':'));
-    let value = value.ok_or("it does not say whether another page follows")?;
+    let value = value.ok_or("the page does not say whether another page follows")?;
     let mut values = serde_json::Deserializer::from_str(value).into_iter::<Option<String>>();
-    let next = values
+    let token = values
         .next()
-        .ok_or("it is cut where it names the next page")?;
-    next.map_err(told)
+        .ok_or("the page is truncated in the token of the next page")?;
+    token.map_err(error_text)
 }
--- a/crates/curlewlift/src/platform/entries/tests.rs
+++ b/crates/curlewlift/src/platform/entries/tests.rs
@@ -61,16 +61,16 @@
     let count = malformed().len();
     entries.extend(malformed());
     entries.push(entry("i-2").into_bytes());
-    let page = Page::read(&page(&entries)).expect("a page");
+    let page = Page::decode(&page(&entries)).expect("a page");
     assert_eq!(names(&page), ["i-1", "i-2"]);
     assert_eq!(page.next.as_deref(), Some("p-50"));
-    let places: Vec<_> = page.unreadable.iter().map(|entry| entry.place).collect();
-    assert_eq!(places, (1..=count).collect::<Vec<_>>());
+    let indices: Vec<_> = page.unreadable.iter().map(|entry| entry.index).collect();
+    assert_eq!(indices, (1..=count).collect::<Vec<_>>());
 }
 
 #[test]
 fn only_malformed() {
-    let page = Page::read(&page(&malformed())).expect("a page");
+    let page = Page::decode(&page(&malformed())).expect("a page");
     assert!(page.servers.is_empty());
     assert_eq!(page.unreadable.len(), malformed().len());
 }
@@ -84,7 +84,7 @@
             good[..cut].to_vec(),
             entry("i-2").into_bytes(),
         ];
-        let page = Page::read(&page(&entries)).expect("a page");
+        let page = Page::decode(&page(&entries)).expect("a page");
         let names = names(&page);
         assert!(names.contains(&"i-0"), "cut at {cut}: {names:?}");
         assert!(names.contains(&"i-2"), "cut at {cut}: {names:?}");
@@ -102,7 +102,7 @@
         // What would be an entry of its own, or end the text around it, is another test's matter.
         bytes.retain(|byte| !b"{}[]\"\\".contains(byte));
         let entries = [entry("i-0").into_bytes(), bytes, entry("i-2").into_bytes()];
-        let page = Page::read(&page(&entries)).expect("a page");
+        let page = Page::decode(&page(&entries)).expect("a page");
         assert_eq!(names(&page), ["i-0", "i-2"], "seed {seed}");
     }
 }
@@ -130,7 +130,7 @@
                 break;
             }
         }
-        if let Ok(page) = Page::read(&page) {
+        if let Ok(page) = Page::decode(&page) {
             assert!(page.servers.len() <= 5, "seed {seed}");
         }
     }
@@ -138,11 +138,11 @@
 
 #[test]
 fn no_end() {
-    assert!(Page::read(b"{\"instances\":[]").is_err());
-    assert!(Page::read(b"").is_err());
-    assert!(Page::read(b"{\"instances\":[],\"next_token\":7}").is_err());
+    assert!(Page::decode(b"{\"instances\":[]").is_err());
+    assert!(Page::decode(b"").is_err());
+    assert!(Page::decode(b"{\"instances\":[],\"next_token\":7}").is_err());
     let open = b"{\"a".repeat(100_000);
-    assert!(Page::read(&[b"{\"instances\":[", &*open].concat()).is_err());
+    assert!(Page::decode(&[b"{\"instances\":[", &*open].concat()).is_err());
 }
 
 #[test]
@@ -150,7 +150,7 @@
     let again = entry("i-1").replace("1700000000000", "1700000000001");
     let older = entry("i-1").replace(",\"born\":1700000000000", "");
     let entries = [entry("i-1"), again, older].map(String::into_bytes);
-    let page = Page::read(&page(&entries)).expect("a page");
+    let page = Page::decode(&page(&entries)).expect("a page");
     let lives: Vec<_> = page
         .servers
         .iter()
--- a/crates/curlewlift/src/platform/headers.rs
+++ b/crates/curlewlift/src/platform/headers.rs
@@ -1,4 +1,4 @@
-//! The heads of requests and answers.
+//! Reads and writes the platform's headers of requests and responses.
 
 use std::time::Duration;
 
@@ -23,40 +23,40 @@
 #[cfg(test)]
 mod tests;
 
-/// The request's name; every try of a caller has its own.
-const REQUEST: HeaderName = HeaderName::from_static("x-attempt-id");
-/// How long the caller, and in turn the backend server, may take, in milliseconds.
-const PATIENCE: HeaderName = HeaderName::from_static("x-deadline-ms");
-/// Tokens of the prompt, and the most that are made, with a comma between.
-const TOKENS: HeaderName = HeaderName::from_static("x-token-counts");
+/// The id of a request; each attempt of a caller has its own.
+const ATTEMPT_ID: HeaderName = HeaderName::from_static("x-attempt-id");
+/// How long the caller waits for a response, and in turn how long the backend server may take, in milliseconds.
+const DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
+/// The prompt's tokens and the maximum of generated tokens, separated by a comma.
+const TOKEN_COUNTS: HeaderName = HeaderName::from_static("x-token-counts");
 /// The customer's name, for the backend server.
 const CUSTOMER: HeaderName = HeaderName::from_static("x-tenant");
-/// The backend server that is meant, as it calls itself.
-const MEANT: HeaderName = HeaderName::from_static("x-expect-instance");
-/// The last event that is there already.
-const AFTER: HeaderName = HeaderName::from_static("last-event-id");
-/// By this the backend server vouches for its answer.
+/// The name of the backend server that the request is for; another one rejects the request.
+const EXPECTED_SERVER: HeaderName = HeaderName::from_static("x-expect-instance");
+/// The id of the last event that was received; a stream is resumed after it.
+const LAST_EVENT: HeaderName = HeaderName::from_static("last-event-id");
+/// The backend server's signature of its response.
 const SIGNATURE: HeaderName = HeaderName::from_static("x-response-signature");
-/// The backend server did not run the request.
+/// Says that the backend server did not run the request.
 const NOT_RUN: HeaderName = HeaderName::from_static("x-not-executed");
-/// Requests running, requests waiting, and slots.
+/// The number of running requests, of queued requests and of slots, separated by commas.
 const LOAD: HeaderName = HeaderName::from_static("x-server-load");
 
-/// The backend server is to end.
-const LEAVING: HeaderName = HeaderName::from_static("server-leaving");
-/// How many requests a second the backend server takes, from all hosts together.
-const LIMIT: HeaderName = HeaderName::from_static("server-limit");
+/// Says that the backend server is draining.
+const DRAINING: HeaderName = HeaderName::from_static("server-leaving");
+/// How many requests a second the backend server accepts from all hosts together.
+const RATE_LIMIT: HeaderName = HeaderName::from_static("server-limit");
 
-/// Another incarnation has the address.
-const MISDIRECTED: u16 = 421;
+/// The status of a response from another server or incarnation, which now has the address.
+const MISDIRECTED_STATUS: u16 = 421;
 
-/// With these a backend server turns a request away, and may say for how long it wants none.
-const TURNED_AWAY: [u16; 2] = [429, 503];
+/// The statuses with which a backend server rejects a request and may ask for a backoff.
+const REJECTED_STATUSES: [u16; 2] = [429, 503];
 
-/// What only this system may tell a backend server, whatever a caller sends.
-const OURS: [HeaderName; 8] = [
+/// The headers that only this system may send to a backend server; a caller's are removed.
+const RESERVED_HEADERS: [HeaderName; 8] = [
     CUSTOMER,
-    MEANT,
+    EXPECTED_SERVER,
     HeaderName::from_static("x-expect-version"),
     HeaderName::from_static("x-hold"),
     HeaderName::from_static("x-pin-ms"),
@@ -65,19 +65,19 @@
     HeaderName::from_static("kv-fetch"),
 ];
 
-/// How the platform's heads are read and written.
+/// How the platform's headers are read and written.
 pub(super) const DIALECT: Dialect = Dialect { read, dress, marks };
 
 fn read(headers: &HeaderMap) -> Result<Call, Refusal> {
     Ok(Call {
-        id: headers.get(REQUEST).cloned(),
-        key: key(headers),
-        patience: number(headers, &PATIENCE)?.map(Duration::from_millis),
-        tokens: tokens(headers)?,
+        id: headers.get(ATTEMPT_ID).cloned(),
+        key: bearer_key(headers),
+        patience: millis(headers, &DEADLINE)?.map(Duration::from_millis),
+        tokens: token_counts(headers)?,
     })
 }
 
-fn key(headers: &HeaderMap) -> Option<String> {
+fn bearer_key(headers: &HeaderMap) -> Option<String> {
     let value = headers.get(header::AUTHORIZATION)?.to_str().ok()?;
     let (scheme, key) = value.trim().split_once(' ')?;
     scheme
@@ -85,51 +85,56 @@
         .then(|| key.trim().to_owned())
 }
 
-fn number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, Refusal> {
+fn millis(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, Refusal> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
     let text = value.to_str().unwrap_or_default().trim();
-    let number: Result<f64, _> = text.parse();
-    match number {
+    let millis: Result<f64, _> = text.parse();
+    match millis {
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        Ok(number) if number >= 0.0 => Ok(Some(number as u64)),
-        _ => Err(bad(name, text, "a number of milliseconds")),
+        Ok(millis) if millis >= 0.0 => Ok(Some(millis as u64)),
+        _ => Err(bad_header(name, text, "a number of milliseconds")),
     }
 }
 
-fn tokens(headers: &HeaderMap) -> Result<Option<(u64, u64)>, Refusal> {
-    let Some(value) = headers.get(TOKENS) else {
+fn token_counts(headers: &HeaderMap) -> Result<Option<(u64, u64)>, Refusal> {
+    let Some(value) = headers.get(TOKEN_COUNTS) else {
         return Ok(None);
     };
     let text = value.to_str().unwrap_or_default();
     let count = |text: &str| text.trim().parse::<u64>().ok();
-    let both = text
+    let counts = text
         .split_once(',')
-        .and_then(|(prompt, made)| Some((count(prompt)?, count(made)?)));
-    both.map(Some)
-        .ok_or_else(|| bad(&TOKENS, text, "two whole numbers with a comma between"))
+        .and_then(|(prompt, generated)| Some((count(prompt)?, count(generated)?)));
+    counts.map(Some).ok_or_else(|| {
+        bad_header(
+            &TOKEN_COUNTS,
+            text,
+            "two whole numbers, separated by a comma",
+        )
+    })
 }
 
-fn bad(name: &HeaderName, text: &str, wanted: &str) -> Refusal {
+fn bad_header(name: &HeaderName, text: &str, expected: &str) -> Refusal {
     Refusal::new(
         Code::BadHeader,
-        format!("{name}: `{text}` is not right; give {wanted}"),
+        format!("{name}: `{text}` is invalid; give {expected}"),
     )
 }
 
 fn dress(headers: &mut HeaderMap, hand: &Hand<'_>) {
     headers.remove(header::AUTHORIZATION);
-    for name in OURS {
+    for name in RESERVED_HEADERS {
         headers.remove(name);
     }
-    set(headers, PATIENCE, &hand.patience.as_millis().to_string());
-    set(headers, MEANT, hand.server);
+    set(headers, DEADLINE, &hand.patience.as_millis().to_string());
+    set(headers, EXPECTED_SERVER, hand.server);
     if let Some(customer) = hand.customer {
         set(headers, CUSTOMER, customer);
     }
     if let Some(after) = hand.after {
-        set(headers, AFTER, after);
+        set(headers, LAST_EVENT, after);
     }
 }
 
@@ -138,62 +143,63 @@
         Ok(value) => {
             headers.insert(name, value);
         }
-        Err(why) => log::error!("{name}: `{value}` cannot be sent: {why}"),
+        Err(why) => log::error!("the header {name} cannot be sent with the value `{value}`: {why}"),
     }
 }
 
 fn marks(status: u16, headers: &HeaderMap) -> Marks {
     Marks {
-        id: headers.get(REQUEST).cloned(),
+        id: headers.get(ATTEMPT_ID).cloned(),
         not_run: headers.contains_key(NOT_RUN),
-        moved: status == MISDIRECTED,
+        moved: status == MISDIRECTED_STATUS,
         signed: headers.contains_key(SIGNATURE),
-        in_flight: load(headers),
+        in_flight: requests_in_flight(headers),
         notices: notices(status, headers),
-        limit: limit(headers),
+        limit: announced_limit(headers),
     }
 }
 
-/// What the server says of its limit: where it is given more than once, the least that can be read.
-fn limit(headers: &HeaderMap) -> Announcement {
+/// The limit that the server announces; if there are several, the lowest valid one.
+fn announced_limit(headers: &HeaderMap) -> Announcement {
     let mut limit = Announcement::NoLimit;
-    for value in headers.get_all(LIMIT) {
+    for value in headers.get_all(RATE_LIMIT) {
         let text = String::from_utf8_lossy(value.as_bytes());
         let rate: Result<Rate, _> = text.parse();
         limit = match (limit, rate) {
-            (Announcement::Limited(former), Ok(rate)) if former <= rate => {
-                Announcement::Limited(former)
+            (Announcement::Limited(lowest), Ok(rate)) if lowest <= rate => {
+                Announcement::Limited(lowest)
             }
             (_, Ok(rate)) => Announcement::Limited(rate),
-            (Announcement::NoLimit, Err(InvalidRate(odd))) => Announcement::Invalid(odd),
+            (Announcement::NoLimit, Err(InvalidRate(text))) => Announcement::Invalid(text),
             (limit, Err(_)) => limit,
         };
     }
     limit
 }
 
-/// What the server says of itself.
+/// What the server announces about its own state.
 fn notices(status: u16, headers: &HeaderMap) -> Vec<Notice> {
     let mut notices = Vec::new();
-    if TURNED_AWAY.contains(&status) {
+    if REJECTED_STATUSES.contains(&status) {
         let values = headers.get_all(header::RETRY_AFTER).iter();
-        notices.extend(values.map(rest));
+        notices.extend(values.map(backoff));
     }
-    if headers.get(LEAVING).is_some_and(|value| value != "0") {
+    if headers.get(DRAINING).is_some_and(|value| value != "0") {
         notices.push(Notice::Draining);
     }
     notices
 }
 
-/// For how long a server that turned a request away wants none.
-fn rest(value: &HeaderValue) -> Notice {
+/// The backoff that a server asks for as it rejects a request.
+fn backoff(value: &HeaderValue) -> Notice {
     let text = String::from_utf8_lossy(value.as_bytes());
-    http::seconds(&text).map_or_else(|| Notice::Unreadable(text.into_owned()), Notice::Backoff)
+    http::parse_seconds(&text)
+        .map_or_else(|| Notice::Unreadable(text.into_owned()), Notice::Backoff)
 }
 
-fn load(headers: &HeaderMap) -> Option<u32> {
-    let mut parts = headers.get(LOAD)?.to_str().ok()?.split(',');
-    let running: u32 = parts.next()?.trim().parse().ok()?;
-    let waiting: u32 = parts.next()?.trim().parse().ok()?;
+fn requests_in_flight(headers: &HeaderMap) -> Option<u32> {
+    let mut counts = headers.get(LOAD)?.to_str().ok()?.split(',');
+    let running: u32 = counts.next()?.trim().parse().ok()?;
+    let waiting: u32 = counts.next()?.trim().parse().ok()?;
     Some(running.saturating_add(waiting))
 }
--- a/crates/curlewlift/src/platform/http.rs
+++ b/crates/curlewlift/src/platform/http.rs
@@ -1,4 +1,4 @@
-//! What the platform's small answers have in common.
+//! Helpers for the platform's HTTP responses.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 use crate::gateway::Answer;
 use crate::gateway::whole;
 
-/// Before an operator or caller asks again where nobody could answer, in seconds.
-const AGAIN: &str = "0.2";
+/// The `Retry-After` of a response with status 503, in seconds.
+const RETRY_AFTER_SECONDS: &str = "0.2";
 
-/// A time in seconds, with a fraction or without; none where the text is no such time.
-pub(super) fn seconds(text: &str) -> Option<Duration> {
+/// Parses a time in seconds, with or without a fraction; none if the text is not such a time.
+pub(super) fn parse_seconds(text: &str) -> Option<Duration> {
     let seconds: f64 = text.trim().parse().ok()?;
     if !seconds.is_finite() || seconds < 0.0 {
         return None;
@@ -24,19 +24,21 @@
     Some(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
 }
 
-/// An answer without a body.
+/// A response without a body.
 pub(super) fn empty(status: StatusCode) -> Answer {
-    let mut answer = Response::new(whole(""));
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(whole(""));
+    *response.status_mut() = status;
+    response
 }
 
-/// A refusal, with the time after which to ask again where nobody could answer.
+/// The response for a refusal; one with status 503 says when to retry.
 pub(super) fn refused(refusal: &Refusal) -> Answer {
-    let mut answer = gateway::refuse(refusal, None);
-    if answer.status() == StatusCode::SERVICE_UNAVAILABLE {
-        let again = HeaderValue::from_static(AGAIN);
-        answer.headers_mut().insert(header::RETRY_AFTER, again);
+    let mut response = gateway::refuse(refusal, None);
+    if response.status() == StatusCode::SERVICE_UNAVAILABLE {
+        let retry_after = HeaderValue::from_static(RETRY_AFTER_SECONDS);
+        response
+            .headers_mut()
+            .insert(header::RETRY_AFTER, retry_after);
     }
-    answer
+    response
 }
--- a/crates/curlewlift/src/platform/instances.rs
+++ b/crates/curlewlift/src/platform/instances.rs
@@ -1,4 +1,4 @@
-//! The platform's list of backend servers.
+//! Fetches the platform's list of backend servers.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -26,95 +26,107 @@
 use super::entries::Page;
 use super::http;
 
-/// How long one page may take.
-const PATIENCE: Duration = Duration::from_millis(800);
+/// How long the fetch of one page may take.
+const PAGE_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The largest page, in bytes.
-const LARGEST: usize = 4 << 20;
+const MAX_PAGE_BYTES: usize = 4 << 20;
 
-/// The most unreadable entries that one fetch writes of.
-const NOTED: usize = 20;
+/// The maximum number of unreadable entries that are logged for one fetch.
+const MAX_LOGGED_ENTRIES: usize = 20;
 
-/// The most pages of a list: more than any fleet has, and an end where the platform names none.
-const PAGES: usize = 200;
+/// The maximum number of pages of a list: more than any fleet needs. It ends the fetch if the platform names no last
+/// page.
+const MAX_PAGES: usize = 200;
 
-/// Which entries were unreadable at the last fetch, and why: each is written once, not at every fetch.
-type Noted = Rc<RefCell<BTreeSet<String>>>;
+/// The entries that were unreadable at the last fetch, and why: each is logged once, not at every fetch.
+type LoggedEntries = Rc<RefCell<BTreeSet<String>>>;
 
-/// What fetches the list from the platform at `platform`.
+/// Returns a function that fetches the list from the platform at `platform`.
 pub(super) fn fetch(platform: SocketAddr) -> Fetch {
     let client = Client::builder(TokioExecutor::new()).build_http();
-    let noted = Noted::default();
-    Rc::new(move |apart| {
+    let logged = LoggedEntries::default();
+    Rc::new(move |page_interval| {
         let client = client.clone();
-        let noted = Rc::clone(&noted);
-        Box::pin(async move { all(&client, platform, &noted, apart).await })
+        let logged = Rc::clone(&logged);
+        Box::pin(async move { fetch_all(&client, platform, &logged, page_interval).await })
     })
 }
 
-async fn all(
+async fn fetch_all(
     client: &Client<HttpConnector, Body>,
     platform: SocketAddr,
-    noted: &Noted,
-    apart: Duration,
+    logged: &LoggedEntries,
+    page_interval: Duration,
 ) -> Result<ServerList, Missed> {
     let mut servers = Vec::new();
     let mut unreadable = BTreeSet::new();
-    let mut from = String::new();
-    for _ in 0..PAGES {
-        let page = tokio::time::timeout(PATIENCE, page(client, platform, &from)).await;
-        let page = page.map_err(|_| lost("no answer in time"))??;
+    let mut page_query = String::new();
+    for _ in 0..MAX_PAGES {
+        let page =
+            tokio::time::timeout(PAGE_TIMEOUT, fetch_page(client, platform, &page_query)).await;
+        let page = page.map_err(|_| fetch_error("the platform did not respond in time"))??;
         servers.extend(page.servers);
-        let places = page.unreadable.iter();
-        unreadable.extend(places.map(|entry| format!("{from}#{}: {}", entry.place, entry.why)));
+        let entries = page.unreadable.iter();
+        unreadable
+            .extend(entries.map(|entry| format!("{page_query}#{}: {}", entry.index, entry.why)));
         let Some(next) = page.next else {
-            note_unreadable(unreadable, noted);
+            log_unreadable(unreadable, logged);
             return Ok(ServerList::new(servers));
         };
-        from = format!("?page_token={next}");
-        tokio::time::sleep(apart).await;
+        page_query = format!("?page_token={next}");
+        tokio::time::sleep(page_interval).await;
     }
-    Err(lost("its pages have no end"))
+    Err(fetch_error("the list has too many pages"))
 }
 
-async fn page(
+async fn fetch_page(
     client: &Client<HttpConnector, Body>,
     platform: SocketAddr,
-    from: &str,
+    page_query: &str,
 ) -> Result<Page, Missed> {
-    let request = Request::get(format!("http://{platform}/instances{from}"))
+    let request = Request::get(format!("http://{platform}/instances{page_query}"))
         .body(Body::empty())
-        .map_err(|why| lost(&why))?;
-    let answer = client.request(request).await.map_err(|why| lost(&why))?;
-    if answer.status() != StatusCode::OK {
-        let missed = lost(answer.status());
-        let again = again(answer.headers());
+        .map_err(|why| fetch_error(&why))?;
+    let response = client
+        .request(request)
+        .await
+        .map_err(|why| fetch_error(&why))?;
+    if response.status() != StatusCode::OK {
+        let missed = fetch_error(response.status());
+        let again = retry_after(response.headers());
         return Err(Missed { again, ..missed });
     }
-    let body = Limited::new(answer.into_body(), LARGEST).collect().await;
-    let body = body.map_err(|why| lost(&why))?.to_bytes();
-    Page::read(&body).map_err(|why| lost(&why))
+    let body = Limited::new(response.into_body(), MAX_PAGE_BYTES)
+        .collect()
+        .await;
+    let body = body.map_err(|why| fetch_error(&why))?.to_bytes();
+    Page::decode(&body).map_err(|why| fetch_error(&why))
 }
 
-/// Counts the entries that name no server, and writes those that are new.
-fn note_unreadable(unreadable: BTreeSet<String>, noted: &Noted) {
+/// Counts the unreadable entries, and logs those that are new since the last fetch.
+fn log_unreadable(unreadable: BTreeSet<String>, logged: &LoggedEntries) {
     let count = u64::try_from(unreadable.len()).unwrap_or(u64::MAX);
     metrics::counter!("curlewlift_list_unreadable").increment(count);
-    let former = noted.replace(unreadable);
-    for entry in noted.borrow().difference(&former).take(NOTED) {
+    let previous = logged.replace(unreadable);
+    for entry in logged
+        .borrow()
+        .difference(&previous)
+        .take(MAX_LOGGED_ENTRIES)
+    {
         gateway::note(Kind::EntryUnreadable)
             .with("entry", entry.as_str())
             .write();
     }
 }
 
-/// For how long the platform wants no further call, where it says so.
-fn again(headers: &HeaderMap) -> Option<Duration> {
+/// For how long the platform wants no further request, if it says so.
+fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get(header::RETRY_AFTER)?.to_str().ok()?;
-    http::seconds(text)
+    http::parse_seconds(text)
 }
 
-fn lost(why: impl std::fmt::Display) -> Missed {
+fn fetch_error(why: impl std::fmt::Display) -> Missed {
     Missed {
         why: why.to_string(),
         again: None,
