--- a/crates/curlewlift/src/platform/directory.rs
+++ b/crates/curlewlift/src/platform/directory.rs
@@ -1,4 +1,4 @@
-//! Which addresses callers are to use, and whether this host takes them.
+//! Responds to callers that ask which addresses to use, and to the platform's readiness checks.
 
 use std::rc::Rc;
 
@@ -15,37 +15,37 @@
 
 use super::http;
 
-/// The most addresses in one answer.
-const MOST: usize = 64;
+/// The maximum number of addresses in one response.
+const MAX_ADDRESSES: usize = 64;
 
-/// The query's field with the caller's data hall.
-const HALL: &str = "zone=";
+/// The query parameter with the caller's data hall.
+const HALL_PARAMETER: &str = "zone=";
 
-/// The query's field with the caller's region.
-const REGION: &str = "region=";
+/// The query parameter with the caller's region.
+const REGION_PARAMETER: &str = "region=";
 
-/// Answers which addresses to use, for `keep` seconds.
-pub(super) fn resolve(node: &Rc<Node>, keep: f64, request: &Request<Incoming>) -> Answer {
+/// Responds with the addresses that a caller may use for the next `ttl_seconds`.
+pub(super) fn resolve(node: &Rc<Node>, ttl_seconds: f64, request: &Request<Incoming>) -> Answer {
     if request.method() != Method::GET || request.uri().path() != "/api/resolve" {
         return http::empty(StatusCode::NOT_FOUND);
     }
     let query = request.uri().query().unwrap_or_default();
-    let field = |name| query.split('&').find_map(|field| field.strip_prefix(name));
-    let hall = field(HALL).unwrap_or_default();
-    let region = field(REGION).unwrap_or_default();
+    let parameter = |name| query.split('&').find_map(|pair| pair.strip_prefix(name));
+    let hall = parameter(HALL_PARAMETER).unwrap_or_default();
+    let region = parameter(REGION_PARAMETER).unwrap_or_default();
     let mut addresses = node.gateways(hall, region);
     if addresses.is_empty() {
         return http::empty(StatusCode::SERVICE_UNAVAILABLE);
     }
     addresses.shuffle(&mut rand::rng());
-    addresses.truncate(MOST);
-    gateway::json(json!({ "addresses": addresses, "ttl_s": keep }).to_string())
+    addresses.truncate(MAX_ADDRESSES);
+    gateway::json(json!({ "addresses": addresses, "ttl_s": ttl_seconds }).to_string())
 }
 
-/// Answers whether callers may be sent here.
+/// Responds whether the platform may send callers to this host.
 pub(super) fn readiness(node: &Rc<Node>, request: &Request<Incoming>) -> Answer {
-    let known = request.uri().path() == "/api/readiness";
-    http::empty(match (known, node.is_ready()) {
+    let path_known = request.uri().path() == "/api/readiness";
+    http::empty(match (path_known, node.is_ready()) {
         (false, _) => StatusCode::NOT_FOUND,
         (true, true) => StatusCode::OK,
         (true, false) => StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/curlewlift/src/platform/document.rs
+++ b/crates/curlewlift/src/platform/document.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration document, decoded into a routing table.
+//! Decodes the operators' configuration document into a routing table.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -65,7 +65,7 @@
     name: String,
     health_path: Option<String>,
     max_conns: Option<u32>,
-    /// How many requests a second one of its servers takes while it is cold; 0 is as many as later.
+    /// How many requests a second one of its servers accepts while it is cold; 0 is the same as when it is warm.
     cold_per_s: Option<f64>,
 }
 
@@ -92,30 +92,34 @@
     allowed_regions: Option<Vec<Arc<str>>>,
 }
 
-/// Reads the routing table of a publication.
+/// Decodes the routing table of a publication.
 ///
 /// # Errors
 ///
-/// Those of [`decode`], and [`Code::Damaged`] where the document was not packed by this system.
+/// Those of [`decode`], and [`Code::Damaged`] if the document was not packed by this system.
 pub(super) fn table(publication: &Publication) -> Result<Table, Refusal> {
     decode(&publication.document.unpack()?)
 }
 
-/// Decodes a document; it is taken whole or refused whole.
+/// Decodes a document; it is accepted or refused as a whole.
 ///
 /// # Errors
 ///
-/// [`Code::BadJson`] where it cannot be read, [`Code::BadValue`] where its parts do not fit.
+/// [`Code::BadJson`] if it cannot be parsed, [`Code::BadValue`] if its values are invalid or inconsistent.
 pub(super) fn decode(text: &str) -> Result<Table, Refusal> {
-    let document: Document = serde_json::from_str(text)
-        .map_err(|why| Refusal::new(Code::BadJson, format!("the configuration: {why}")))?;
-    let rules = document.routes.into_iter().map(rule);
+    let document: Document = serde_json::from_str(text).map_err(|why| {
+        Refusal::new(
+            Code::BadJson,
+            format!("the configuration document cannot be parsed: {why}"),
+        )
+    })?;
+    let rules = document.routes.into_iter().map(decode_rule);
     let rules = rules.collect::<Result<_, _>>()?;
-    let services = document.services.into_iter().map(service);
+    let services = document.services.into_iter().map(decode_service);
     let services: BTreeMap<_, _> = services.collect::<Result<_, _>>()?;
-    let accounts = document.tenants.map(|tenants| {
-        let accounts = tenants.into_iter().map(account);
-        accounts.collect::<Result<Vec<_>, _>>()
+    let customers = document.tenants.map(|tenants| {
+        let customers = tenants.into_iter().map(decode_customer);
+        customers.collect::<Result<Vec<_>, _>>()
     });
     Table::new(Parts {
         version: document.version,
@@ -123,14 +127,14 @@
         services,
         limits: document
             .limits
-            .map_or_else(|| Ok(Limits::default()), limits)?,
-        customers: accounts.transpose()?,
+            .map_or_else(|| Ok(Limits::default()), decode_limits)?,
+        customers: customers.transpose()?,
     })
 }
 
-fn rule(route: Route) -> Result<Rule, Refusal> {
-    let kind = kind(&route)?;
-    let backends = backends(&route.name, route.backends, route.service)?;
+fn decode_rule(route: Route) -> Result<Rule, Refusal> {
+    let kind = decode_kind(&route)?;
+    let backends = route_backends(&route.name, route.backends, route.service)?;
     let timeout = millis(route.timeout_ms)?;
     let objective = route.target_latency_ms.map_or(Ok(timeout), millis)?;
     let max_gap = route.gap_target_ms.map(millis).transpose()?;
@@ -139,7 +143,10 @@
         timeout,
         objective,
         max_gap,
-        targets: backends.iter().map(target).collect::<Result<_, _>>()?,
+        targets: backends
+            .iter()
+            .map(decode_target)
+            .collect::<Result<_, _>>()?,
         name: route.name.into(),
         host: route.host.to_ascii_lowercase().into(),
         prefix: route.path_prefix.into(),
@@ -150,21 +157,21 @@
     })
 }
 
-fn kind(route: &Route) -> Result<Kind, Refusal> {
+fn decode_kind(route: &Route) -> Result<Kind, Refusal> {
     match (route.kind.as_str(), route.resumable) {
         ("safe", _) => Ok(Kind::Safe),
         ("unsafe", _) => Ok(Kind::Unsafe),
         ("streaming", false) => Ok(Kind::Streaming),
         ("streaming", true) => Ok(Kind::Resumable),
         (other, _) => {
-            let why = format!("route {}: `{other}` is no kind of requests", route.name);
+            let why = format!("route {}: `{other}` is not a kind of requests", route.name);
             Err(Refusal::new(Code::BadValue, why))
         }
     }
 }
 
-/// Where a route's requests go: to its backends by weight, else to its one service.
-fn backends(
+/// The backends that a route's requests go to, by weight; without any, its one service.
+fn route_backends(
     route: &str,
     backends: Option<Vec<Backend>>,
     service: Option<String>,
@@ -176,57 +183,62 @@
             weight: 1.0,
         }]),
         _ => {
-            let why = format!("route {route}: it names no service");
+            let why = format!("route {route} names no service");
             Err(Refusal::new(Code::BadValue, why))
         }
     }
 }
 
-fn target(backend: &Backend) -> Result<Target, Refusal> {
+fn decode_target(backend: &Backend) -> Result<Target, Refusal> {
     Ok(Target {
-        service: name(&backend.service)?,
+        service: parse(&backend.service)?,
         weight: backend.weight,
     })
 }
 
-fn service(service: Service) -> Result<(id::Service, ServicePolicy), Refusal> {
+fn decode_service(service: Service) -> Result<(id::Service, ServicePolicy), Refusal> {
     let cold_rate = service.cold_per_s.filter(|rate| *rate != 0.0);
-    let cold_rate = cold_rate.map(|rate| name(&rate.to_string())).transpose()?;
-    let provider = ServicePolicy {
+    let cold_rate = cold_rate.map(|rate| parse(&rate.to_string())).transpose()?;
+    let policy = ServicePolicy {
         cold_rate,
         max_connections: service.max_conns.unwrap_or(u32::MAX),
         health_path: service.health_path.unwrap_or_default().into(),
     };
-    Ok((name(&service.name)?, provider))
+    Ok((parse(&service.name)?, policy))
 }
 
-fn limits(bounds: Bounds) -> Result<Limits, Refusal> {
-    let usual = Limits::default();
+fn decode_limits(bounds: Bounds) -> Result<Limits, Refusal> {
+    let defaults = Limits::default();
     Ok(Limits {
-        header_bytes: bounds.max_header_bytes.unwrap_or(usual.header_bytes),
-        body_bytes: bounds.max_body_bytes.unwrap_or(usual.body_bytes),
+        header_bytes: bounds.max_header_bytes.unwrap_or(defaults.header_bytes),
+        body_bytes: bounds.max_body_bytes.unwrap_or(defaults.body_bytes),
         header_time: bounds
             .header_timeout_ms
-            .map_or(Ok(usual.header_time), millis)?,
-        idle_time: bounds.idle_timeout_ms.map_or(Ok(usual.idle_time), millis)?,
+            .map_or(Ok(defaults.header_time), millis)?,
+        idle_time: bounds
+            .idle_timeout_ms
+            .map_or(Ok(defaults.idle_time), millis)?,
     })
 }
 
-fn account(tenant: Tenant) -> Result<CustomerPolicy, Refusal> {
+fn decode_customer(tenant: Tenant) -> Result<CustomerPolicy, Refusal> {
     let unit = match tenant.unit.as_deref() {
         Some("tokens") => Unit::Tokens(tenant.plain_tokens.unwrap_or(1)),
         _ => Unit::Requests,
     };
-    let numbers = [tenant.rate_per_s, tenant.burst];
-    if numbers
+    let limits = [tenant.rate_per_s, tenant.burst];
+    if limits
         .iter()
         .any(|number| !number.is_finite() || *number < 0.0)
     {
-        let why = format!("tenant {}: its limit is below 0", tenant.name);
+        let why = format!(
+            "tenant {}: the rate or burst is negative or not finite",
+            tenant.name
+        );
         return Err(Refusal::new(Code::BadValue, why));
     }
     Ok(CustomerPolicy {
-        name: name(&tenant.name)?,
+        name: parse(&tenant.name)?,
         keys: tenant.api_keys,
         rank: tenant.priority,
         quota: Quota {
@@ -238,7 +250,7 @@
     })
 }
 
-fn name<T>(text: &str) -> Result<T, Refusal>
+fn parse<T>(text: &str) -> Result<T, Refusal>
 where
     T: FromStr,
     T::Err: Display,
@@ -247,13 +259,13 @@
         .map_err(|why: T::Err| Refusal::new(Code::BadValue, why.to_string()))
 }
 
-/// The longest time that is kept: more than any request is held or connection rests.
-const LONGEST: Duration = Duration::from_hours(24);
+/// The longest time that is used: longer than any request is held or any connection is idle.
+const MAX_TIME: Duration = Duration::from_hours(24);
 
-/// A time in milliseconds, [`LONGEST`] at the most.
+/// Converts a time in milliseconds; the result is at most [`MAX_TIME`].
 fn millis(number: f64) -> Result<Duration, Refusal> {
-    if number.is_finite() && number > LONGEST.as_secs_f64() * 1_000.0 {
-        return Ok(LONGEST);
+    if number.is_finite() && number > MAX_TIME.as_secs_f64() * 1_000.0 {
+        return Ok(MAX_TIME);
     }
     Duration::try_from_secs_f64(number / 1_000.0)
         .map_err(|why| Refusal::new(Code::BadValue, format!("{number} ms: {why}")))
--- a/crates/curlewlift/src/platform/evacuations.rs
+++ b/crates/curlewlift/src/platform/evacuations.rs
@@ -18,10 +18,10 @@
 use super::http;
 use super::operator;
 
-/// The order that `path` stands for.
-pub(super) fn asked(path: &str) -> Option<Order> {
-    let order = path.strip_prefix("/api/evacuation/")?;
-    let (hall, action) = order.rsplit_once('/')?;
+/// Parses the order that `path` stands for.
+pub(super) fn order_from_path(path: &str) -> Option<Order> {
+    let hall_and_action = path.strip_prefix("/api/evacuation/")?;
+    let (hall, action) = hall_and_action.rsplit_once('/')?;
     let action = match action {
         "start" => Action::Start,
         "end" => Action::End,
@@ -34,31 +34,31 @@
     })
 }
 
-/// Takes an order.
-pub(super) async fn order(node: &Node, around: &Surroundings, order: Order) -> Answer {
+/// Handles an order: checks it and passes it to the leading control replica.
+pub(super) async fn handle_order(node: &Node, surroundings: &Surroundings, order: Order) -> Answer {
     let hall = Arc::clone(&order.hall);
     let action = order.action;
-    let taken = match check(node, &order) {
-        Ok(()) => gateway::evacuate(node, around, order)
+    let result = match check_hall(node, &order) {
+        Ok(()) => gateway::evacuate(node, surroundings, order)
             .await
-            .map_err(operator::unclear),
+            .map_err(operator::unclear_outcome),
         Err(refusal) => Err(refusal),
     };
-    let why = taken.as_ref().err().map(ToString::to_string);
+    let why = result.as_ref().err().map(ToString::to_string);
     note(Kind::EvacuationOrdered)
         .with("hall", &*hall)
         .with("action", action.to_string())
         .with("answer", if why.is_none() { "taken" } else { "refused" })
         .with("why", why)
         .write();
-    match taken {
+    match result {
         Ok(()) => http::empty(StatusCode::OK),
         Err(refusal) => http::refused(&refusal),
     }
 }
 
-/// Whether there is such a data hall.
-fn check(node: &Node, order: &Order) -> Result<(), Refusal> {
+/// Checks that the order's data hall exists.
+fn check_hall(node: &Node, order: &Order) -> Result<(), Refusal> {
     if node.has_hall(&order.hall) {
         return Ok(());
     }
--- a/crates/curlewlift/src/platform/mod.rs
+++ b/crates/curlewlift/src/platform/mod.rs
@@ -1,7 +1,9 @@
-//! The platform of the users' machines: its settings file, its wire, its list of backend servers.
+//! The interface to the platform that hosts the system: its settings file, its HTTP formats, and its
+//! list of backend servers.
 //!
-//! Nothing here decides anything or keeps anything that must survive. The platform's own names
-//! stand in this folder only; each is decoded once, into types whose fields say what they hold.
+//! This module makes no scheduling decisions and stores nothing that must survive a restart. The
+//! platform's own names appear in this folder only; each is decoded once, into types whose fields say
+//! what they hold.
 
 mod directory;
 mod document;
--- a/crates/curlewlift/src/platform/operator.rs
+++ b/crates/curlewlift/src/platform/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' calls: put a configuration, read the newest one, roll a version out, evacuate a data hall.
+//! The operators' calls: put a configuration, get the newest one, start a roll-out, evacuate a data hall.
 
 use std::rc::Rc;
 
@@ -27,28 +27,31 @@
 use super::http;
 use super::rollouts;
 
-pub(super) async fn answer(
+/// Responds to an operator's request.
+pub(super) async fn respond(
     node: Rc<Node>,
-    around: Rc<Surroundings>,
+    surroundings: Rc<Surroundings>,
     request: Request<Incoming>,
 ) -> Answer {
     let path = request.uri().path();
     match (request.method(), path) {
-        (&Method::POST, "/api/config/put") => put(&node, &around, request).await,
-        (&Method::GET, "/api/config/get") => get(&node, &around).await,
-        (&Method::POST, "/api/rollouts/start") => rollouts::start(&node, &around, request).await,
-        (&Method::POST, _) if let Some(order) = evacuations::asked(path) => {
-            evacuations::order(&node, &around, order).await
+        (&Method::POST, "/api/config/put") => put(&node, &surroundings, request).await,
+        (&Method::GET, "/api/config/get") => get(&node, &surroundings).await,
+        (&Method::POST, "/api/rollouts/start") => {
+            rollouts::start(&node, &surroundings, request).await
         }
-        (&Method::GET, _) if let Some(service) = rollouts::asked(path) => {
-            rollouts::get(&node, &around, &service).await
+        (&Method::POST, _) if let Some(order) = evacuations::order_from_path(path) => {
+            evacuations::handle_order(&node, &surroundings, order).await
+        }
+        (&Method::GET, _) if let Some(service) = rollouts::service_from_path(path) => {
+            rollouts::get(&node, &surroundings, &service).await
         }
         _ => http::empty(StatusCode::NOT_FOUND),
     }
 }
 
-async fn put(node: &Node, around: &Surroundings, request: Request<Incoming>) -> Answer {
-    let text = match text(request).await {
+async fn put(node: &Node, surroundings: &Surroundings, request: Request<Incoming>) -> Answer {
+    let text = match body_text(request).await {
         Ok(text) => text,
         Err(refusal) => return http::refused(&refusal),
     };
@@ -66,7 +69,7 @@
         number,
         document: Document::pack(&text),
     };
-    let published = gateway::publish(node, around, publication).await;
+    let published = gateway::publish(node, surroundings, publication).await;
     let why = published.as_ref().err().map(ToString::to_string);
     note(Kind::Command)
         .with("table", number)
@@ -75,40 +78,49 @@
         .write();
     match published {
         Ok(()) => gateway::json(format!("{{\"version\":{number}}}")),
-        Err(refusal) => http::refused(&unclear(refusal)),
+        Err(refusal) => http::refused(&unclear_outcome(refusal)),
     }
 }
 
-async fn get(node: &Node, around: &Surroundings) -> Answer {
-    match gateway::read(node, around).await {
+async fn get(node: &Node, surroundings: &Surroundings) -> Answer {
+    match gateway::read(node, surroundings).await {
         Ok(publication) if publication.number > 0 => match publication.document.unpack() {
             Ok(text) => gateway::json(text),
-            Err(refusal) => http::refused(&unclear(refusal)),
+            Err(refusal) => http::refused(&unclear_outcome(refusal)),
         },
         Ok(_) => {
-            let why = "no configuration was accepted yet";
+            let why = "no configuration has been accepted yet";
             http::refused(&Refusal::new(Code::NoTable, why))
         }
-        Err(refusal) => http::refused(&unclear(refusal)),
+        Err(refusal) => http::refused(&unclear_outcome(refusal)),
     }
 }
 
-/// The body of an order, as text.
-pub(super) async fn text(request: Request<Incoming>) -> Result<String, Refusal> {
+/// The body of an operator's request, as text.
+pub(super) async fn body_text(request: Request<Incoming>) -> Result<String, Refusal> {
     let body = Limited::new(request.into_body(), MAX_DOCUMENT_BYTES)
         .collect()
         .await;
     let body = body.map_err(|why| {
-        let large = why.is::<LengthLimitError>();
-        let code = if large { Code::TooLarge } else { Code::BadJson };
-        Refusal::new(code, format!("the body: {why}"))
+        let too_large = why.is::<LengthLimitError>();
+        let code = if too_large {
+            Code::TooLarge
+        } else {
+            Code::BadJson
+        };
+        Refusal::new(code, format!("the request body cannot be read: {why}"))
     })?;
-    String::from_utf8(body.to_bytes().to_vec())
-        .map_err(|why| Refusal::new(Code::BadJson, format!("the body: {why}")))
+    String::from_utf8(body.to_bytes().to_vec()).map_err(|why| {
+        Refusal::new(
+            Code::BadJson,
+            format!("the request body cannot be read: {why}"),
+        )
+    })
 }
 
-/// Whatever went wrong inside: the order may be in force or not, and is to be sent again.
-pub(super) fn unclear(refusal: Refusal) -> Refusal {
+/// Turns an internal failure into a refusal with status 503: the order may be in effect or not, and
+/// is to be sent again.
+pub(super) fn unclear_outcome(refusal: Refusal) -> Refusal {
     if refusal.get_code().status() == StatusCode::SERVICE_UNAVAILABLE.as_u16() {
         return refusal;
     }
--- a/crates/curlewlift/src/platform/rollouts.rs
+++ b/crates/curlewlift/src/platform/rollouts.rs
@@ -1,4 +1,4 @@
-//! The operators' calls about roll-outs: start one, ask how far it has come.
+//! The operators' calls about roll-outs: start one, and read its progress.
 
 use std::time::Duration;
 
@@ -25,47 +25,47 @@
 use super::operator;
 
 /// The longest time that a roll-out may take, in seconds: a day.
-const LONGEST: f64 = 86_400.0;
+const MAX_DURATION_SECONDS: f64 = 86_400.0;
 
 /// An order as operators send it.
 #[derive(Deserialize)]
 struct Body {
     service: String,
     target_version: String,
-    /// Within what time it is to come to its end, in seconds.
+    /// The time within which the roll-out is to be completed, in seconds.
     duration_s: f64,
 }
 
-/// Takes an order.
+/// Handles an order to start a roll-out.
 pub(super) async fn start(
     node: &Node,
-    around: &Surroundings,
+    surroundings: &Surroundings,
     request: Request<Incoming>,
 ) -> Answer {
-    let text = operator::text(request).await;
-    let order = match text.and_then(|text| order(&text)) {
+    let text = operator::body_text(request).await;
+    let order = match text.and_then(|text| parse_order(&text)) {
         Ok(order) => order,
         Err(refusal) => {
-            log(None, Some(&refusal));
+            log_order(None, Some(&refusal));
             return http::refused(&refusal);
         }
     };
-    let taken = gateway::roll_out(node, around, order.clone()).await;
-    log(Some(&order), taken.as_ref().err());
-    match taken {
+    let result = gateway::roll_out(node, surroundings, order.clone()).await;
+    log_order(Some(&order), result.as_ref().err());
+    match result {
         Ok(()) => http::empty(StatusCode::OK),
-        Err(refusal) => http::refused(&surely(refusal)),
+        Err(refusal) => http::refused(&known_outcome(refusal)),
     }
 }
 
-/// The service whose roll-out `path` asks for.
-pub(super) fn asked(path: &str) -> Option<String> {
+/// The service whose roll-out is asked for by `path`.
+pub(super) fn service_from_path(path: &str) -> Option<String> {
     let service = path.strip_prefix("/api/rollouts/")?.strip_suffix("/get")?;
     (!service.contains('/')).then(|| service.to_owned())
 }
 
-/// Tells how far the last roll-out of a service has come.
-pub(super) async fn get(node: &Node, around: &Surroundings, service: &str) -> Answer {
+/// Responds with the state of the last roll-out of a service.
+pub(super) async fn get(node: &Node, surroundings: &Surroundings, service: &str) -> Answer {
     let service: id::Service = match service.parse() {
         Ok(service) => service,
         Err(why) => {
@@ -73,17 +73,17 @@
             return http::refused(&refusal);
         }
     };
-    match gateway::rollout_of(node, around, service.clone()).await {
-        Ok(Some((target, phase))) => gateway::json(told(&target, phase)),
+    match gateway::rollout_of(node, surroundings, service.clone()).await {
+        Ok(Some((target, phase))) => gateway::json(rollout_json(&target, phase)),
         Ok(None) => {
             let why = format!("no roll-out of `{service}` was ordered");
             http::refused(&Refusal::new(Code::Unknown, why))
         }
-        Err(refusal) => http::refused(&operator::unclear(refusal)),
+        Err(refusal) => http::refused(&operator::unclear_outcome(refusal)),
     }
 }
 
-fn told(target: &Version, phase: Phase) -> String {
+fn rollout_json(target: &Version, phase: Phase) -> String {
     let state = match phase {
         Phase::Trial | Phase::Moving => "serving",
         Phase::Completed => "completed",
@@ -92,15 +92,24 @@
     json!({ "state": state, "target_version": target.to_string() }).to_string()
 }
 
-/// Reads an order.
-fn order(text: &str) -> Result<Order, Refusal> {
-    let body: Body = serde_json::from_str(text)
-        .map_err(|why| Refusal::new(Code::BadJson, format!("the order: {why}")))?;
-    let bad = |why: String| Refusal::new(Code::BadValue, format!("the order: {why}"));
+/// Parses an order.
+fn parse_order(text: &str) -> Result<Order, Refusal> {
+    let body: Body = serde_json::from_str(text).map_err(|why| {
+        Refusal::new(
+            Code::BadJson,
+            format!("the roll-out order cannot be parsed: {why}"),
+        )
+    })?;
+    let bad = |why: String| {
+        Refusal::new(
+            Code::BadValue,
+            format!("the roll-out order is invalid: {why}"),
+        )
+    };
     let seconds = body.duration_s;
-    if !(seconds > 0.0 && seconds <= LONGEST) {
+    if !(seconds > 0.0 && seconds <= MAX_DURATION_SECONDS) {
         return Err(bad(format!(
-            "{seconds} s is no time; give over 0 and up to {LONGEST}"
+            "duration_s is {seconds}; give a number above 0 and up to {MAX_DURATION_SECONDS}"
         )));
     }
     Ok(Order {
@@ -114,15 +123,16 @@
     })
 }
 
-/// A refusal that is the leader's own word, or one that says that what became of the order is not known.
-fn surely(refusal: Refusal) -> Refusal {
+/// Leaves a refusal that the leader decided as it is, and turns any other into one that says that the outcome of
+/// the order is unknown.
+fn known_outcome(refusal: Refusal) -> Refusal {
     match refusal.get_code() {
         Code::Conflict | Code::UnknownService | Code::Unknown => refusal,
-        _ => operator::unclear(refusal),
+        _ => operator::unclear_outcome(refusal),
     }
 }
 
-fn log(order: Option<&Order>, refusal: Option<&Refusal>) {
+fn log_order(order: Option<&Order>, refusal: Option<&Refusal>) {
     note(Kind::RolloutOrdered)
         .with("service", order.map(|order| order.service.as_str()))
         .with("target", order.map(|order| order.target.to_string()))
--- a/crates/curlewlift/src/platform/settings.rs
+++ b/crates/curlewlift/src/platform/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file that the platform lays out for each process.
+//! The settings file that the platform writes for each process.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -16,69 +16,69 @@
 use curlewlift_core::rollout;
 use serde::Deserialize;
 
-/// The settings of one process, as the platform's file has them.
+/// The settings of one process, as in the platform's file.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct Settings {
-    /// This machine's address; the system's own names of hosts are their addresses.
+    /// This host's address; the system uses a host's address as its name.
     pub(super) ip: IpAddr,
-    /// Its data hall.
+    /// This host's data hall.
     #[serde(rename = "zone")]
     pub(super) hall: String,
     /// The region of each data hall.
     #[serde(rename = "zones", default)]
     pub(super) halls: BTreeMap<Arc<str>, Arc<str>>,
-    /// The ports that the system's processes may use among themselves, first and last.
+    /// The first and last of the ports that the system's processes may use among themselves.
     #[serde(rename = "internal_ports")]
-    pub(super) own_ports: (u16, u16),
-    /// Where some control replicas may be found: the addresses at which operators reach them.
+    pub(super) process_ports: (u16, u16),
+    /// The addresses at which operators reach some of the control replicas.
     #[serde(default)]
     pub(super) seeds: Vec<SocketAddr>,
     /// Whether the whole system starts for the first time, on empty disks.
     #[serde(rename = "bootstrap", default)]
     pub(super) first_start: bool,
-    /// What the host has.
+    /// The host's capacity.
     #[serde(default)]
     pub(super) limits: HostLimits,
     /// The folder for files, on hosts with a disk.
     #[serde(default)]
     pub(super) data_dir: Option<PathBuf>,
-    /// Where this process listens for whom.
+    /// The addresses at which this process listens.
     pub(super) listen: Listen,
-    /// What may be lost at once.
+    /// The simultaneous failures that the system must tolerate.
     #[serde(rename = "fault_tolerance", default)]
-    pub(super) tolerated: Tolerated,
-    /// The bounds that the platform holds the system to.
+    pub(super) tolerated: ToleratedFailures,
+    /// The limits that the platform requires the system to keep to.
     pub(super) bounds: Bounds,
-    /// Where the platform itself is reached.
+    /// How the platform itself is reached.
     #[serde(rename = "cloud")]
-    pub(super) platform: Reached,
-    /// The parts of the platform's rules that are in force.
+    pub(super) platform: PlatformAddress,
+    /// The platform's rule sets that are in effect.
     #[serde(rename = "contracts", default)]
-    pub(super) in_force: Vec<String>,
+    pub(super) active_rules: Vec<String>,
 }
 
-/// What a host has, as far as it is used.
+/// A host's capacity, as far as this system uses it.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 pub(super) struct HostLimits {
-    /// What its link carries, in Mbit/s.
+    /// The capacity of its network link, in Mbit/s.
     #[serde(rename = "link_mbps", default)]
-    link: f64,
+    link_mbit_per_s: f64,
 }
 
 impl HostLimits {
-    /// What its link carries, in bytes a second.
-    pub(super) fn link(self) -> f64 {
-        self.link * 1e6 / 8.0
+    /// The capacity of its network link, in bytes a second.
+    pub(super) fn link_bytes_per_s(self) -> f64 {
+        self.link_mbit_per_s * 1e6 / 8.0
     }
 }
 
-/// Where a process listens.
+/// The addresses at which a process listens.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct Listen {
     /// For callers.
     #[serde(rename = "front")]
     pub(super) callers: SocketAddr,
-    /// For the platform's question whether this host takes callers.
+    /// For the platform's readiness checks.
     #[serde(rename = "ready")]
     pub(super) readiness: SocketAddr,
     /// For operators.
@@ -88,100 +88,100 @@
     pub(super) directory: SocketAddr,
 }
 
-/// What may be lost at once.
+/// The simultaneous failures that the system must tolerate.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
-pub(super) struct Tolerated {
-    /// Hosts with a disk.
+pub(super) struct ToleratedFailures {
+    /// The number of hosts with a disk.
     #[serde(rename = "machines", default)]
     pub(super) disks: usize,
-    /// Data halls.
+    /// The number of data halls.
     #[serde(rename = "zones", default)]
     pub(super) halls: usize,
-    /// Regions.
+    /// The number of regions.
     #[serde(default)]
     pub(super) regions: usize,
 }
 
-impl Tolerated {
-    /// How many control replicas must count before anything is accepted: one more than half of
-    /// them must be left after the loss of as many disks; where halls or regions may go, one in
-    /// each of three at least.
+impl ToleratedFailures {
+    /// How many control replicas must be voters before the system accepts anything: a majority of
+    /// them must be left after the loss of as many disks as are tolerated. If the loss of a data
+    /// hall or region is tolerated, there are at least three replicas, one in each of three.
     pub(super) fn replicas(self) -> usize {
-        let wide = if self.halls > 0 || self.regions > 0 {
+        let min_replicas = if self.halls > 0 || self.regions > 0 {
             3
         } else {
             1
         };
-        (2 * self.disks + 1).max(wide)
+        (2 * self.disks + 1).max(min_replicas)
     }
 }
 
-/// The bounds that are used; the others bind all the same.
+/// The limits that this system reads; it must keep to the others all the same.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub(super) struct Bounds {
-    /// From the order to stop to the process's end by force, in seconds.
+    /// The time from the order to stop until the platform kills the process, in seconds.
     #[serde(rename = "grace_s")]
     pub(super) stop_seconds: f64,
-    /// Further sendings for each request, over all hosts.
+    /// The retries that are allowed for each request, over all hosts.
     #[serde(rename = "retry_budget_ratio")]
     pub(super) retry_ratio: f64,
-    /// Further sendings in a window at all times, over all hosts.
+    /// The retries that are always allowed in a window, over all hosts.
     #[serde(rename = "budget_min_retries")]
-    pub(super) retry_floor: f64,
-    /// The window in which they are counted, in seconds.
+    pub(super) min_retries: f64,
+    /// The window in which retries are counted, in seconds.
     #[serde(rename = "budget_window_s")]
-    pub(super) retry_seconds: f64,
-    /// The window in which a customer's use is counted, in seconds.
+    pub(super) retry_window_seconds: f64,
+    /// The window in which a customer's usage is counted, in seconds.
     #[serde(rename = "quota_window_s", default)]
-    pub(super) use_seconds: f64,
-    /// What more than an allowance is borne, as a part of what it gives in a window.
+    pub(super) quota_window_seconds: f64,
+    /// By how much a quota may be exceeded, as a fraction of the quota for a window.
     #[serde(rename = "quota_overage", default)]
-    pub(super) use_part: f64,
-    /// What is borne on top, in the allowance's unit.
-    #[serde(rename = "quota_slack", default)]
-    pub(super) use_slack: f64,
-    /// The part (0 to 1) of a service's requests that a version may get before it is trusted.
+    pub(super) quota_excess_ratio: f64,
+    /// By how much a quota may be exceeded beyond that, in the quota's unit.
+    #[serde(default)]
+    pub(super) quota_slack: f64,
+    /// The share (0 to 1) of a service's requests that a version on trial may get.
     #[serde(rename = "exposure_share", default)]
-    pub(super) trial_part: f64,
-    /// The requests that it may get on top.
+    pub(super) trial_share: f64,
+    /// The number of requests that such a version may get beyond that share.
     #[serde(rename = "exposure_slack", default)]
-    pub(super) trial_on_top: f64,
-    /// By how much the rate of a cold server may be exceeded, as a factor.
-    #[serde(rename = "cold_overage", default = "exactly")]
+    pub(super) trial_extra_requests: f64,
+    /// The factor by which the rate of a cold server may be exceeded.
+    #[serde(rename = "cold_overage", default = "default_cold_factor")]
     pub(super) cold_factor: f64,
-    /// How many requests in a second a cold server bears on top.
+    /// The number of requests a second that a cold server may get beyond that.
     #[serde(rename = "cold_slack", default)]
-    pub(super) cold_on_top: f64,
-    /// How long an address answer may be kept at most, in seconds.
-    #[serde(rename = "ttl_max_s", default = "no_bound")]
-    pub(super) answer_seconds: f64,
+    pub(super) cold_extra_requests: f64,
+    /// The maximum time for which callers may be told to keep addresses, in seconds.
+    #[serde(rename = "ttl_max_s", default = "default_max_ttl_seconds")]
+    pub(super) max_ttl_seconds: f64,
 }
 
-/// The part of the platform's rules under which versions are rolled out.
-const ROLLOUTS: &str = "rollout";
+/// The platform's rule set about roll-outs of versions.
+const ROLLOUT_RULES: &str = "rollout";
 
-/// The longest time that a bound may name, in seconds.
-const LONGEST: f64 = 86_400.0;
+/// The longest time that a limit may have, in seconds.
+const MAX_SECONDS: f64 = 86_400.0;
 
 impl Bounds {
-    /// Whether all times are such.
+    /// Checks that all values are in range.
     fn check(self) -> Result<(), String> {
         let times = [
             ("grace_s", self.stop_seconds),
-            ("budget_window_s", self.retry_seconds),
-            ("quota_window_s", self.use_seconds),
-            ("ttl_max_s", self.answer_seconds),
+            ("budget_window_s", self.retry_window_seconds),
+            ("quota_window_s", self.quota_window_seconds),
+            ("ttl_max_s", self.max_ttl_seconds),
         ];
         for (name, seconds) in times {
-            if !(0.0..=LONGEST).contains(&seconds) {
-                return Err(format!("{name} is {seconds}, not from 0 to {LONGEST}"));
+            if !(0.0..=MAX_SECONDS).contains(&seconds) {
+                return Err(format!("{name} is {seconds}, not from 0 to {MAX_SECONDS}"));
             }
         }
-        if !(0.0..=1.0).contains(&self.trial_part) {
-            let part = self.trial_part;
-            return Err(format!("exposure_share is {part}, not from 0 to 1"));
+        if !(0.0..=1.0).contains(&self.trial_share) {
+            let share = self.trial_share;
+            return Err(format!("exposure_share is {share}, not from 0 to 1"));
         }
-        let cold = [self.cold_factor, self.cold_on_top];
+        let cold = [self.cold_factor, self.cold_extra_requests];
         if !cold
             .iter()
             .all(|number| number.is_finite() && *number >= 0.0)
@@ -190,30 +190,30 @@
                 "cold_overage and cold_slack are {cold:?}, not 0 or more"
             ));
         }
-        if !(self.trial_on_top >= 0.0 && self.trial_on_top.is_finite()) {
-            let on_top = self.trial_on_top;
-            return Err(format!("exposure_slack is {on_top}, not 0 or more"));
+        if !(self.trial_extra_requests >= 0.0 && self.trial_extra_requests.is_finite()) {
+            let extra_requests = self.trial_extra_requests;
+            return Err(format!("exposure_slack is {extra_requests}, not 0 or more"));
         }
         Ok(())
     }
 }
 
-/// Where the platform is reached.
+/// How the platform is reached.
 #[derive(Clone, Copy, Debug, Deserialize)]
-pub(super) struct Reached {
+pub(super) struct PlatformAddress {
     /// Its address.
     pub(super) address: SocketAddr,
-    /// How many calls a second it takes from all hosts together; 0 where it does not tell.
+    /// How many requests a second it accepts from all hosts together; 0 if the file doesn't say.
     #[serde(rename = "rate_per_s", default)]
     pub(super) rate: f64,
 }
 
-fn exactly() -> f64 {
+fn default_cold_factor() -> f64 {
     1.0
 }
 
-fn no_bound() -> f64 {
-    LONGEST
+fn default_max_ttl_seconds() -> f64 {
+    MAX_SECONDS
 }
 
 impl Settings {
@@ -224,72 +224,75 @@
     /// [`Code::BadSetting`] with the field that is missing or cannot be read.
     pub(crate) fn read(path: &Path) -> Result<Self, Refusal> {
         let text = std::fs::read_to_string(path);
-        let text = text.map_err(|why| bad(path, &why))?;
-        let settings = Self::parse(&text).map_err(|why| bad(path, &why))?;
-        settings.bounds.check().map_err(|why| bad(path, &why))?;
+        let text = text.map_err(|why| bad_file(path, &why))?;
+        let settings = Self::parse(&text).map_err(|why| bad_file(path, &why))?;
+        settings
+            .bounds
+            .check()
+            .map_err(|why| bad_file(path, &why))?;
         Ok(settings)
     }
 
-    /// Reads the file's text.
+    /// Parses the file's text.
     pub(super) fn parse(text: &str) -> Result<Self, serde_json::Error> {
         serde_json::from_str(text)
     }
 
-    /// Where the control replica on the host with `ip` is reached.
-    pub(super) fn replica(&self, ip: IpAddr) -> SocketAddr {
-        SocketAddr::new(ip, self.own_ports.0)
+    /// The address at which the control replica on the host with `ip` is reached.
+    pub(super) fn replica_address(&self, ip: IpAddr) -> SocketAddr {
+        SocketAddr::new(ip, self.process_ports.0)
     }
 
-    /// Whether this process is the one that founds the log.
-    pub(super) fn founds(&self) -> bool {
-        let first = self.seeds.first();
-        self.first_start && first.is_some_and(|first| first.ip() == self.ip)
+    /// Whether this process is the one that creates the replicated log.
+    pub(super) fn creates_log(&self) -> bool {
+        let first_seed = self.seeds.first();
+        self.first_start && first_seed.is_some_and(|seed| seed.ip() == self.ip)
     }
 
-    /// How much more than an allowance may be let in.
-    pub(super) fn tolerance(&self) -> Tolerance {
+    /// By how much quotas may be exceeded.
+    pub(super) fn quota_tolerance(&self) -> Tolerance {
         Tolerance {
-            window: Duration::from_secs_f64(self.bounds.use_seconds),
-            ratio: self.bounds.use_part,
-            slack: self.bounds.use_slack,
+            window: Duration::from_secs_f64(self.bounds.quota_window_seconds),
+            ratio: self.bounds.quota_excess_ratio,
+            slack: self.bounds.quota_slack,
         }
     }
 
-    /// How many sendings past the first are allowed.
-    pub(super) fn retries(&self) -> RetryAllowance {
+    /// How many retries are allowed.
+    pub(super) fn retry_allowance(&self) -> RetryAllowance {
         RetryAllowance {
             ratio: self.bounds.retry_ratio,
-            min_retries: self.bounds.retry_floor,
-            window: Duration::from_secs_f64(self.bounds.retry_seconds),
+            min_retries: self.bounds.min_retries,
+            window: Duration::from_secs_f64(self.bounds.retry_window_seconds),
         }
     }
 
-    /// What more than its rate a cold server bears.
-    pub(super) fn cold(&self) -> limit::Slack {
+    /// By how much the rate of a cold server may be exceeded.
+    pub(super) fn cold_slack(&self) -> limit::Slack {
         limit::Slack {
             factor: self.bounds.cold_factor,
-            extra_requests: self.bounds.cold_on_top,
+            extra_requests: self.bounds.cold_extra_requests,
         }
     }
 
-    /// What is borne of a version that is not trusted yet; none where versions are all alike.
-    pub(super) fn rollouts(&self) -> Option<rollout::Bounds> {
-        let is_in_force = self.in_force.iter().any(|part| part == ROLLOUTS);
-        is_in_force.then_some(rollout::Bounds {
-            share: self.bounds.trial_part,
-            extra_requests: self.bounds.trial_on_top,
+    /// The limits for a version on trial; none if the rules about roll-outs are not in effect.
+    pub(super) fn rollout_bounds(&self) -> Option<rollout::Bounds> {
+        let rules_active = self.active_rules.iter().any(|rules| rules == ROLLOUT_RULES);
+        rules_active.then_some(rollout::Bounds {
+            share: self.bounds.trial_share,
+            extra_requests: self.bounds.trial_extra_requests,
         })
     }
 
-    /// The time after which the platform ends a process that was told to stop.
+    /// The time after which the platform kills a process that was ordered to stop.
     pub(super) fn stop_time(&self) -> Duration {
         Duration::from_secs_f64(self.bounds.stop_seconds)
     }
 }
 
-fn bad(path: &Path, why: &dyn std::fmt::Display) -> Refusal {
+fn bad_file(path: &Path, why: &dyn std::fmt::Display) -> Refusal {
     let detail = format!(
-        "{}: {why}; give the file that the platform lays out from deploy/settings.json",
+        "{}: {why}; give the file that the platform writes from deploy/settings.json",
         path.display()
     );
     Refusal::new(Code::BadSetting, detail)
--- a/crates/curlewlift/src/platform/start.rs
+++ b/crates/curlewlift/src/platform/start.rs
@@ -41,25 +41,25 @@
 use super::instances;
 use super::operator;
 
-/// How long callers are told to keep an address answer, in seconds: a host that stops serves on
-/// for three times that long, as some keep it.
-const KEEP: f64 = 1.0;
+/// For how long callers are told to keep addresses, in seconds. Some callers keep them for up to three
+/// times that long, so a host that stops keeps serving for as long.
+const ADDRESS_TTL_SECONDS: f64 = 1.0;
 
-/// How many times that some callers keep it.
-const KEPT: f64 = 3.0;
+/// How many times longer than that some callers keep addresses.
+const ADDRESS_TTL_OVERRUN: f64 = 3.0;
 
-/// Beyond that, for a stopping host's word to reach all who answer.
-const WORD: Duration = Duration::from_millis(300);
+/// The time that is added for the news that a host is stopping to reach all hosts that give addresses to callers.
+const STOP_NOTICE_DELAY: Duration = Duration::from_millis(300);
 
-/// The listeners beside the callers' one.
+/// The listeners other than the callers' one.
 struct Listeners {
     readiness: TcpListener,
     operators: TcpListener,
     directory: TcpListener,
 }
 
-/// A gateway on the platform, and a control replica beside it where the host has a disk; to be
-/// started.
+/// A gateway on the platform that is to be started, with a control replica next to it if the host has
+/// a disk.
 ///
 /// # Examples
 ///
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     ///
-    /// [`Code::BadSetting`] where the file cannot be read.
+    /// [`Code::BadSetting`] if the file cannot be read.
     pub fn new(path: PathBuf) -> Result<Self, Refusal> {
         let settings = Settings::read(&path)?;
         Ok(Self {
@@ -91,18 +91,18 @@
         })
     }
 
-    /// Goes by `clock`, and not by one of its own.
+    /// Uses `clock` instead of a clock of its own.
     #[must_use]
     pub fn clock(mut self, clock: Clock) -> Self {
         self.clock = clock;
         self
     }
 
-    /// Starts it on threads of its own.
+    /// Starts it on its own threads.
     ///
     /// # Errors
     ///
-    /// [`Code::BadSetting`] where an address cannot be had.
+    /// [`Code::BadSetting`] if it cannot listen at one of its addresses.
     pub fn start(self) -> Result<Process, Refusal> {
         start(self.path, self.settings, self.clock)
     }
@@ -116,67 +116,73 @@
         operators: process::bind(listen.operators)?,
         directory: process::bind(listen.directory)?,
     };
-    let keep = KEEP.min(settings.bounds.answer_seconds);
+    let ttl_seconds = ADDRESS_TTL_SECONDS.min(settings.bounds.max_ttl_seconds);
     let known = Known::default();
     let gateway = Gateway {
-        host: host(settings.ip)?,
+        host: host_name(settings.ip)?,
         known_as: gateway::Gateway {
             hall: settings.hall.as_str().into(),
             callers: listen.callers,
         },
         callers,
         dialect: headers::DIALECT,
-        allowed: settings.retries(),
-        tolerance: settings.tolerance(),
+        allowed: settings.retry_allowance(),
+        tolerance: settings.quota_tolerance(),
         grace: Grace {
-            held: Duration::from_secs_f64(keep * KEPT) + WORD,
+            held: Duration::from_secs_f64(ttl_seconds * ADDRESS_TTL_OVERRUN) + STOP_NOTICE_DELAY,
             grace: settings.stop_time(),
         },
-        beside: beside(&settings, &known, &clock)?,
+        beside: control_replica(&settings, &known, &clock)?,
         first_start: settings.first_start,
         list_rate: settings.platform.rate,
         regions: Regions::new(settings.halls.clone()),
-        meets: settings.replica(settings.ip),
+        meets: settings.replica_address(settings.ip),
         known,
         clock,
     };
     gateway.start(move || {
-        let around = surroundings(path, &settings);
+        let surroundings = surroundings(path, &settings);
         let fetch = instances::fetch(settings.platform.address);
-        let also: Beginning = Box::new(move |node, around| also(node, around, listeners, keep));
-        (around, fetch, also)
+        let begin: Beginning = Box::new(move |node, surroundings| {
+            serve_platform(node, surroundings, listeners, ttl_seconds)
+        });
+        (surroundings, fetch, begin)
     })
 }
 
-/// A host's name: its address, so that whoever knows the name can reach it.
-fn host(ip: IpAddr) -> Result<id::Host, Refusal> {
+/// A host's name: its address, so that a process that knows the name can reach the host.
+fn host_name(ip: IpAddr) -> Result<id::Host, Refusal> {
     let name = ip.to_string().parse();
     name.map_err(|why| Refusal::new(Code::BadSetting, format!("{ip}: {why}")))
 }
 
-/// How a host is reached by its name.
+/// Returns a function that turns a host's name into the address of its processes.
 fn locate(settings: &Settings) -> Locate {
-    let port = settings.own_ports.0;
+    let port = settings.process_ports.0;
     Arc::new(move |host| {
         let ip: IpAddr = host.as_str().parse().ok()?;
         Some(SocketAddr::new(ip, port))
     })
 }
 
-/// The control replica, on a host with a disk.
-fn beside(settings: &Settings, known: &Known, clock: &Clock) -> Result<Option<Beside>, Refusal> {
+/// The control replica to start next to the gateway, if the host has a disk.
+fn control_replica(
+    settings: &Settings,
+    known: &Known,
+    clock: &Clock,
+) -> Result<Option<Beside>, Refusal> {
     let Some(data) = &settings.data_dir else {
         return Ok(None);
     };
     let mut peers = BTreeMap::new();
     for seed in &settings.seeds {
-        peers.insert(host(seed.ip())?, settings.replica(seed.ip()));
+        peers.insert(host_name(seed.ip())?, settings.replica_address(seed.ip()));
     }
     let replicas = settings.tolerated.replicas();
     Ok(Some(Beside {
-        rpc: settings.replica(settings.ip),
+        rpc: settings.replica_address(settings.ip),
         data: data.clone(),
-        found: settings.founds(),
+        found: settings.creates_log(),
         peers,
         clock: clock.clone(),
         gateways: Gateways {
@@ -185,11 +191,11 @@
             locate: locate(settings),
             replicas,
             tuning: Tuning {
-                tolerance: settings.tolerance(),
-                rollouts: settings.rollouts(),
-                cold: settings.cold(),
-                retries: Some(settings.retries()),
-                link_bytes_per_s: settings.limits.link(),
+                tolerance: settings.quota_tolerance(),
+                rollouts: settings.rollout_bounds(),
+                cold: settings.cold_slack(),
+                retries: Some(settings.retry_allowance()),
+                link_bytes_per_s: settings.limits.link_bytes_per_s(),
                 ..Tuning::default()
             },
         },
@@ -197,54 +203,58 @@
 }
 
 fn surroundings(path: PathBuf, settings: &Settings) -> Surroundings {
-    let first = settings.clone();
+    let first_settings = settings.clone();
     Surroundings {
-        // The file may change without a signal.
+        // The platform may change the file without notice, so it is read each time.
         seeds: Box::new(move || {
             let settings = Settings::read(&path).unwrap_or_else(|why| {
-                log::warn!("the settings are kept as they were: {why}");
-                first.clone()
+                log::warn!(
+                    "the settings file cannot be read; the settings of the start are used: {why}"
+                );
+                first_settings.clone()
             });
             let seeds = settings.seeds.iter();
-            seeds.map(|seed| settings.replica(seed.ip())).collect()
+            seeds
+                .map(|seed| settings.replica_address(seed.ip()))
+                .collect()
         }),
         locate: locate(settings),
         decode: document::table,
         beside: settings
             .data_dir
             .as_ref()
-            .map(|_| settings.replica(settings.ip)),
+            .map(|_| settings.replica_address(settings.ip)),
     }
 }
 
-/// Serves operators, address questions and the question of readiness.
-fn also(
+/// Serves operators, callers' requests for addresses, and the platform's readiness checks.
+fn serve_platform(
     node: &Rc<Node>,
-    around: &Rc<Surroundings>,
+    surroundings: &Rc<Surroundings>,
     listeners: Listeners,
-    keep: f64,
+    ttl_seconds: f64,
 ) -> Result<(), Refusal> {
-    let asked = Rc::clone(node);
+    let readiness_node = Rc::clone(node);
     listen(listeners.readiness, move |request| {
-        std::future::ready(directory::readiness(&asked, &request))
+        std::future::ready(directory::readiness(&readiness_node, &request))
     })?;
-    let asked = Rc::clone(node);
+    let directory_node = Rc::clone(node);
     listen(listeners.directory, move |request| {
-        std::future::ready(directory::resolve(&asked, keep, &request))
+        std::future::ready(directory::resolve(&directory_node, ttl_seconds, &request))
     })?;
     let node = Rc::clone(node);
-    let around = Rc::clone(around);
+    let surroundings = Rc::clone(surroundings);
     listen(listeners.operators, move |request| {
-        operator::answer(Rc::clone(&node), Rc::clone(&around), request)
+        operator::respond(Rc::clone(&node), Rc::clone(&surroundings), request)
     })
 }
 
-fn listen<F, A>(listener: TcpListener, answer: F) -> Result<(), Refusal>
+fn listen<F, A>(listener: TcpListener, respond: F) -> Result<(), Refusal>
 where
     F: Fn(Request<Incoming>) -> A + 'static,
     A: Future<Output = Answer> + 'static,
 {
     let listener = process::tokio_listener(listener)?;
-    tokio::task::spawn_local(serve(listener, Limits::default, answer));
+    tokio::task::spawn_local(serve(listener, Limits::default, respond));
     Ok(())
 }
