--- a/crates/core/tests/doc_tables.rs
+++ b/crates/core/tests/doc_tables.rs
@@ -1,20 +1,24 @@
-//! The tables in the docs are equal to the code.
+//! The tables of result codes and events in the docs are equal to those in the code.
 
 use std::path::Path;
 
 use curlewlift_core::code::Code;
 use curlewlift_core::event::Kind;
 
-fn table(page: &str) -> Vec<String> {
+/// The numbered rows of the tables in `page`.
+fn table_rows(page: &str) -> Vec<String> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../docs")
         .join(page);
-    let text = std::fs::read_to_string(path).expect("the page is there");
-    let numbered = |line: &&str| {
+    let text = std::fs::read_to_string(path).expect("the page exists");
+    let is_numbered = |line: &&str| {
         let cell = line.split('|').nth(1).map(str::trim).unwrap_or_default();
         line.matches('|').count() > 3 && cell.parse::<u16>().is_ok()
     };
-    text.lines().filter(numbered).map(str::to_owned).collect()
+    text.lines()
+        .filter(is_numbered)
+        .map(str::to_owned)
+        .collect()
 }
 
 #[test]
@@ -27,8 +31,8 @@
             code.meaning()
         )
     };
-    let code: Vec<_> = Code::ALL.iter().map(row).collect();
-    assert_eq!(table("CODES.md"), code);
+    let rows: Vec<_> = Code::ALL.iter().map(row).collect();
+    assert_eq!(table_rows("CODES.md"), rows);
 }
 
 #[test]
@@ -41,8 +45,8 @@
             kind.meaning()
         )
     };
-    let code: Vec<_> = Kind::ALL.iter().map(row).collect();
-    assert_eq!(table("EVENTS.md"), code);
+    let rows: Vec<_> = Kind::ALL.iter().map(row).collect();
+    assert_eq!(table_rows("EVENTS.md"), rows);
 }
 
 #[test]
--- a/crates/core/tests/first_configurations.rs
+++ b/crates/core/tests/first_configurations.rs
@@ -1,4 +1,4 @@
-//! The first configurations that the operators' page names are really applied.
+//! The first configurations, which the operators' page refers to, can be applied: every command is accepted.
 
 use std::path::Path;
 
@@ -10,7 +10,7 @@
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../configurations")
         .join(name);
-    let text = std::fs::read_to_string(path).expect("the file is there");
+    let text = std::fs::read_to_string(path).expect("the file exists");
     let lines = text
         .lines()
         .filter(|line| !line.is_empty() && !line.starts_with('#'));
@@ -22,7 +22,7 @@
             line: line.to_owned(),
         };
         let answer = machine.apply(&Record::Command(command));
-        answer.unwrap_or_else(|why| panic!("{line}: {why}"));
+        answer.unwrap_or_else(|refusal| panic!("{line}: {refusal}"));
     }
     machine
 }
--- a/crates/core/tests/platform_list.rs
+++ b/crates/core/tests/platform_list.rs
@@ -1,4 +1,5 @@
-//! The platform's list lags, repeats an old copy and loses a live host (row M2).
+//! Copies of the platform's list may be late, repeated or incomplete. Neither may drain a live server or undrain one
+//! that is leaving, and servers must not flap (row M2).
 
 use curlewlift_core::config::Snapshot;
 use curlewlift_core::lang;
@@ -56,13 +57,13 @@
         let old = list(version, &[("x", false), ("y", true)]);
         assert!(
             watcher.update(&old, &snapshot).is_empty(),
-            "older never replaces newer"
+            "an older copy must not replace a newer one"
         );
     }
 }
 
 #[test]
-fn lost_host() {
+fn missing_host() {
     let snapshot = configured();
     let mut watcher = ListWatcher::default();
     watcher.update(&list(1, &[("x", false), ("y", false)]), &snapshot);
@@ -70,7 +71,7 @@
         watcher
             .update(&list(2, &[("x", false)]), &snapshot)
             .is_empty(),
-        "y is not gone"
+        "a host that is missing from a copy must not be drained"
     );
 }
 
@@ -81,7 +82,7 @@
     let x: curlewlift_core::id::Server = "x".parse().expect("a name");
     let mut orders = Vec::new();
     for version in 1..=12 {
-        // Now leaving, now live; then live for good.
+        // The host alternates between leaving and live, and is live from version 8 on.
         let leaving = version < 8 && version % 2 == 1;
         for order in watcher.update(&list(version, &[("x", leaving)]), &snapshot) {
             let line = match &order {
@@ -96,14 +97,14 @@
 }
 
 #[test]
-fn operators_drain() {
+fn drained_by_operators() {
     let snapshot = apply(&configured(), "drain server x");
     let mut watcher = ListWatcher::default();
     for version in 1..10 {
         let orders = watcher.update(&list(version, &[("x", false)]), &snapshot);
         assert!(
             orders.is_empty(),
-            "what the operators drained is theirs to take back"
+            "a server that the operators drained must not be undrained"
         );
     }
 }
--- a/crates/curlewlift/src/platform/entries/tests.rs
+++ b/crates/curlewlift/src/platform/entries/tests.rs
@@ -1,4 +1,5 @@
-//! Entries of other writers: each bad one costs itself only, whatever its bytes.
+//! Other programs write entries to the platform's list too, and some are malformed. A malformed entry must be left
+//! out alone, whatever its bytes: all other entries of the page must be decoded.
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -6,7 +7,7 @@
 
 use super::Page;
 
-/// Random pages for each kind of damage.
+/// The number of random pages for each kind of damage.
 const SEEDS: u64 = 2_000;
 
 fn entry(name: &str) -> String {
@@ -28,7 +29,7 @@
     page.servers.iter().map(|server| &*server.name).collect()
 }
 
-/// Entries that name no server, each in another way.
+/// Entries that cannot be decoded, each for another reason.
 fn malformed() -> Vec<Vec<u8>> {
     let good = entry("i-x");
     let with = |from: &str, to: &str| good.replace(from, to).into_bytes();
@@ -48,15 +49,15 @@
         with("1700000000000", "1700000000000.5"),
         with("1700000000000", "\"1700000000000\""),
     ];
-    let mut no_text = good.clone().into_bytes();
-    let at = good.find("chat").expect("its service");
-    no_text[at] = 0xff;
-    entries.push(no_text);
+    let mut not_utf8 = good.clone().into_bytes();
+    let at = good.find("chat").expect("the service");
+    not_utf8[at] = 0xff;
+    entries.push(not_utf8);
     entries
 }
 
 #[test]
-fn others_hold() {
+fn malformed_among_valid() {
     let mut entries = vec![entry("i-1").into_bytes()];
     let count = malformed().len();
     entries.extend(malformed());
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn cut_entries() {
+fn truncated_entries() {
     let good = entry("i-1").into_bytes();
     for cut in 0..good.len() {
         let entries = [
@@ -93,13 +94,13 @@
 }
 
 #[test]
-fn foreign_bytes() {
+fn random_bytes() {
     for seed in 0..SEEDS {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut bytes: Vec<u8> = (0..random.random_range(0..200_usize))
             .map(|_| random.random())
             .collect();
-        // What would be an entry of its own, or end the text around it, is another test's matter.
+        // Bytes that delimit entries or strings would damage the neighbors; `any_damage` covers those.
         bytes.retain(|byte| !b"{}[]\"\\".contains(byte));
         let entries = [entry("i-0").into_bytes(), bytes, entry("i-2").into_bytes()];
         let page = Page::decode(&page(&entries)).expect("a page");
@@ -107,7 +108,7 @@
     }
 }
 
-/// Whatever the bytes: it ends, and names only servers that an entry names.
+/// Whatever the damage: decoding ends, and finds no more servers than there are entries.
 #[test]
 fn any_damage() {
     let entries: Vec<_> = (0..5)
@@ -137,25 +138,28 @@
 }
 
 #[test]
-fn no_end() {
+fn no_next_token() {
     assert!(Page::decode(b"{\"instances\":[]").is_err());
     assert!(Page::decode(b"").is_err());
     assert!(Page::decode(b"{\"instances\":[],\"next_token\":7}").is_err());
-    let open = b"{\"a".repeat(100_000);
-    assert!(Page::decode(&[b"{\"instances\":[", &*open].concat()).is_err());
+    let unclosed = b"{\"a".repeat(100_000);
+    assert!(Page::decode(&[b"{\"instances\":[", &*unclosed].concat()).is_err());
 }
 
 #[test]
-fn births() {
-    let again = entry("i-1").replace("1700000000000", "1700000000001");
-    let older = entry("i-1").replace(",\"born\":1700000000000", "");
-    let entries = [entry("i-1"), again, older].map(String::into_bytes);
+fn incarnations() {
+    let restarted = entry("i-1").replace("1700000000000", "1700000000001");
+    let no_start_time = entry("i-1").replace(",\"born\":1700000000000", "");
+    let entries = [entry("i-1"), restarted, no_start_time].map(String::into_bytes);
     let page = Page::decode(&page(&entries)).expect("a page");
-    let lives: Vec<_> = page
+    let incarnations: Vec<_> = page
         .servers
         .iter()
         .map(|server| &*server.incarnation)
         .collect();
-    assert_eq!(lives, ["i-1/1700000000000", "i-1/1700000000001", "i-1"]);
+    assert_eq!(
+        incarnations,
+        ["i-1/1700000000000", "i-1/1700000000001", "i-1"]
+    );
     assert_eq!(names(&page), ["i-1", "i-1", "i-1"]);
 }
--- a/crates/curlewlift/src/platform/headers/tests.rs
+++ b/crates/curlewlift/src/platform/headers/tests.rs
@@ -1,4 +1,4 @@
-//! What answers say of the server that gave them.
+//! The announcements of backend servers in the headers of their responses: backoff, draining, rate limit.
 
 use std::time::Duration;
 
@@ -18,29 +18,29 @@
     pairs.collect()
 }
 
-/// What an answer with these times says.
-fn rests(status: u16, values: &[&'static str]) -> Vec<Notice> {
+/// The notices in a response with these `Retry-After` values.
+fn backoffs(status: u16, values: &[&'static str]) -> Vec<Notice> {
     let pairs: Vec<_> = values.iter().map(|value| ("retry-after", *value)).collect();
     marks(status, &headers(&pairs)).notices
 }
 
 #[test]
-fn asks_for_rest() {
-    let rest = |millis| Notice::Backoff(Duration::from_millis(millis));
-    assert_eq!(rests(503, &["3"]), [rest(3_000)]);
-    assert_eq!(rests(503, &[" 0.25 "]), [rest(250)]);
-    assert_eq!(rests(429, &["2"]), [rest(2_000)]);
-    assert_eq!(rests(503, &["1", "4"]), [rest(1_000), rest(4_000)]);
-    assert_eq!(rests(503, &["1e300"]), [Notice::Backoff(Duration::MAX)]);
-    assert_eq!(rests(503, &[]), []);
-    // It ran the request, or passes on what another asked for.
-    assert_eq!(rests(200, &["3"]), []);
-    assert_eq!(rests(500, &["3"]), []);
+fn valid_backoffs() {
+    let backoff = |millis| Notice::Backoff(Duration::from_millis(millis));
+    assert_eq!(backoffs(503, &["3"]), [backoff(3_000)]);
+    assert_eq!(backoffs(503, &[" 0.25 "]), [backoff(250)]);
+    assert_eq!(backoffs(429, &["2"]), [backoff(2_000)]);
+    assert_eq!(backoffs(503, &["1", "4"]), [backoff(1_000), backoff(4_000)]);
+    assert_eq!(backoffs(503, &["1e300"]), [Notice::Backoff(Duration::MAX)]);
+    assert_eq!(backoffs(503, &[]), []);
+    // With these statuses the server ran the request, or passes on another server's backoff.
+    assert_eq!(backoffs(200, &["3"]), []);
+    assert_eq!(backoffs(500, &["3"]), []);
 }
 
 #[test]
-fn odd_times() {
-    for odd in [
+fn invalid_backoffs() {
+    for invalid in [
         "",
         "soon",
         "-3",
@@ -49,21 +49,24 @@
         "3 s",
         "Wed, 21 Oct 2026 07:28:00 GMT",
     ] {
-        assert_eq!(rests(503, &[odd]), [Notice::Unreadable(odd.to_owned())]);
+        assert_eq!(
+            backoffs(503, &[invalid]),
+            [Notice::Unreadable(invalid.to_owned())]
+        );
     }
 }
 
 #[test]
-fn leaves() {
+fn draining() {
     for status in [200, 421, 500, 503] {
-        let says = |value| marks(status, &headers(&[("server-leaving", value)])).notices;
-        assert_eq!(says("1"), [Notice::Draining], "{status}");
-        assert_eq!(says("0"), [], "{status}");
+        let notices = |value| marks(status, &headers(&[("server-leaving", value)])).notices;
+        assert_eq!(notices("1"), [Notice::Draining], "{status}");
+        assert_eq!(notices("0"), [], "{status}");
     }
 }
 
-/// What an answer with these limits says.
-fn limits(values: &[&'static str]) -> Announcement {
+/// The limit announced by a response with these `Server-Limit` values.
+fn announced_limit(values: &[&'static str]) -> Announcement {
     let pairs: Vec<_> = values
         .iter()
         .map(|value| ("server-limit", *value))
@@ -72,21 +75,24 @@
 }
 
 #[test]
-fn names_limit() {
-    let named = |text: &str| Announcement::Limited(text.parse().expect("a rate"));
+fn valid_limits() {
+    let limited = |text: &str| Announcement::Limited(text.parse().expect("a rate"));
     for text in ["0", "0.2", "3", "1e9"] {
-        assert_eq!(limits(&[text]), named(text));
+        assert_eq!(announced_limit(&[text]), limited(text));
     }
-    assert_eq!(limits(&[" 2.9 "]), named("2.9"));
-    assert_eq!(limits(&["4", "2", "3"]), named("2"));
-    assert_eq!(limits(&["none", "2"]), named("2"));
-    assert_eq!(limits(&["2", "none"]), named("2"));
-    assert_eq!(limits(&[]), Announcement::NoLimit);
+    assert_eq!(announced_limit(&[" 2.9 "]), limited("2.9"));
+    assert_eq!(announced_limit(&["4", "2", "3"]), limited("2"));
+    assert_eq!(announced_limit(&["none", "2"]), limited("2"));
+    assert_eq!(announced_limit(&["2", "none"]), limited("2"));
+    assert_eq!(announced_limit(&[]), Announcement::NoLimit);
 }
 
 #[test]
-fn odd_limits() {
-    for odd in ["", "few", "-3", "NaN", "inf", "3 a second", "1,5"] {
-        assert_eq!(limits(&[odd]), Announcement::Invalid(odd.to_owned()));
+fn invalid_limits() {
+    for invalid in ["", "few", "-3", "NaN", "inf", "3 a second", "1,5"] {
+        assert_eq!(
+            announced_limit(&[invalid]),
+            Announcement::Invalid(invalid.to_owned())
+        );
     }
 }
--- a/crates/curlewlift/tests/platform_entries.rs
+++ b/crates/curlewlift/tests/platform_entries.rs
@@ -1,4 +1,5 @@
-//! The list's entries: bad ones beside good ones, bad ones only, servers that are born again.
+//! The platform's list of backend servers: malformed entries beside valid ones, malformed entries only, servers that
+//! restart elsewhere under the same name, and a platform that asks for a backoff.
 
 mod platform;
 
@@ -23,22 +24,25 @@
     ask(hosts.callers(round % 3), &head, "")
 }
 
-/// Twelve entries that name no server, made of a good one.
-fn malformed(good: &Value) -> Vec<Value> {
+/// Twelve malformed entries, made from a valid one.
+fn malformed(valid: &Value) -> Vec<Value> {
     let with = |field: &str, value: Value| {
-        let mut entry = good.clone();
+        let mut entry = valid.clone();
         entry["id"] = json!("i-bad");
         entry[field] = value;
         entry
     };
-    let mut short = with("id", json!("i-bad"));
-    short.as_object_mut().expect("fields").remove("address");
+    let mut incomplete = with("id", json!("i-bad"));
+    incomplete
+        .as_object_mut()
+        .expect("fields")
+        .remove("address");
     vec![
         Value::Null,
         json!([]),
         json!("i-1"),
         json!({}),
-        short,
+        incomplete,
         with("id", json!(7)),
         with("service", json!("another's")),
         with("address", json!("nowhere")),
@@ -50,53 +54,55 @@
 }
 
 #[test]
-fn others_hold() {
+fn malformed_entries() {
     let engines = [Engine::start("i-1"), Engine::start("i-2")];
-    let good = engines
+    let valid = engines
         .each_ref()
         .map(|engine| entry(engine, "chat", "ready"));
     let hosts = Hosts::start(folder("others_hold"), &[(&engines[0], "chat")]);
     hosts.configure(&document(7).to_string());
-    let mut entries = malformed(&good[0]);
-    entries.insert(6, good[0].clone());
-    entries.push(good[1].clone());
+    let mut entries = malformed(&valid[0]);
+    entries.insert(6, valid[0].clone());
+    entries.push(valid[1].clone());
     hosts.list(entries);
-    let served = |engine: &Engine| !engine.came().is_empty();
+    let was_used = |engine: &Engine| !engine.came().is_empty();
     let mut rounds = 0..2_000;
-    wait("both are used", || {
+    wait("both servers are used", || {
         let round = rounds.next().expect("in time");
         assert_eq!(get(&hosts, round, "answer").status, 200, "{round}");
-        engines.iter().all(served)
+        engines.iter().all(was_used)
     });
-    hosts.list(malformed(&good[0]));
-    wait("as if the list were empty", || {
+    hosts.list(malformed(&valid[0]));
+    wait("requests are refused as with an empty list", || {
         let round = rounds.next().expect("in time");
         get(&hosts, round, "answer").status == 503
     });
 }
 
-/// A server that is silent ends and starts again elsewhere under its name: what is sent to the new one is
-/// served at once, and what was sent to the former one is not said to have not run.
+/// A server stops without closing its connections, and starts again at another address under the same name. Requests
+/// to the new one are served at once. A request that was sent to the former one must not be reported as not run.
 #[test]
-fn born_again() {
+fn restarted_server() {
     let former = Engine::start("i-1");
     let hosts = Hosts::start(folder("born_again"), &[(&former, "chat")]);
-    let mut first = entry(&former, "chat", "ready");
-    first["born"] = json!(1_700_000_000_000_u64);
-    hosts.list(vec![first]);
+    let mut first_entry = entry(&former, "chat", "ready");
+    first_entry["born"] = json!(1_700_000_000_000_u64);
+    hosts.list(vec![first_entry]);
     hosts.configure(&document(7).to_string());
-    wait("it is used", || get(&hosts, 0, "answer").status == 200);
+    wait("the server is used", || {
+        get(&hosts, 0, "answer").status == 200
+    });
     let cut = get(&hosts, 1, "close");
-    assert_eq!(cut.status, 502, "unknown: {}", cut.body);
-    let again = Engine::start("i-1");
-    let mut second = entry(&again, "chat", "ready");
-    second["born"] = json!(1_700_000_000_500_u64);
-    hosts.list(vec![second]);
+    assert_eq!(cut.status, 502, "the outcome is unknown: {}", cut.body);
+    let restarted = Engine::start("i-1");
+    let mut second_entry = entry(&restarted, "chat", "ready");
+    second_entry["born"] = json!(1_700_000_000_500_u64);
+    hosts.list(vec![second_entry]);
     let mut round = 2;
-    wait("the new one is used", || {
+    wait("the restarted server is used", || {
         round += 1;
         get(&hosts, round, "answer");
-        !again.came().is_empty()
+        !restarted.came().is_empty()
     });
     let before = former.came().len();
     for round in 0..30 {
@@ -105,27 +111,27 @@
     assert_eq!(
         former.came().len(),
         before,
-        "nothing goes to the former one"
+        "no request goes to the former server"
     );
 }
 
-/// The platform turns calls for its list away and says when to ask again: nobody asks before.
+/// The platform rejects requests for its list and says when to retry: no host may retry before that time.
 #[test]
-fn list_rests() {
+fn list_backoff() {
     let engine = Engine::start("i-1");
     let hosts = Hosts::start(folder("list_rests"), &[(&engine, "chat")]);
     hosts.configure(&document(7).to_string());
     hosts.refuse_list("1.5");
-    // Other hosts ask too where they hear no hub: each by its own connection.
+    // Hosts that don't reach the hub fetch the list too, each over its own connection.
     let mut pauses = Vec::new();
-    wait("one has asked three times", || {
-        let came = hosts.turned_away();
+    wait("a host has sent three requests", || {
+        let rejected = hosts.turned_away();
         pauses.clear();
-        for (caller, at) in &came {
-            let mut later = came
+        for (caller, at) in &rejected {
+            let mut later = rejected
                 .iter()
-                .filter(|(other, then)| other == caller && then > at);
-            pauses.extend(later.next().map(|(_, then)| *then - *at));
+                .filter(|(other, other_at)| other == caller && other_at > at);
+            pauses.extend(later.next().map(|(_, other_at)| *other_at - *at));
         }
         pauses.len() >= 2
     });
--- a/crates/curlewlift/tests/platform_settings.rs
+++ b/crates/curlewlift/tests/platform_settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings file: what is needed, what is passed over, what is refused and how.
+//! The platform's settings file: which fields are required, which are ignored, and how invalid files are refused.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// A whole file as the platform lays it out.
+/// A complete file as the platform writes it.
 fn settings() -> Value {
     json!({
         "node_name": "front-a-1", "role": "gateway", "machine_class": "front",
@@ -29,40 +29,41 @@
     })
 }
 
-/// What `check` says of a file, with its exit code.
+/// Runs the command `check` on a file with the content `text`; returns its exit code and output.
 fn check(name: &str, text: &str) -> (Option<i32>, String) {
     let folder = format!("settings-{}", std::process::id());
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(folder);
     std::fs::create_dir_all(&folder).expect("a folder");
     let path = folder.join(format!("{name}.json"));
     std::fs::write(&path, text).expect("a file");
-    run(path.to_str().expect("a path"))
+    run_check(path.to_str().expect("a path"))
 }
 
-fn run(path: &str) -> (Option<i32>, String) {
+/// Runs the command `check` on the file at `path`.
+fn run_check(path: &str) -> (Option<i32>, String) {
     let output = Command::new(env!("CARGO_BIN_EXE_curlewlift"))
         .args(["check", "platform"])
         .env("CURLEWLIFT_CONFIG", path)
         .output()
-        .expect("it runs");
-    let mut said = String::from_utf8_lossy(&output.stdout).into_owned();
-    said.push_str(&String::from_utf8_lossy(&output.stderr));
-    (output.status.code(), said)
+        .expect("the command runs");
+    let mut text = String::from_utf8_lossy(&output.stdout).into_owned();
+    text.push_str(&String::from_utf8_lossy(&output.stderr));
+    (output.status.code(), text)
 }
 
 #[test]
-fn whole_file() {
-    let (code, said) = check("whole_file", &settings().to_string());
-    assert_eq!(code, Some(0), "{said}");
-    assert!(said.contains("10.1.0.14:8221"), "{said}");
+fn complete_file() {
+    let (code, output) = check("whole_file", &settings().to_string());
+    assert_eq!(code, Some(0), "{output}");
+    assert!(output.contains("10.1.0.14:8221"), "{output}");
 }
 
 #[test]
 fn no_disk() {
     let mut settings = settings();
     settings.as_object_mut().expect("fields").remove("data_dir");
-    let (code, said) = check("no_disk", &settings.to_string());
-    assert_eq!(code, Some(0), "{said}");
+    let (code, output) = check("no_disk", &settings.to_string());
+    assert_eq!(code, Some(0), "{output}");
 }
 
 #[test]
@@ -70,11 +71,11 @@
     for field in ["ip", "zone", "internal_ports", "listen", "bounds", "cloud"] {
         let mut settings = settings();
         settings.as_object_mut().expect("fields").remove(field);
-        let (code, said) = check(&format!("missing_{field}"), &settings.to_string());
+        let (code, output) = check(&format!("missing_{field}"), &settings.to_string());
         assert_eq!(code, Some(2), "{field}");
         assert!(
-            said.contains("8001") && said.contains(field),
-            "{field}: {said}"
+            output.contains("8001") && output.contains(field),
+            "{field}: {output}"
         );
     }
 }
@@ -90,9 +91,9 @@
     for (field, value) in cases {
         let mut settings = settings();
         settings[field] = value;
-        let (code, said) = check(&format!("unreadable_{field}"), &settings.to_string());
+        let (code, output) = check(&format!("unreadable_{field}"), &settings.to_string());
         assert_eq!(code, Some(2), "{field}");
-        assert!(said.contains("8001"), "{field}: {said}");
+        assert!(output.contains("8001"), "{field}: {output}");
     }
 }
 
@@ -102,11 +103,11 @@
         for seconds in [-1.0, 1e300] {
             let mut settings = settings();
             settings["bounds"][field] = json!(seconds);
-            let (code, said) = check(&format!("impossible_{field}"), &settings.to_string());
-            assert_eq!(code, Some(2), "{field}: {said}");
+            let (code, output) = check(&format!("impossible_{field}"), &settings.to_string());
+            assert_eq!(code, Some(2), "{field}: {output}");
             assert!(
-                said.contains("8001") && said.contains(field),
-                "{field}: {said}"
+                output.contains("8001") && output.contains(field),
+                "{field}: {output}"
             );
         }
     }
@@ -122,19 +123,19 @@
     for (field, value) in cases {
         let mut settings = settings();
         settings["bounds"][field] = json!(value);
-        let (code, said) = check(&format!("impossible_{field}"), &settings.to_string());
-        assert_eq!(code, Some(2), "{field}: {said}");
+        let (code, output) = check(&format!("impossible_{field}"), &settings.to_string());
+        assert_eq!(code, Some(2), "{field}: {output}");
         assert!(
-            said.contains("8001") && said.contains(field),
-            "{field}: {said}"
+            output.contains("8001") && output.contains(field),
+            "{field}: {output}"
         );
     }
 }
 
 #[test]
 fn no_file() {
-    let (code, said) = run("/nowhere/settings.json");
+    let (code, output) = run_check("/nowhere/settings.json");
     assert_eq!(code, Some(2));
-    assert!(said.contains("/nowhere/settings.json"), "{said}");
-    assert!(said.contains("deploy/settings.json"), "{said}");
+    assert!(output.contains("/nowhere/settings.json"), "{output}");
+    assert!(output.contains("deploy/settings.json"), "{output}");
 }
