--- a/crates/curlewlift/src/platform/document.rs
+++ b/crates/curlewlift/src/platform/document.rs
@@ -23,7 +23,7 @@
 use curlewlift_core::state::Publication;
 use serde::Deserialize;
 
-/// The whole document.
+/// The configuration document.
 #[derive(Deserialize)]
 struct Document {
     version: u64,
--- a/crates/curlewlift/src/process.rs
+++ b/crates/curlewlift/src/process.rs
@@ -49,7 +49,7 @@
 pub(crate) struct Signal(watch::Receiver<Order>);
 
 impl Signal {
-    /// Waits for an order other than [`Order::Run`].
+    /// Waits for an order other than [`Order::Run`]; it is [`Order::Kill`] once no handle is left.
     pub(crate) async fn next(&mut self) -> Order {
         match self.0.wait_for(|order| *order != Order::Run).await {
             Ok(order) => *order,
