--- a/crates/core/src/lang/mod.rs
+++ b/crates/core/src/lang/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' language: one statement a line; docs/LANGUAGE.md has the grammar.
+//! The operators' command language, one statement for each line; docs/LANGUAGE.md has the grammar.
 
 mod parser;
 mod query;
@@ -6,7 +6,7 @@
 
 pub use parser::parse;
 pub use query::Table;
-pub use query::answer;
+pub use query::run_query;
 pub use statement::Condition;
 pub use statement::Format;
 pub use statement::Query;
--- a/crates/core/tests/platform_list.rs
+++ b/crates/core/tests/platform_list.rs
@@ -1,12 +1,13 @@
-//! The platform's list lags, repeats an old copy and loses a live host (row M2).
+//! Copies of the platform's list may be late, repeated or incomplete. Neither may drain a live server or undrain one
+//! that is leaving, and servers must not flap (row M2).
 
 use curlewlift_core::config::Snapshot;
 use curlewlift_core::lang;
 use curlewlift_core::lang::Statement;
 use curlewlift_core::platform::Host;
 use curlewlift_core::platform::List;
+use curlewlift_core::platform::ListWatcher;
 use curlewlift_core::platform::Order;
-use curlewlift_core::platform::Watch;
 
 fn apply(snapshot: &Snapshot, line: &str) -> Snapshot {
     let Ok(Statement::Change(change)) = lang::parse(line) else {
@@ -40,48 +41,50 @@
 #[test]
 fn older_copies() {
     let mut snapshot = configured();
-    let mut watch = Watch::default();
+    let mut watcher = ListWatcher::default();
     let x = "x".parse().expect("a name");
     assert!(
-        watch
-            .take(&list(5, &[("x", false), ("y", false)]), &snapshot)
+        watcher
+            .update(&list(5, &[("x", false), ("y", false)]), &snapshot)
             .is_empty()
     );
     assert_eq!(
-        watch.take(&list(7, &[("x", true)]), &snapshot),
+        watcher.update(&list(7, &[("x", true)]), &snapshot),
         [Order::Drain(x)]
     );
     snapshot = apply(&snapshot, "drain server x");
     for version in [5, 6, 7] {
         let old = list(version, &[("x", false), ("y", true)]);
         assert!(
-            watch.take(&old, &snapshot).is_empty(),
-            "older never replaces newer"
+            watcher.update(&old, &snapshot).is_empty(),
+            "an older copy must not replace a newer one"
         );
     }
 }
 
 #[test]
-fn lost_host() {
+fn missing_host() {
     let snapshot = configured();
-    let mut watch = Watch::default();
-    watch.take(&list(1, &[("x", false), ("y", false)]), &snapshot);
+    let mut watcher = ListWatcher::default();
+    watcher.update(&list(1, &[("x", false), ("y", false)]), &snapshot);
     assert!(
-        watch.take(&list(2, &[("x", false)]), &snapshot).is_empty(),
-        "y is not gone"
+        watcher
+            .update(&list(2, &[("x", false)]), &snapshot)
+            .is_empty(),
+        "a host that is missing from a copy must not be drained"
     );
 }
 
 #[test]
 fn no_flapping() {
     let mut snapshot = configured();
-    let mut watch = Watch::default();
+    let mut watcher = ListWatcher::default();
     let x: curlewlift_core::id::Server = "x".parse().expect("a name");
     let mut orders = Vec::new();
     for version in 1..=12 {
-        // Now leaving, now live; then live for good.
+        // The host alternates between leaving and live, and is live from version 8 on.
         let leaving = version < 8 && version % 2 == 1;
-        for order in watch.take(&list(version, &[("x", leaving)]), &snapshot) {
+        for order in watcher.update(&list(version, &[("x", leaving)]), &snapshot) {
             let line = match &order {
                 Order::Drain(name) => format!("drain server {name}"),
                 Order::Undrain(name) => format!("undrain server {name}"),
@@ -94,14 +97,14 @@
 }
 
 #[test]
-fn operators_drain() {
+fn drained_by_operators() {
     let snapshot = apply(&configured(), "drain server x");
-    let mut watch = Watch::default();
+    let mut watcher = ListWatcher::default();
     for version in 1..10 {
-        let orders = watch.take(&list(version, &[("x", false)]), &snapshot);
+        let orders = watcher.update(&list(version, &[("x", false)]), &snapshot);
         assert!(
             orders.is_empty(),
-            "what the operators drained is theirs to take back"
+            "a server that the operators drained must not be undrained"
         );
     }
 }
--- a/crates/curlewlift/src/control/platform.rs
+++ b/crates/curlewlift/src/control/platform.rs
@@ -8,8 +8,8 @@
 use axum::body::Body;
 use axum::http::Request;
 use curlewlift_core::platform::List;
+use curlewlift_core::platform::ListWatcher;
 use curlewlift_core::platform::Order;
-use curlewlift_core::platform::Watch;
 use curlewlift_core::state::Command;
 use curlewlift_core::state::Record;
 use http_body_util::BodyExt;
@@ -38,12 +38,12 @@
 pub(super) async fn watch(state: Rc<RefCell<State>>, platform: SocketAddr) {
     let executor = hyper_util::rt::TokioExecutor::new();
     let client: Client<HttpConnector, Body> = Client::builder(executor).build_http();
-    let mut watch = Watch::default();
+    let mut watch = ListWatcher::default();
     loop {
         tokio::time::sleep(POLL_INTERVAL).await;
         if state.borrow().ensure_leading().is_err() {
             // When this replica leads again, it starts from the list of that time.
-            watch = Watch::default();
+            watch = ListWatcher::default();
             continue;
         }
         match tokio::time::timeout(POLL_TIMEOUT, fetch_list(&client, platform)).await {
@@ -67,8 +67,8 @@
 }
 
 /// Proposes a command for each change between the list and the configuration.
-fn propose_commands(state: &Rc<RefCell<State>>, watch: &mut Watch, list: &List) {
-    let orders = watch.take(list, state.borrow().machine.get_snapshot());
+fn propose_commands(state: &Rc<RefCell<State>>, watch: &mut ListWatcher, list: &List) {
+    let orders = watch.update(list, state.borrow().machine.get_snapshot());
     for order in orders {
         let line = match order {
             Order::Drain(name) => format!("drain server {name}"),
--- a/crates/curlewlift/src/control/query.rs
+++ b/crates/curlewlift/src/control/query.rs
@@ -14,7 +14,7 @@
 /// The result of `query` from the leader's current state.
 pub(super) fn run(state: &State, query: &Query) -> Result<String, Refusal> {
     let table = rows(state, query.subject);
-    lang::answer(query, table)
+    lang::run_query(query, table)
 }
 
 /// The rows of `subject`, before filters and sorting.
--- /dev/null
+++ b/crates/curlewlift/src/platform/headers.rs
@@ -0,0 +1,205 @@
+//! Reads and writes the platform's headers of requests and responses.
+
+use std::time::Duration;
+
+use axum::http::HeaderMap;
+use axum::http::HeaderName;
+use axum::http::HeaderValue;
+use axum::http::header;
+use curlewlift_core::code::Code;
+use curlewlift_core::code::Refusal;
+use curlewlift_core::limit::Announcement;
+use curlewlift_core::limit::InvalidRate;
+use curlewlift_core::limit::Rate;
+use curlewlift_core::pool::Notice;
+
+use crate::gateway::Call;
+use crate::gateway::Dialect;
+use crate::gateway::Hand;
+use crate::gateway::Marks;
+
+use super::http;
+
+#[cfg(test)]
+mod tests;
+
+/// The id of a request; each attempt of a caller has its own.
+const ATTEMPT_ID: HeaderName = HeaderName::from_static("x-attempt-id");
+/// How long the caller waits for a response, and in turn how long the backend server may take, in milliseconds.
+const DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
+/// The prompt's tokens and the maximum of generated tokens, separated by a comma.
+const TOKEN_COUNTS: HeaderName = HeaderName::from_static("x-token-counts");
+/// The customer's name, for the backend server.
+const CUSTOMER: HeaderName = HeaderName::from_static("x-tenant");
+/// The name of the backend server that the request is for; another one rejects the request.
+const EXPECTED_SERVER: HeaderName = HeaderName::from_static("x-expect-instance");
+/// The id of the last event that was received; a stream is resumed after it.
+const LAST_EVENT: HeaderName = HeaderName::from_static("last-event-id");
+/// The backend server's signature of its response.
+const SIGNATURE: HeaderName = HeaderName::from_static("x-response-signature");
+/// Says that the backend server did not run the request.
+const NOT_RUN: HeaderName = HeaderName::from_static("x-not-executed");
+/// The number of running requests, of queued requests and of slots, separated by commas.
+const LOAD: HeaderName = HeaderName::from_static("x-server-load");
+
+/// Says that the backend server is draining.
+const DRAINING: HeaderName = HeaderName::from_static("server-leaving");
+/// How many requests a second the backend server accepts from all hosts together.
+const RATE_LIMIT: HeaderName = HeaderName::from_static("server-limit");
+
+/// The status of a response from another server or incarnation, which now has the address.
+const MISDIRECTED_STATUS: u16 = 421;
+
+/// The statuses with which a backend server rejects a request and may ask for a backoff.
+const REJECTED_STATUSES: [u16; 2] = [429, 503];
+
+/// The headers that only this system may send to a backend server; a caller's are removed.
+const RESERVED_HEADERS: [HeaderName; 8] = [
+    CUSTOMER,
+    EXPECTED_SERVER,
+    HeaderName::from_static("x-expect-version"),
+    HeaderName::from_static("x-hold"),
+    HeaderName::from_static("x-pin-ms"),
+    HeaderName::from_static("x-kv-backup"),
+    HeaderName::from_static("kv-from"),
+    HeaderName::from_static("kv-fetch"),
+];
+
+/// How the platform's headers are read and written.
+pub(super) const DIALECT: Dialect = Dialect { read, dress, marks };
+
+fn read(headers: &HeaderMap) -> Result<Call, Refusal> {
+    Ok(Call {
+        id: headers.get(ATTEMPT_ID).cloned(),
+        key: bearer_key(headers),
+        patience: millis(headers, &DEADLINE)?.map(Duration::from_millis),
+        tokens: token_counts(headers)?,
+    })
+}
+
+fn bearer_key(headers: &HeaderMap) -> Option<String> {
+    let value = headers.get(header::AUTHORIZATION)?.to_str().ok()?;
+    let (scheme, key) = value.trim().split_once(' ')?;
+    scheme
+        .eq_ignore_ascii_case("bearer")
+        .then(|| key.trim().to_owned())
+}
+
+fn millis(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, Refusal> {
+    let Some(value) = headers.get(name) else {
+        return Ok(None);
+    };
+    let text = value.to_str().unwrap_or_default().trim();
+    let millis: Result<f64, _> = text.parse();
+    match millis {
+        #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
+        Ok(millis) if millis >= 0.0 => Ok(Some(millis as u64)),
+        _ => Err(bad_header(name, text, "a number of milliseconds")),
+    }
+}
+
+fn token_counts(headers: &HeaderMap) -> Result<Option<(u64, u64)>, Refusal> {
+    let Some(value) = headers.get(TOKEN_COUNTS) else {
+        return Ok(None);
+    };
+    let text = value.to_str().unwrap_or_default();
+    let count = |text: &str| text.trim().parse::<u64>().ok();
+    let counts = text
+        .split_once(',')
+        .and_then(|(prompt, generated)| Some((count(prompt)?, count(generated)?)));
+    counts.map(Some).ok_or_else(|| {
+        bad_header(
+            &TOKEN_COUNTS,
+            text,
+            "two whole numbers, separated by a comma",
+        )
+    })
+}
+
+fn bad_header(name: &HeaderName, text: &str, expected: &str) -> Refusal {
+    Refusal::new(
+        Code::BadHeader,
+        format!("{name}: `{text}` is invalid; give {expected}"),
+    )
+}
+
+fn dress(headers: &mut HeaderMap, hand: &Hand<'_>) {
+    headers.remove(header::AUTHORIZATION);
+    for name in RESERVED_HEADERS {
+        headers.remove(name);
+    }
+    set(headers, DEADLINE, &hand.patience.as_millis().to_string());
+    set(headers, EXPECTED_SERVER, hand.server);
+    if let Some(customer) = hand.customer {
+        set(headers, CUSTOMER, customer);
+    }
+    if let Some(after) = hand.after {
+        set(headers, LAST_EVENT, after);
+    }
+}
+
+fn set(headers: &mut HeaderMap, name: HeaderName, value: &str) {
+    match HeaderValue::from_str(value) {
+        Ok(value) => {
+            headers.insert(name, value);
+        }
+        Err(why) => log::error!("the header {name} cannot be sent with the value `{value}`: {why}"),
+    }
+}
+
+fn marks(status: u16, headers: &HeaderMap) -> Marks {
+    Marks {
+        id: headers.get(ATTEMPT_ID).cloned(),
+        not_run: headers.contains_key(NOT_RUN),
+        moved: status == MISDIRECTED_STATUS,
+        signed: headers.contains_key(SIGNATURE),
+        in_flight: requests_in_flight(headers),
+        notices: notices(status, headers),
+        limit: announced_limit(headers),
+    }
+}
+
+/// The limit that the server announces; if there are several, the lowest valid one.
+fn announced_limit(headers: &HeaderMap) -> Announcement {
+    let mut limit = Announcement::NoLimit;
+    for value in headers.get_all(RATE_LIMIT) {
+        let text = String::from_utf8_lossy(value.as_bytes());
+        let rate: Result<Rate, _> = text.parse();
+        limit = match (limit, rate) {
+            (Announcement::Limited(lowest), Ok(rate)) if lowest <= rate => {
+                Announcement::Limited(lowest)
+            }
+            (_, Ok(rate)) => Announcement::Limited(rate),
+            (Announcement::NoLimit, Err(InvalidRate(text))) => Announcement::Invalid(text),
+            (limit, Err(_)) => limit,
+        };
+    }
+    limit
+}
+
+/// What the server announces about its own state.
+fn notices(status: u16, headers: &HeaderMap) -> Vec<Notice> {
+    let mut notices = Vec::new();
+    if REJECTED_STATUSES.contains(&status) {
+        let values = headers.get_all(header::RETRY_AFTER).iter();
+        notices.extend(values.map(backoff));
+    }
+    if headers.get(DRAINING).is_some_and(|value| value != "0") {
+        notices.push(Notice::Draining);
+    }
+    notices
+}
+
+/// The backoff that a server asks for as it rejects a request.
+fn backoff(value: &HeaderValue) -> Notice {
+    let text = String::from_utf8_lossy(value.as_bytes());
+    http::parse_seconds(&text)
+        .map_or_else(|| Notice::Unreadable(text.into_owned()), Notice::Backoff)
+}
+
+fn requests_in_flight(headers: &HeaderMap) -> Option<u32> {
+    let mut counts = headers.get(LOAD)?.to_str().ok()?.split(',');
+    let running: u32 = counts.next()?.trim().parse().ok()?;
+    let waiting: u32 = counts.next()?.trim().parse().ok()?;
+    Some(running.saturating_add(waiting))
+}
--- a/crates/curlewlift/src/program/telemetry.rs
+++ b/crates/curlewlift/src/program/telemetry.rs
@@ -78,7 +78,7 @@
             .build();
         let Ok(runtime) = runtime else { return };
         runtime.block_on(async move {
-            let Ok(listener) = crate::process::listener(listener) else {
+            let Ok(listener) = crate::process::tokio_listener(listener) else {
                 return;
             };
             let router =
--- a/crates/curlewlift/src/timeline/recorder.rs
+++ b/crates/curlewlift/src/timeline/recorder.rs
@@ -57,7 +57,7 @@
 
     /// Advances the hybrid clock past a stamp of another process.
     pub(crate) fn observe(&self, other: Stamp) {
-        self.lock().clock.meet(other);
+        self.lock().clock.observe(other);
     }
 
     /// The stored events that match `filter`.
