--- a/crates/curlewlift/src/gateway/admit.rs
+++ b/crates/curlewlift/src/gateway/admit.rs
@@ -32,7 +32,7 @@
 use tokio::time::Instant;
 
 use super::deadline::Deadline;
-use super::dialect::Call;
+use super::dialect::RequestHead;
 use super::log::Line;
 use super::log::millis;
 use super::node::Node;
@@ -61,7 +61,7 @@
 /// A request that is taken.
 #[derive(Clone)]
 pub(super) struct Admitted {
-    pub(super) call: Call,
+    pub(super) call: RequestHead,
     pub(super) rule: Arc<Rule>,
     pub(super) account: Option<Arc<CustomerPolicy>>,
     pub(super) cost: u64,
@@ -128,12 +128,12 @@
     node: &Node,
     request: Request<Incoming>,
     arrived: clock::Instant,
-    call: Call,
+    call: RequestHead,
 ) -> Result<Admitted, Refused> {
     let table = table(node, arrived, &call).await?;
     let rule = rule(&table, &request)?;
     let account = account(&table, &rule, &call)?;
-    let within = call.patience.unwrap_or(rule.timeout).min(rule.timeout);
+    let within = call.timeout.unwrap_or(rule.timeout).min(rule.timeout);
     let deadline = Deadline::new(node.clock.clone(), arrived, within);
     let halls = halls(node, &rule, account.as_deref())?;
     let number = table.get_version();
@@ -183,7 +183,7 @@
 }
 
 /// What a request counts in its customer's unit.
-fn cost(account: &CustomerPolicy, call: &Call) -> u64 {
+fn cost(account: &CustomerPolicy, call: &RequestHead) -> u64 {
     let tokens = call
         .tokens
         .map(|(prompt, made)| prompt.saturating_add(made));
@@ -191,10 +191,14 @@
 }
 
 /// The table in force; a gateway that has only begun waits a little for its first one.
-async fn table(node: &Node, arrived: clock::Instant, call: &Call) -> Result<Rc<Table>, Refused> {
+async fn table(
+    node: &Node,
+    arrived: clock::Instant,
+    call: &RequestHead,
+) -> Result<Rc<Table>, Refused> {
     let part = call
-        .patience
-        .map(|patience| patience.mul_f64(FIRST_TABLE_PART));
+        .timeout
+        .map(|timeout| timeout.mul_f64(FIRST_TABLE_PART));
     let most = if node.first_start {
         FIRST_START
     } else {
@@ -204,8 +208,9 @@
     while node.table().is_none() && node.now().since(arrived) < most {
         tokio::time::sleep(LOOK).await;
     }
-    node.table()
-        .ok_or_else(|| Refused::new(Code::NoTable, "no routing table has come yet").again(NO_TABLE))
+    node.table().ok_or_else(|| {
+        Refused::new(Code::NoTable, "no routing table has come yet").with_retry_after(NO_TABLE)
+    })
 }
 
 /// The host that a request is for.
@@ -236,7 +241,7 @@
 fn account(
     table: &Table,
     rule: &Rule,
-    call: &Call,
+    call: &RequestHead,
 ) -> Result<Option<Arc<CustomerPolicy>>, Refused> {
     let known = call.key.as_deref().and_then(|key| table.customer(key));
     if !table.needs_key() || rule.public {
--- a/crates/curlewlift/src/gateway/body.rs
+++ b/crates/curlewlift/src/gateway/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers: whole ones, and streams that are made as they are read.
+//! Response bodies: complete ones, and streams that are produced while they are read.
 
 use std::fmt;
 use std::pin::Pin;
@@ -15,53 +15,53 @@
 use hyper::body::Frame;
 use hyper::body::SizeHint;
 
-/// The stream broke: the connection is closed without the body's end, so that nobody takes the
-/// answer for whole.
+/// The stream broke off: the connection is closed without the end of the body, so that nobody takes
+/// the response as complete.
 #[derive(Debug)]
-pub(crate) struct Cut(pub(crate) String);
+pub(crate) struct TruncatedBody(pub(crate) String);
 
-impl fmt::Display for Cut {
+impl fmt::Display for TruncatedBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for TruncatedBody {}
 
-/// The body of an answer.
-pub(crate) type Reply = Pin<Box<dyn Body<Data = Bytes, Error = Cut>>>;
+/// The body of a response.
+pub(crate) type ResponseBody = Pin<Box<dyn Body<Data = Bytes, Error = TruncatedBody>>>;
 
-/// A body that is there already.
-pub(crate) fn whole(bytes: impl Into<Bytes>) -> Reply {
-    let never = |never: std::convert::Infallible| match never {};
-    Box::pin(Full::new(bytes.into()).map_err(never))
+/// A body that is already complete.
+pub(crate) fn full(bytes: impl Into<Bytes>) -> ResponseBody {
+    let infallible = |error: std::convert::Infallible| match error {};
+    Box::pin(Full::new(bytes.into()).map_err(infallible))
 }
 
-/// An answer whose body is there already.
-pub(crate) type Answer = Response<Reply>;
+/// A response with a complete or a streamed body.
+pub(crate) type Answer = Response<ResponseBody>;
 
-/// An answer with a JSON body.
+/// A response with a JSON body.
 pub(crate) fn json(body: String) -> Answer {
-    let mut answer = Response::new(whole(body));
+    let mut response = Response::new(full(body));
     let kind = HeaderValue::from_static("application/json");
-    answer.headers_mut().insert(header::CONTENT_TYPE, kind);
-    answer
+    response.headers_mut().insert(header::CONTENT_TYPE, kind);
+    response
 }
 
-/// A body that keeps something until it has gone out or is given up.
-struct Keeping<T> {
-    body: Reply,
-    _kept: T,
+/// A body that holds a guard until it has been sent or dropped.
+struct GuardedBody<T> {
+    body: ResponseBody,
+    _guard: T,
 }
 
-impl<T: Unpin> Body for Keeping<T> {
+impl<T: Unpin> Body for GuardedBody<T> {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = TruncatedBody;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
         self.body.as_mut().poll_frame(context)
     }
 
@@ -74,7 +74,10 @@
     }
 }
 
-/// `body`, with `kept` until it has gone out.
-pub(super) fn keeping<T: Unpin + 'static>(body: Reply, kept: T) -> Reply {
-    Box::pin(Keeping { body, _kept: kept })
+/// `body`, which holds `guard` until it has been sent or dropped.
+pub(super) fn with_guard<T: Unpin + 'static>(body: ResponseBody, guard: T) -> ResponseBody {
+    Box::pin(GuardedBody {
+        body,
+        _guard: guard,
+    })
 }
--- a/crates/curlewlift/src/gateway/dialect.rs
+++ b/crates/curlewlift/src/gateway/dialect.rs
@@ -1,4 +1,4 @@
-//! How heads are read and written: what differs between one deployment's wire and another's.
+//! How header fields are parsed and written, for deployments with different wire formats.
 
 use std::time::Duration;
 
@@ -8,58 +8,58 @@
 use curlewlift_core::limit::Announcement;
 use curlewlift_core::pool::Notice;
 
-/// What the head of a request says.
+/// What the header fields of a caller's request say.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Call {
-    /// The request's own name, which answers must carry back.
+pub(crate) struct RequestHead {
+    /// The request id, which responses must echo.
     pub(crate) id: Option<HeaderValue>,
-    /// The customer's key.
+    /// The customer's API key.
     pub(crate) key: Option<String>,
-    /// How long the caller will wait.
-    pub(crate) patience: Option<Duration>,
-    /// Tokens of the prompt, and the most that are made.
+    /// How long the caller waits for the response.
+    pub(crate) timeout: Option<Duration>,
+    /// Tokens of the prompt, and the maximum number of tokens to generate.
     pub(crate) tokens: Option<(u64, u64)>,
 }
 
-/// What a backend server is told beside what the caller sent.
+/// What the gateway adds to the header fields of a request for a backend server.
 #[derive(Clone, Debug)]
-pub(crate) struct Hand<'a> {
-    /// How much time is left.
-    pub(crate) patience: Duration,
-    /// The server that is meant, as it calls itself; any other refuses.
+pub(crate) struct BackendHead<'a> {
+    /// Time left until the request's deadline.
+    pub(crate) timeout: Duration,
+    /// The intended server, by the name it gives itself; any other server refuses the request.
     pub(crate) server: &'a str,
-    /// The customer.
+    /// The customer's name.
     pub(crate) customer: Option<&'a str>,
-    /// The last event that the caller has, where a stream is taken up.
-    pub(crate) after: Option<&'a str>,
+    /// The id of the last event that the caller received, when a stream is resumed.
+    pub(crate) last_event_id: Option<&'a str>,
 }
 
-/// What the head of an answer says.
+/// What the status and header fields of a backend server's response say.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Marks {
-    /// The request that it answers.
+pub(crate) struct ResponseHead {
+    /// The id of the request that it responds to.
     pub(crate) id: Option<HeaderValue>,
-    /// The server says that it did not run the request.
+    /// Whether the server reports that it did not run the request.
     pub(crate) not_run: bool,
-    /// Another incarnation has the address.
+    /// Whether another incarnation now has the address.
     pub(crate) moved: bool,
-    /// The server vouches for the answer.
+    /// Whether the server signed the response.
     pub(crate) signed: bool,
-    /// What it has in flight, running and waiting together.
+    /// The server's requests in flight: running and waiting together.
     pub(crate) in_flight: Option<u32>,
-    /// What the server says of itself.
+    /// What the server announces about itself (draining, backoff).
     pub(crate) notices: Vec<Notice>,
-    /// What it says of the requests that it takes a second.
+    /// The server's announced limit on requests a second.
     pub(crate) limit: Announcement,
 }
 
-/// How heads are read and written.
+/// The functions that parse and write the header fields of one wire format.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Dialect {
-    /// Reads the head of a request.
-    pub(crate) read: fn(&HeaderMap) -> Result<Call, Refusal>,
-    /// Takes off what goes no further than here, and adds what a backend server is told.
-    pub(crate) dress: fn(&mut HeaderMap, &Hand<'_>),
-    /// Reads the head of an answer.
-    pub(crate) marks: fn(u16, &HeaderMap) -> Marks,
+    /// Parses the header fields of a caller's request.
+    pub(crate) parse_request: fn(&HeaderMap) -> Result<RequestHead, Refusal>,
+    /// Removes the header fields that are meant for the gateway only, and adds those for the backend server.
+    pub(crate) prepare_request: fn(&mut HeaderMap, &BackendHead<'_>),
+    /// Parses the status and header fields of a response.
+    pub(crate) parse_response: fn(u16, &HeaderMap) -> ResponseHead,
 }
--- a/crates/curlewlift/src/gateway/exchange.rs
+++ b/crates/curlewlift/src/gateway/exchange.rs
@@ -28,7 +28,7 @@
 
 use super::deadline::Deadline;
 use super::dialect::Dialect;
-use super::dialect::Marks;
+use super::dialect::ResponseHead;
 use super::place::Place;
 
 /// How long a connection may take to be made.
@@ -74,7 +74,7 @@
 /// The head of an answer that is still coming.
 pub(super) struct Coming {
     pub(super) head: response::Parts,
-    pub(super) marks: Marks,
+    pub(super) marks: ResponseHead,
     pub(super) body: Incoming,
     pub(super) place: Place,
     connection: Connection,
@@ -171,7 +171,7 @@
 ) -> Coming {
     place.begun();
     let (head, body) = answer.into_parts();
-    let marks = (dialect.marks)(head.status.as_u16(), &head.headers);
+    let marks = (dialect.parse_response)(head.status.as_u16(), &head.headers);
     if let Some(in_flight) = marks.in_flight {
         place.told(in_flight);
     }
--- a/crates/curlewlift/src/gateway/judge.rs
+++ b/crates/curlewlift/src/gateway/judge.rs
@@ -59,7 +59,7 @@
             return Err(Refused::new(Code::Broken, why));
         }
         // The code whose status promises that it has not run.
-        Err(Refused::new(Code::RetryBudget, why).again(self.come_back()))
+        Err(Refused::new(Code::RetryBudget, why).with_retry_after(self.come_back()))
     }
 
     /// It may have run at the server.
@@ -128,7 +128,7 @@
             NoTurn::Beyond(filled) => filled,
             _ => Duration::ZERO,
         };
-        refused.again(self.come_back().max(filled))
+        refused.with_retry_after(self.come_back().max(filled))
     }
 
     /// For how much longer all servers of the service want no requests from here.
@@ -160,7 +160,7 @@
         if self.sent > 0 {
             return Refused::new(Code::Late, why);
         }
-        Refused::new(Code::CannotFinish, why).again(self.come_back())
+        Refused::new(Code::CannotFinish, why).with_retry_after(self.come_back())
     }
 
     /// The refusal of a request that may not be sent again.
@@ -175,7 +175,7 @@
             Code::RetryBudget,
             "servers refused it, and the retry budget is used up",
         )
-        .again(self.come_back())
+        .with_retry_after(self.come_back())
     }
 }
 
--- a/crates/curlewlift/src/gateway/open.rs
+++ b/crates/curlewlift/src/gateway/open.rs
@@ -1,4 +1,4 @@
-//! Requests that are open: counted, so that a planned stop knows when all are finished.
+//! Counts open requests, so that a planned stop knows when all of them have finished.
 
 use std::rc::Rc;
 
@@ -8,35 +8,35 @@
 use hyper::body::Incoming;
 
 use super::body::Answer;
-use super::body::keeping;
+use super::body::with_guard;
 use super::node::Node;
 use super::request;
 
-/// Counts open requests; those that a caller has left too.
-struct Open(Rc<Node>);
+/// Counts a request as open while it lives, also after the caller has disconnected.
+struct OpenGuard(Rc<Node>);
 
-impl Open {
+impl OpenGuard {
     fn new(node: &Rc<Node>) -> Self {
         node.open.set(node.open.get() + 1);
         Self(Rc::clone(node))
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
         self.0.finished.set(self.0.finished.get() + 1);
     }
 }
 
-/// Answers a request, and counts it until its answer's body has gone out.
+/// Serves a request, and counts it as open until its response body has been sent.
 pub(super) async fn answer(node: Rc<Node>, request: Request<Incoming>) -> Answer {
-    let open = Open::new(&node);
-    let stopping = Rc::clone(&node);
-    let mut answer = request::answer(node, request).await;
-    if stopping.stopping.get().is_some() {
+    let open = OpenGuard::new(&node);
+    let stop_state = Rc::clone(&node);
+    let mut response = request::answer(node, request).await;
+    if stop_state.stopping.get().is_some() {
         let close = HeaderValue::from_static("close");
-        answer.headers_mut().insert(header::CONNECTION, close);
+        response.headers_mut().insert(header::CONNECTION, close);
     }
-    answer.map(|body| keeping(body, open))
+    response.map(|body| with_guard(body, open))
 }
--- a/crates/curlewlift/src/gateway/outcome.rs
+++ b/crates/curlewlift/src/gateway/outcome.rs
@@ -10,7 +10,7 @@
 
 use super::body;
 use super::body::Answer;
-use super::body::Reply;
+use super::body::ResponseBody;
 use super::exchange::Coming;
 use super::log::Line;
 use super::log::millis;
@@ -35,7 +35,7 @@
     pub(super) fn whole(&mut self, head: response::Parts, body: Bytes) -> Answer {
         self.told = true;
         self.log_end(head.status.as_u16(), "whole", None);
-        pass_on(head, Some(body.len()), body::whole(body))
+        pass_on(head, Some(body.len()), body::full(body))
     }
 
     /// A server's answer that is passed on as it comes.
@@ -68,7 +68,7 @@
 }
 
 /// The head as the caller gets it: the server's own, but for what concerns one connection only.
-fn pass_on(head: response::Parts, length: Option<usize>, body: Reply) -> Answer {
+fn pass_on(head: response::Parts, length: Option<usize>, body: ResponseBody) -> Answer {
     let mut answer = Response::new(body);
     *answer.status_mut() = head.status;
     let mut headers = head.headers;
--- a/crates/curlewlift/src/gateway/refuse.rs
+++ b/crates/curlewlift/src/gateway/refuse.rs
@@ -1,4 +1,4 @@
-//! Answers of this gateway's own.
+//! Responses with which the gateway itself refuses a request.
 
 use std::time::Duration;
 
@@ -12,42 +12,44 @@
 use super::body;
 use super::body::Answer;
 
-/// An answer that tells why, and when to come back where that is known.
-pub(crate) fn refuse(refusal: &Refusal, again: Option<Duration>) -> Answer {
+/// The response for a refusal: its code and reason, and when to retry, if that is known.
+pub(crate) fn refusal_response(refusal: &Refusal, retry_after: Option<Duration>) -> Answer {
     let code = refusal.get_code();
     let body = json!({
         "code": code.number(),
         "name": code.name(),
         "error": refusal.get_detail(),
     });
-    let mut answer = body::json(body.to_string());
-    *answer.status_mut() =
+    let mut response = body::json(body.to_string());
+    *response.status_mut() =
         StatusCode::from_u16(code.status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    if let Some(again) = again
-        && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", again.as_secs_f64()))
+    if let Some(retry_after) = retry_after
+        && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", retry_after.as_secs_f64()))
     {
-        answer.headers_mut().insert(header::RETRY_AFTER, value);
+        response.headers_mut().insert(header::RETRY_AFTER, value);
     }
-    answer
+    response
 }
 
-/// A refusal with the time after which to come back, where the request surely has not run.
+/// A refusal, with the time after which the caller may retry if the request certainly did not run.
 #[derive(Debug)]
 pub(super) struct Refused {
     pub(super) refusal: Refusal,
-    pub(super) again: Option<Duration>,
+    pub(super) retry_after: Option<Duration>,
 }
 
 impl Refused {
+    /// A refusal without a time to retry.
     pub(super) fn new(code: Code, detail: impl Into<String>) -> Self {
         Self {
             refusal: Refusal::new(code, detail),
-            again: None,
+            retry_after: None,
         }
     }
 
-    pub(super) fn again(mut self, again: Duration) -> Self {
-        self.again = Some(again);
+    /// Adds the time after which the caller may retry.
+    pub(super) fn with_retry_after(mut self, retry_after: Duration) -> Self {
+        self.retry_after = Some(retry_after);
         self
     }
 }
@@ -56,7 +58,7 @@
     fn from(refusal: Refusal) -> Self {
         Self {
             refusal,
-            again: None,
+            retry_after: None,
         }
     }
 }
--- a/crates/curlewlift/src/gateway/relay.rs
+++ b/crates/curlewlift/src/gateway/relay.rs
@@ -14,8 +14,8 @@
 use hyper::body::Incoming;
 use tokio::time::Instant;
 
-use super::body::Cut;
-use super::body::Reply;
+use super::body::ResponseBody;
+use super::body::TruncatedBody;
 use super::events::Events;
 use super::exchange;
 use super::exchange::Coming;
@@ -50,7 +50,7 @@
 }
 
 /// The body of a stream.
-pub(super) fn body(run: Run, coming: Coming) -> Reply {
+pub(super) fn body(run: Run, coming: Coming) -> ResponseBody {
     let first = coming.first;
     let resumable = run.admitted.rule.kind == route::Kind::Resumable;
     let (_, body, place, connection) = coming.open();
@@ -88,7 +88,7 @@
 
 impl Relay {
     /// The next piece for the caller; none at the end.
-    async fn next(&mut self) -> Option<Result<Bytes, Cut>> {
+    async fn next(&mut self) -> Option<Result<Bytes, TruncatedBody>> {
         while !self.ended {
             let until = self.run.admitted.deadline.timer();
             let Ok(frame) = tokio::time::timeout_at(until, self.body.frame()).await else {
@@ -156,7 +156,7 @@
     }
 
     /// The stream cannot go on.
-    fn cut(&mut self, why: String) -> Cut {
+    fn cut(&mut self, why: String) -> TruncatedBody {
         self.ended = true;
         if let Some(place) = &mut self.place
             && !self.run.admitted.deadline.is_past()
@@ -175,7 +175,7 @@
             .after(self.run.admitted.deadline.age())
             .write();
         metrics::counter!("curlewlift_cut").increment(1);
-        Cut(why)
+        TruncatedBody(why)
     }
 
     /// Goes on at another server after a break; false where that cannot be.
--- a/crates/curlewlift/src/gateway/request.rs
+++ b/crates/curlewlift/src/gateway/request.rs
@@ -22,13 +22,14 @@
 pub(super) async fn answer(node: Rc<Node>, request: Request<Incoming>) -> Answer {
     let arrived = node.now();
     metrics::counter!("curlewlift_requests").increment(1);
-    let call = match (node.dialect.read)(request.headers()) {
+    let call = match (node.dialect.parse_request)(request.headers()) {
         Ok(call) => call,
         Err(why) => return refused(Line::new(Kind::Refused), &why.into()),
     };
     let line = Line::new(Kind::Refused).request(call.id.as_ref());
     if let Some(again) = stop::turns_away(&node) {
-        let refusal = Refused::new(Code::Leaving, "this gateway is stopping").again(again);
+        let refusal =
+            Refused::new(Code::Leaving, "this gateway is stopping").with_retry_after(again);
         return refused(line, &refusal);
     }
     let admitted = match admit::admit(&node, request, arrived, call).await {
@@ -50,8 +51,8 @@
     let code = refused.refusal.get_code();
     line.with("code", code.number())
         .with("why", refused.refusal.get_detail())
-        .with("again_ms", refused.again.map(millis))
+        .with("again_ms", refused.retry_after.map(millis))
         .write();
     metrics::counter!("curlewlift_refused", "code" => code.name()).increment(1);
-    refuse::refuse(&refused.refusal, refused.again)
+    refuse::refusal_response(&refused.refusal, refused.retry_after)
 }
--- a/crates/curlewlift/src/gateway/run.rs
+++ b/crates/curlewlift/src/gateway/run.rs
@@ -16,7 +16,7 @@
 
 use super::admit::Admitted;
 use super::body::Answer;
-use super::dialect::Hand;
+use super::dialect::BackendHead;
 use super::exchange;
 use super::exchange::Coming;
 use super::exchange::Failure;
@@ -194,11 +194,11 @@
     pub(super) fn request(&self, place: &Place, after: Option<&str>) -> Request<Full<Bytes>> {
         let admitted = &self.admitted;
         let account = admitted.account.as_ref();
-        let hand = Hand {
-            patience: admitted.deadline.left(),
+        let hand = BackendHead {
+            timeout: admitted.deadline.left(),
             server: &place.server.name,
             customer: account.map(|account| account.name.as_str()),
-            after,
+            last_event_id: after,
         };
         sending::request(&admitted.head, &admitted.body, self.node.dialect, &hand)
     }
--- a/crates/curlewlift/src/gateway/sending.rs
+++ b/crates/curlewlift/src/gateway/sending.rs
@@ -9,8 +9,8 @@
 use bytes::Bytes;
 use http_body_util::Full;
 
+use super::dialect::BackendHead;
 use super::dialect::Dialect;
-use super::dialect::Hand;
 
 /// Headers that concern one connection only.
 const HOP: [HeaderName; 7] = [
@@ -47,7 +47,7 @@
     head: &request::Parts,
     body: &Bytes,
     dialect: Dialect,
-    hand: &Hand<'_>,
+    hand: &BackendHead<'_>,
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(body.clone()));
     *request.method_mut() = head.method.clone();
@@ -65,7 +65,7 @@
     {
         headers.insert(header::HOST, host);
     }
-    (dialect.dress)(&mut headers, hand);
+    (dialect.prepare_request)(&mut headers, hand);
     *request.headers_mut() = headers;
     request
 }
--- a/crates/curlewlift/src/platform/heads.rs
+++ b/crates/curlewlift/src/platform/heads.rs
@@ -13,10 +13,10 @@
 use curlewlift_core::limit::Rate;
 use curlewlift_core::pool::Notice;
 
-use crate::gateway::Call;
+use crate::gateway::BackendHead;
 use crate::gateway::Dialect;
-use crate::gateway::Hand;
-use crate::gateway::Marks;
+use crate::gateway::RequestHead;
+use crate::gateway::ResponseHead;
 
 use super::http;
 
@@ -65,14 +65,18 @@
     HeaderName::from_static("kv-fetch"),
 ];
 
-/// How the platform's heads are read and written.
-pub(super) const DIALECT: Dialect = Dialect { read, dress, marks };
+/// Parses and writes the header fields of the platform.
+pub(super) const DIALECT: Dialect = Dialect {
+    parse_request,
+    prepare_request,
+    parse_response,
+};
 
-fn read(headers: &HeaderMap) -> Result<Call, Refusal> {
-    Ok(Call {
+fn parse_request(headers: &HeaderMap) -> Result<RequestHead, Refusal> {
+    Ok(RequestHead {
         id: headers.get(REQUEST).cloned(),
         key: key(headers),
-        patience: number(headers, &PATIENCE)?.map(Duration::from_millis),
+        timeout: number(headers, &PATIENCE)?.map(Duration::from_millis),
         tokens: tokens(headers)?,
     })
 }
@@ -118,17 +122,17 @@
     )
 }
 
-fn dress(headers: &mut HeaderMap, hand: &Hand<'_>) {
+fn prepare_request(headers: &mut HeaderMap, hand: &BackendHead<'_>) {
     headers.remove(header::AUTHORIZATION);
     for name in OURS {
         headers.remove(name);
     }
-    set(headers, PATIENCE, &hand.patience.as_millis().to_string());
+    set(headers, PATIENCE, &hand.timeout.as_millis().to_string());
     set(headers, MEANT, hand.server);
     if let Some(customer) = hand.customer {
         set(headers, CUSTOMER, customer);
     }
-    if let Some(after) = hand.after {
+    if let Some(after) = hand.last_event_id {
         set(headers, AFTER, after);
     }
 }
@@ -142,8 +146,8 @@
     }
 }
 
-fn marks(status: u16, headers: &HeaderMap) -> Marks {
-    Marks {
+fn parse_response(status: u16, headers: &HeaderMap) -> ResponseHead {
+    ResponseHead {
         id: headers.get(REQUEST).cloned(),
         not_run: headers.contains_key(NOT_RUN),
         moved: status == MISDIRECTED,
--- a/crates/curlewlift/src/platform/heads/tests.rs
+++ b/crates/curlewlift/src/platform/heads/tests.rs
@@ -8,7 +8,7 @@
 use curlewlift_core::limit::Announcement;
 use curlewlift_core::pool::Notice;
 
-use super::marks;
+use super::parse_response;
 
 fn headers(pairs: &[(&'static str, &'static str)]) -> HeaderMap {
     let pairs = pairs.iter().map(|(name, value)| {
@@ -21,7 +21,7 @@
 /// What an answer with these times says.
 fn rests(status: u16, values: &[&'static str]) -> Vec<Notice> {
     let pairs: Vec<_> = values.iter().map(|value| ("retry-after", *value)).collect();
-    marks(status, &headers(&pairs)).notices
+    parse_response(status, &headers(&pairs)).notices
 }
 
 #[test]
@@ -56,7 +56,7 @@
 #[test]
 fn leaves() {
     for status in [200, 421, 500, 503] {
-        let says = |value| marks(status, &headers(&[("server-leaving", value)])).notices;
+        let says = |value| parse_response(status, &headers(&[("server-leaving", value)])).notices;
         assert_eq!(says("1"), [Notice::Draining], "{status}");
         assert_eq!(says("0"), [], "{status}");
     }
@@ -68,7 +68,7 @@
         .iter()
         .map(|value| ("server-limit", *value))
         .collect();
-    marks(200, &headers(&pairs)).limit
+    parse_response(200, &headers(&pairs)).limit
 }
 
 #[test]
--- a/crates/curlewlift/src/platform/http.rs
+++ b/crates/curlewlift/src/platform/http.rs
@@ -10,7 +10,7 @@
 
 use crate::gateway;
 use crate::gateway::Answer;
-use crate::gateway::whole;
+use crate::gateway::full;
 
 /// Before an operator or caller asks again where nobody could answer, in seconds.
 const AGAIN: &str = "0.2";
@@ -26,14 +26,14 @@
 
 /// An answer without a body.
 pub(super) fn empty(status: StatusCode) -> Answer {
-    let mut answer = Response::new(whole(""));
+    let mut answer = Response::new(full(""));
     *answer.status_mut() = status;
     answer
 }
 
 /// A refusal, with the time after which to ask again where nobody could answer.
 pub(super) fn refused(refusal: &Refusal) -> Answer {
-    let mut answer = gateway::refuse(refusal, None);
+    let mut answer = gateway::refusal_response(refusal, None);
     if answer.status() == StatusCode::SERVICE_UNAVAILABLE {
         let again = HeaderValue::from_static(AGAIN);
         answer.headers_mut().insert(header::RETRY_AFTER, again);
