--- a/crates/curlewlift/src/gateway/daemon.rs
+++ b/crates/curlewlift/src/gateway/daemon.rs
@@ -163,7 +163,7 @@
         table.map_or_else(Limits::default, |table| table.get_limits())
     };
     serve::serve(listener, limits, move |request| {
-        open::answer(Rc::clone(&node), request)
+        open::handle(Rc::clone(&node), request)
     })
     .await;
 }
--- a/crates/curlewlift/src/gateway/open.rs
+++ b/crates/curlewlift/src/gateway/open.rs
@@ -30,10 +30,10 @@
 }
 
 /// Serves a request, and counts it as open until its response body has been sent.
-pub(super) async fn answer(node: Rc<Node>, request: Request<Incoming>) -> Answer {
+pub(super) async fn handle(node: Rc<Node>, request: Request<Incoming>) -> Answer {
     let open = OpenGuard::new(&node);
     let stop_state = Rc::clone(&node);
-    let mut response = request::answer(node, request).await;
+    let mut response = request::handle(node, request).await;
     if stop_state.stopping.get().is_some() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
--- a/crates/curlewlift/src/gateway/request.rs
+++ b/crates/curlewlift/src/gateway/request.rs
@@ -19,7 +19,7 @@
 use super::stop;
 
 /// Serves one request.
-pub(super) async fn answer(node: Rc<Node>, request: Request<Incoming>) -> Answer {
+pub(super) async fn handle(node: Rc<Node>, request: Request<Incoming>) -> Answer {
     let arrived = node.now();
     metrics::counter!("curlewlift_requests").increment(1);
     let head_fields = match (node.dialect.parse_request)(request.headers()) {
