--- a/crates/curlewlift/tests/platform_quarantine.rs
+++ b/crates/curlewlift/tests/platform_quarantine.rs
@@ -1,14 +1,9 @@
-//! A request that ends each backend server that begins to run it, through real gateways.
+//! A request that crashes each backend server that begins to run it, sent through real gateways.
 //!
-//! A customer's stream ended the server that ran it, and came again with the same path and body at another
-//! gateway, under another name. Each gateway, and the hub, took each try for a new request, so it was given a
-//! server for as long as it came: twelve and thirteen servers ended under one request, seven and eight of them
-//! after the third, and with them 154 other answers.
-//!
-//! What settled it are the lines on sendings and on cut streams: of 30 servers that broke off, 18 did so under a
-//! stream of one customer, rule and size and 10 under another, and no other was beside more than two; each of
-//! those was a first sending (`"sent":1`) to which the hub gave the place (`"by":"hub"`), its last word 54 ms old
-//! at the most.
+//! The caller retries the request with the same path and body at another gateway, under another request id. If the
+//! gateways and the hub treat each retry as a new request, it is given one server after another: twelve and thirteen
+//! servers crashed under one request, and 154 other responses were lost with them. The request must be quarantined
+//! after a few crashes.
 
 mod platform;
 
@@ -25,185 +20,212 @@
 use platform::folder;
 use platform::wait;
 
-/// How many servers a request may end, and how often it may be sent past that.
-const ALLOWED: u64 = 3 + 3;
+/// Maximum number of servers that a request may crash: three until it is quarantined, and three attempts that
+/// may be sent beyond that.
+const MAX_CRASHES: u64 = 3 + 3;
 
-/// How long a server that has ended, and the list that says so, take to be back.
-const BACK: Duration = Duration::from_millis(1_500);
+/// Time until a crashed server runs again and the server list says so.
+const RECOVERY_TIME: Duration = Duration::from_millis(1_500);
 
-struct World {
+/// Hosts with an active configuration, and the engines of the service `chat`.
+struct Deployment {
     hosts: Hosts,
     engines: Vec<Engine>,
-    /// Tells tries apart.
-    tries: AtomicU32,
+    /// The number of attempts so far, which makes request ids unique.
+    attempts: AtomicU32,
 }
 
-impl World {
+impl Deployment {
     fn start(name: &str) -> Self {
         let names = ["i-1", "i-2", "i-3", "i-4"];
         let engines = names.map(Engine::start).to_vec();
-        let listed: Vec<_> = engines.iter().map(|engine| (engine, "chat")).collect();
-        let hosts = Hosts::start(folder(name), &listed);
+        let server_list: Vec<_> = engines.iter().map(|engine| (engine, "chat")).collect();
+        let hosts = Hosts::start(folder(name), &server_list);
         hosts.configure(&document(7).to_string());
         Self {
             hosts,
             engines,
-            tries: AtomicU32::new(0),
+            attempts: AtomicU32::new(0),
         }
     }
 
-    /// One more try of a customer's request, at one of the hosts.
-    fn ask(&self, customer: &str, place: usize, path: &str, play: &str) -> Answer {
-        let number = self.tries.fetch_add(1, Ordering::Relaxed);
+    /// Sends one more attempt of a customer's request to one of the hosts.
+    fn ask(&self, customer: &str, host: usize, path: &str, play: &str) -> Answer {
+        let number = self.attempts.fetch_add(1, Ordering::Relaxed);
         let head = format!(
             "POST {path} HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: try-{number}\r\n\
              X-Play: {play}\r\nX-Deadline-Ms: 5000\r\nAuthorization: Bearer key-{customer}"
         );
-        ask(self.hosts.callers(place), &head, "question")
+        ask(self.hosts.callers(host), &head, "question")
     }
 
-    /// Servers that have ended are back, and on the list.
-    fn come_back(&self) {
+    /// Puts all servers on the list again, and waits until crashed ones run again.
+    fn restore_engines(&self) {
         let entries = self.engines.iter();
         let entries = entries.map(|engine| entry(engine, "chat", "ready"));
         self.hosts.list(entries.collect());
-        std::thread::sleep(BACK);
+        std::thread::sleep(RECOVERY_TIME);
     }
 
-    /// How many servers have ended under a request.
-    fn ended(&self) -> u64 {
+    /// The number of servers that have crashed under a request.
+    fn crashes(&self) -> u64 {
         self.engines.iter().map(Engine::ended).sum()
     }
 }
 
-/// It comes again at all hosts in turn.
+/// The request is retried at all hosts in turn.
 #[test]
-fn comes_again() {
-    let world = World::start("comes_again");
+fn retried_at_all_hosts() {
+    let deployment = Deployment::start("retried_at_all_hosts");
     for round in 0..9 {
-        world.ask("ann", round % 3, "/stream/again", "crash");
-        world.come_back();
+        deployment.ask("ann", round % 3, "/stream/again", "crash");
+        deployment.restore_engines();
     }
-    assert!(world.ended() <= ALLOWED, "{} ended", world.ended());
-    let answer = world.ask("ann", 0, "/stream/again", "crash");
-    assert_eq!(answer.status, 502, "it may have run: {}", answer.body);
+    assert!(
+        deployment.crashes() <= MAX_CRASHES,
+        "{} servers crashed",
+        deployment.crashes()
+    );
+    let answer = deployment.ask("ann", 0, "/stream/again", "crash");
+    assert_eq!(
+        answer.status, 502,
+        "the request may have run: {}",
+        answer.body
+    );
     assert_eq!(answer.header("retry-after"), None);
 }
 
-/// It is known again after all hosts were killed, and another hub leads.
+/// The quarantine is still known after all hosts were killed and another hub leads.
 #[test]
-fn all_killed() {
-    let mut world = World::start("all_killed");
+fn remembered_after_restart() {
+    let mut deployment = Deployment::start("remembered_after_restart");
     for round in 0..3 {
-        world.ask("ann", round % 3, "/stream/killed", "crash");
-        world.come_back();
+        deployment.ask("ann", round % 3, "/stream/killed", "crash");
+        deployment.restore_engines();
     }
-    assert_eq!(world.ended(), 3);
-    for place in world.hosts.places() {
-        world.hosts.kill(place);
+    assert_eq!(deployment.crashes(), 3);
+    for host in deployment.hosts.places() {
+        deployment.hosts.kill(host);
     }
-    for place in world.hosts.places() {
-        world.hosts.boot(place, false);
+    for host in deployment.hosts.places() {
+        deployment.hosts.boot(host, false);
     }
-    wait("all are ready", || {
-        world
+    wait("all hosts are ready", || {
+        deployment
             .hosts
             .places()
-            .all(|place| world.hosts.is_ready(place))
+            .all(|host| deployment.hosts.is_ready(host))
     });
     for round in 0..3 {
-        let answer = world.ask("ann", round, "/stream/killed", "crash");
+        let answer = deployment.ask("ann", round, "/stream/killed", "crash");
         assert_eq!(answer.status, 502, "{round}: {}", answer.body);
     }
-    assert!(world.ended() <= ALLOWED, "{} ended", world.ended());
+    assert!(
+        deployment.crashes() <= MAX_CRASHES,
+        "{} servers crashed",
+        deployment.crashes()
+    );
 }
 
-/// It is known at a host that hears no hub.
+/// The request is quarantined at a host that cannot reach the hub.
 #[test]
-fn no_hub() {
-    let mut world = World::start("no_hub");
+fn hub_unreachable() {
+    let mut deployment = Deployment::start("hub_unreachable");
     for round in 0..3 {
-        world.ask("ann", round % 3, "/stream/alone", "crash");
-        world.come_back();
+        deployment.ask("ann", round % 3, "/stream/alone", "crash");
+        deployment.restore_engines();
     }
-    world.hosts.kill(0);
-    world.hosts.kill(1);
-    // It was told of two of the ends, or sees another one itself.
-    let withheld = "\"code\":4005,";
-    wait("it is kept away", || {
-        let answer = world.ask("ann", 2, "/stream/alone", "crash");
-        answer.body.contains(withheld)
+    deployment.hosts.kill(0);
+    deployment.hosts.kill(1);
+    // This host has been informed of two of the crashes, or sees another one itself.
+    let quarantined_code = "\"code\":4005,";
+    wait("the request is quarantined", || {
+        let answer = deployment.ask("ann", 2, "/stream/alone", "crash");
+        answer.body.contains(quarantined_code)
     });
     for _ in 0..4 {
-        let answer = world.ask("ann", 2, "/stream/alone", "crash");
-        assert!(answer.body.contains(withheld), "{}", answer.body);
+        let answer = deployment.ask("ann", 2, "/stream/alone", "crash");
+        assert!(answer.body.contains(quarantined_code), "{}", answer.body);
     }
-    assert!(world.ended() <= ALLOWED, "{} ended", world.ended());
-    assert_eq!(world.ask("ann", 2, "/stream/other", "answer").status, 200);
+    assert!(
+        deployment.crashes() <= MAX_CRASHES,
+        "{} servers crashed",
+        deployment.crashes()
+    );
+    assert_eq!(
+        deployment.ask("ann", 2, "/stream/other", "answer").status,
+        200
+    );
 }
 
-/// Another customer's request is another one, whatever it says; and what ran beside it is served when it
-/// comes again.
+/// The same request of another customer is a different request, and requests that ran on the crashed server are served
+/// when they are retried.
 #[test]
-fn others_served() {
-    let world = World::start("others_served");
+fn other_requests_served() {
+    let deployment = Deployment::start("other_requests_served");
     for round in 0..3 {
         let path = format!("/stream/beside-{round}");
         std::thread::scope(|scope| {
-            let beside: Vec<_> = (0..4)
-                .map(|_| scope.spawn(|| world.ask("ann", round, &path, "hang")))
+            let concurrent: Vec<_> = (0..4)
+                .map(|_| scope.spawn(|| deployment.ask("ann", round, &path, "hang")))
                 .collect();
             std::thread::sleep(Duration::from_millis(100));
-            world.ask("ann", round, "/open/bad", "crash");
-            for beside in beside {
-                let answer = beside.join().expect("it is answered");
+            deployment.ask("ann", round, "/open/bad", "crash");
+            for concurrent in concurrent {
+                let answer = concurrent.join().expect("the request thread returns");
                 assert!(!answer.whole || answer.status != 200);
             }
         });
-        world.come_back();
-        assert_eq!(world.ask("ann", round, &path, "answer").status, 200);
+        deployment.restore_engines();
+        assert_eq!(deployment.ask("ann", round, &path, "answer").status, 200);
     }
-    // On a rule that is open to all whoever has no key is another one.
-    assert_eq!(world.ask("ann", 0, "/open/bad", "answer").status, 502);
-    assert_eq!(world.ask("nobody", 0, "/open/bad", "answer").status, 200);
+    // On a public rule, a caller without a key is a different customer.
+    assert_eq!(deployment.ask("ann", 0, "/open/bad", "answer").status, 502);
+    assert_eq!(
+        deployment.ask("nobody", 0, "/open/bad", "answer").status,
+        200
+    );
 }
 
-/// On routes whose requests are sent again within one try, that counts as well.
+/// Attempts that a gateway retries itself, within one request of the caller, count as well.
 #[test]
-fn sent_again() {
-    let world = World::start("sent_again");
+fn retried_by_gateway() {
+    let deployment = Deployment::start("retried_by_gateway");
     for path in ["/safe/again", "/resume/again"] {
-        let before = world.ended();
+        let crashes_before = deployment.crashes();
         for round in 0..4 {
-            world.ask("ann", round % 3, path, "crash");
-            world.come_back();
+            deployment.ask("ann", round % 3, path, "crash");
+            deployment.restore_engines();
         }
-        // One more where a gateway hears no hub for a moment and has not been told of the others' ends.
-        let ended = world.ended() - before;
-        assert!((3..=ALLOWED).contains(&ended), "{path}: {ended}");
+        // More than three if a gateway cannot reach the hub for a moment and has not been informed of all crashes.
+        let crashes = deployment.crashes() - crashes_before;
+        assert!(
+            (3..=MAX_CRASHES).contains(&crashes),
+            "{path}: {crashes} servers crashed"
+        );
     }
 }
 
-/// Two requests of different kinds end servers in turn, and a third one is sent beside them: each of the two is told
-/// from the other and kept away by its own ends, and the third is served throughout.
+/// Two requests of different kinds crash servers in turn, and a third one is sent between them: each of the two is
+/// quarantined for its own crashes, and the third is served throughout.
 #[test]
-fn two_in_turn() {
-    let world = World::start("two_in_turn");
+fn two_crashing_requests() {
+    let deployment = Deployment::start("two_crashing_requests");
     for round in 0..5 {
         for path in ["/stream/first", "/safe/second"] {
-            world.ask("ann", round % 3, path, "crash");
-            world.come_back();
-            let beside = world.ask("ann", round % 3, "/stream/beside", "answer");
-            assert_eq!(beside.status, 200, "{round} {path}: {}", beside.body);
+            deployment.ask("ann", round % 3, path, "crash");
+            deployment.restore_engines();
+            let other = deployment.ask("ann", round % 3, "/stream/beside", "answer");
+            assert_eq!(other.status, 200, "{round} {path}: {}", other.body);
         }
     }
     assert!(
-        (6..=2 * ALLOWED).contains(&world.ended()),
+        (6..=2 * MAX_CRASHES).contains(&deployment.crashes()),
         "{}",
-        world.ended()
+        deployment.crashes()
     );
     for path in ["/stream/first", "/safe/second"] {
-        let answer = world.ask("ann", 1, path, "crash");
+        let answer = deployment.ask("ann", 1, path, "crash");
         assert_eq!(answer.status, 502, "{path}: {}", answer.body);
     }
 }
--- a/crates/curlewlift/tests/platform_requests.rs
+++ b/crates/curlewlift/tests/platform_requests.rs
@@ -1,4 +1,5 @@
-//! Requests in the platform's words, through a gateway, to engines that fail in every way.
+//! Requests in the platform's wire format, sent through a gateway to engines that fail in various ways: the gateway must
+//! not run a request twice, lose stream events or deliver a truncated response as complete.
 
 mod platform;
 
@@ -10,22 +11,22 @@
 use platform::folder;
 use platform::wait;
 
-/// Hosts with a configuration in force, and the two engines of `chat`.
-struct World {
+/// Hosts with an active configuration, and the two engines of the service `chat`.
+struct Deployment {
     hosts: Hosts,
     engines: [Engine; 2],
 }
 
-impl World {
+impl Deployment {
     fn start(name: &str) -> Self {
         let engines = [Engine::start("i-1"), Engine::start("i-2")];
-        let listed: Vec<_> = engines.iter().map(|engine| (engine, "chat")).collect();
-        let hosts = Hosts::start(folder(name), &listed);
+        let server_list: Vec<_> = engines.iter().map(|engine| (engine, "chat")).collect();
+        let hosts = Hosts::start(folder(name), &server_list);
         hosts.configure(&document(7).to_string());
         Self { hosts, engines }
     }
 
-    /// One request of `ann` on a route, which the engines answer as `play` says.
+    /// Sends one request of the customer `ann` on a route; `play` selects how the engines respond.
     fn play(&self, route: &str, play: &str) -> Answer {
         let head = format!(
             "POST /{route}/path?q=1 HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: {play}-1\r\n\
@@ -34,80 +35,91 @@
         ask(self.hosts.callers(0), &head, "question")
     }
 
-    /// How many requests reached an engine.
-    fn came(&self) -> usize {
+    /// The number of requests that reached an engine.
+    fn received(&self) -> usize {
         self.engines.iter().map(|engine| engine.came().len()).sum()
     }
 }
 
 #[test]
-fn passed_unchanged() {
-    let world = World::start("passed_unchanged");
+fn forwarded_unchanged() {
+    let deployment = Deployment::start("forwarded_unchanged");
     let head = "POST /safe/a%20b?x=%2F HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: one\r\n\
                 X-Deadline-Ms: 5000\r\nAuthorization: Bearer key-ann\r\nX-Tenant: forged\r\n\
                 X-Hold: forged\r\nKv-From: forged\r\nX-Model: m\r\nX-Token-Counts: 10,20";
-    let answer = ask(world.hosts.callers(1), head, "the body");
+    let answer = ask(deployment.hosts.callers(1), head, "the body");
     assert_eq!((answer.status, answer.body.as_str()), (200, "done"));
     assert_eq!(answer.header("x-response-signature"), Some("sealed"));
-    let came = world.engines.iter().flat_map(Engine::came);
-    let came: Vec<_> = came.collect();
-    assert_eq!(came.len(), 1);
+    let received = deployment.engines.iter().flat_map(Engine::came);
+    let received: Vec<_> = received.collect();
+    assert_eq!(received.len(), 1);
     assert!(
-        came[0]
+        received[0]
             .head
             .starts_with("POST /safe/a%20b?x=%2F HTTP/1.1\r\n")
     );
-    assert_eq!(came[0].body, "the body");
-    assert_eq!(came[0].header("x-tenant"), Some("ann"));
-    assert_eq!(came[0].header("x-model"), Some("m"));
-    assert_eq!(came[0].header("x-attempt-id"), Some("one"));
-    for taken_off in ["authorization", "x-hold", "kv-from"] {
-        assert_eq!(came[0].header(taken_off), None, "{taken_off}");
+    assert_eq!(received[0].body, "the body");
+    assert_eq!(received[0].header("x-tenant"), Some("ann"));
+    assert_eq!(received[0].header("x-model"), Some("m"));
+    assert_eq!(received[0].header("x-attempt-id"), Some("one"));
+    for removed in ["authorization", "x-hold", "kv-from"] {
+        assert_eq!(received[0].header(removed), None, "{removed}");
     }
-    let left: u64 = came[0]
+    let timeout_ms: u64 = received[0]
         .header("x-deadline-ms")
-        .and_then(|left| left.parse().ok())
-        .expect("set");
-    assert!(left <= 5000);
+        .and_then(|timeout_ms| timeout_ms.parse().ok())
+        .expect("the deadline header is set");
+    assert!(timeout_ms <= 5000);
 }
 
 #[test]
 fn not_run_goes_elsewhere() {
-    let world = World::start("not_run_goes_elsewhere");
+    let deployment = Deployment::start("not_run_goes_elsewhere");
     for round in 0..8 {
-        let answer = world.play("once", "first=shed");
+        let answer = deployment.play("once", "first=shed");
         assert_eq!(
             (answer.status, answer.body.as_str()),
             (200, "done"),
             "{round}"
         );
     }
-    let answer = world.play("once", "shed");
+    let answer = deployment.play("once", "shed");
     assert_eq!(answer.status, 503);
-    assert!(answer.header("retry-after").is_some(), "nothing ran");
+    assert!(
+        answer.header("retry-after").is_some(),
+        "the request did not run"
+    );
 }
 
 #[test]
 fn unknown_runs_once() {
-    let world = World::start("unknown_runs_once");
+    let deployment = Deployment::start("unknown_runs_once");
     for (number, play) in ["close", "short", "foreign", "unsigned"]
         .into_iter()
         .enumerate()
     {
-        let answer = world.play("once", play);
+        let answer = deployment.play("once", play);
         assert_eq!(answer.status, 502, "{play}");
-        assert_eq!(answer.header("retry-after"), None, "{play} may have run");
+        assert_eq!(
+            answer.header("retry-after"),
+            None,
+            "{play}: the request may have run"
+        );
         assert_eq!(answer.header("x-response-signature"), None, "{play}");
-        assert_eq!(world.came(), number + 1, "{play} was sent once");
+        assert_eq!(
+            deployment.received(),
+            number + 1,
+            "{play}: the request was sent once"
+        );
     }
 }
 
 #[test]
 fn safe_goes_elsewhere() {
-    let world = World::start("safe_goes_elsewhere");
+    let deployment = Deployment::start("safe_goes_elsewhere");
     for play in ["first=close", "first=short", "first=foreign", "first=fail"] {
         for round in 0..4 {
-            let answer = world.play("safe", play);
+            let answer = deployment.play("safe", play);
             assert_eq!(
                 (answer.status, answer.body.as_str()),
                 (200, "done"),
@@ -115,80 +127,94 @@
             );
         }
     }
-    let answer = world.play("safe", "fail");
+    let answer = deployment.play("safe", "fail");
     assert_eq!(
         (answer.status, answer.body.as_str()),
         (500, "failed"),
-        "the engine's own"
+        "the error response is the engine's own"
     );
 }
 
 #[test]
-fn surplus_answer() {
-    let world = World::start("surplus_answer");
+fn surplus_bytes_ignored() {
+    let deployment = Deployment::start("surplus_bytes_ignored");
     for _ in 0..4 {
-        assert_eq!(world.play("once", "surplus").body, "right");
-        assert_eq!(world.play("once", "answer").body, "done");
+        assert_eq!(deployment.play("once", "surplus").body, "right");
+        assert_eq!(deployment.play("once", "answer").body, "done");
     }
 }
 
 #[test]
-fn stream_whole() {
-    let world = World::start("stream_whole");
-    let answer = world.play("stream", "events");
+fn stream_complete() {
+    let deployment = Deployment::start("stream_complete");
+    let answer = deployment.play("stream", "events");
     assert!(answer.whole);
     let events: Vec<_> = (1..7).map(|n| format!("id: {n}\ndata: e{n}\n\n")).collect();
     assert_eq!(answer.body, events.concat());
 }
 
 #[test]
-fn stream_cut() {
-    let world = World::start("stream_cut");
-    let answer = world.play("stream", "break");
+fn stream_truncated() {
+    let deployment = Deployment::start("stream_truncated");
+    let answer = deployment.play("stream", "break");
     assert_eq!(answer.status, 200);
-    assert!(!answer.whole, "it must not look whole");
-    assert_eq!(world.came(), 1);
+    assert!(
+        !answer.whole,
+        "a truncated stream must not end like a complete one"
+    );
+    assert_eq!(deployment.received(), 1);
 }
 
 #[test]
-fn stream_taken_up() {
-    let world = World::start("stream_taken_up");
-    let answer = world.play("resume", "break");
+fn stream_resumed() {
+    let deployment = Deployment::start("stream_resumed");
+    let answer = deployment.play("resume", "break");
     assert!(answer.whole);
     let events: Vec<_> = (1..7).map(|n| format!("id: {n}\ndata: e{n}\n\n")).collect();
-    assert_eq!(answer.body, events.concat(), "no event is lost or doubled");
-    assert_eq!(world.came(), 2);
+    assert_eq!(
+        answer.body,
+        events.concat(),
+        "no event is lost or duplicated"
+    );
+    assert_eq!(deployment.received(), 2);
 }
 
 #[test]
-fn caller_leaves() {
-    let world = World::start("caller_leaves");
-    let address = world.hosts.callers(0);
+fn caller_disconnects() {
+    let deployment = Deployment::start("caller_disconnects");
+    let address = deployment.hosts.callers(0);
     let head = "POST /once/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: gone\r\nX-Play: hang\r\n\
                 X-Deadline-Ms: 5000\r\nAuthorization: Bearer key-ann\r\nContent-Length: 0\r\n\r\n";
     let mut stream = std::net::TcpStream::connect(address).expect("a connection");
     std::io::Write::write_all(&mut stream, head.as_bytes()).expect("written");
-    wait("it reaches an engine", || world.came() == 1);
+    wait("the request reaches an engine", || {
+        deployment.received() == 1
+    });
     drop(stream);
-    wait("the engine is left", || {
-        world.engines.iter().any(|engine| engine.left() == 1)
+    wait("the connection to the engine is closed", || {
+        deployment.engines.iter().any(|engine| engine.left() == 1)
     });
 }
 
 #[test]
-fn time_is_up() {
-    let world = World::start("time_is_up");
-    let answer = world.play("brief", "hang");
+fn deadline_passes() {
+    let deployment = Deployment::start("deadline_passes");
+    let answer = deployment.play("brief", "hang");
     assert_eq!(answer.status, 504);
-    assert_eq!(answer.header("retry-after"), None, "it may have run");
+    assert_eq!(
+        answer.header("retry-after"),
+        None,
+        "the request may have run"
+    );
 }
 
 #[test]
-fn refused_heads() {
-    let world = World::start("refused_heads");
-    let status = |line: &str, more: &str| {
-        let head = format!("{line} HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a{more}");
-        ask(world.hosts.callers(0), &head, "").status
+fn invalid_requests_rejected() {
+    let deployment = Deployment::start("invalid_requests_rejected");
+    let status = |request_line: &str, headers: &str| {
+        let head =
+            format!("{request_line} HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a{headers}");
+        ask(deployment.hosts.callers(0), &head, "").status
     };
     let ann = "\r\nAuthorization: Bearer key-ann";
     assert_eq!(status("GET /safe/", ""), 401);
@@ -204,54 +230,57 @@
     );
     assert_eq!(status("GET /open/", ""), 200);
     assert_eq!(status("GET /safe/", ann), 200);
-    assert_eq!(world.came(), 2);
-    let long = "x".repeat(100_001);
+    assert_eq!(deployment.received(), 2);
+    let large_body = "x".repeat(100_001);
     let head = format!("POST /safe/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a{ann}");
-    assert_eq!(ask(world.hosts.callers(0), &head, &long).status, 413);
+    assert_eq!(
+        ask(deployment.hosts.callers(0), &head, &large_body).status,
+        413
+    );
 }
 
 #[test]
-fn allowance_used_up() {
-    let world = World::start("allowance_used_up");
+fn quota_exhausted() {
+    let deployment = Deployment::start("quota_exhausted");
     let head = "GET /safe/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a\r\n\
                 Authorization: Bearer key-ben";
-    // Its 250 tokens and a little, at 100 a request.
+    // The quota is 250 tokens, plus what is refilled meanwhile; each request costs 100.
     let statuses: Vec<_> = (0..8)
-        .map(|_| ask(world.hosts.callers(0), head, "").status)
+        .map(|_| ask(deployment.hosts.callers(0), head, "").status)
         .collect();
     let served = statuses.iter().filter(|status| **status == 200).count();
     assert!((2..=3).contains(&served), "{statuses:?}");
-    let answer = ask(world.hosts.callers(0), head, "");
+    let answer = ask(deployment.hosts.callers(0), head, "");
     assert_eq!(answer.status, 429);
     assert!(answer.header("retry-after").is_some());
     assert_eq!(
-        world.play("safe", "answer").status,
+        deployment.play("safe", "answer").status,
         200,
-        "others are not touched"
+        "other customers are not affected"
     );
 }
 
-/// Counts that add up beyond any number must not come out as none.
+/// Token counts whose sum overflows must not be charged as zero.
 #[test]
-fn counts_beyond_numbers() {
-    let world = World::start("counts_beyond_numbers");
+fn token_count_overflow() {
+    let deployment = Deployment::start("token_count_overflow");
     let head = "GET /safe/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a\r\n\
                 X-Token-Counts: 18446744073709551615,2\r\nAuthorization: Bearer key-ben";
     let statuses: Vec<_> = (0..4)
-        .map(|_| ask(world.hosts.callers(0), head, "").status)
+        .map(|_| ask(deployment.hosts.callers(0), head, "").status)
         .collect();
     let refused = statuses.iter().filter(|status| **status == 429).count();
     assert!(refused >= 3, "{statuses:?}");
 }
 
 #[test]
-fn drained_takes_none() {
-    let world = World::start("drained_takes_none");
-    world.hosts.drain(&world.engines[0]);
-    let taken = |engine: &Engine| engine.came().len();
-    wait("the first engine is left alone at all hosts", || {
-        let before = taken(&world.engines[0]);
-        (0..12).for_each(|_| drop(world.play("safe", "answer")));
-        taken(&world.engines[0]) == before
+fn draining_gets_none() {
+    let deployment = Deployment::start("draining_gets_none");
+    deployment.hosts.drain(&deployment.engines[0]);
+    let received = |engine: &Engine| engine.came().len();
+    wait("no host sends requests to the first engine", || {
+        let before = received(&deployment.engines[0]);
+        (0..12).for_each(|_| drop(deployment.play("safe", "answer")));
+        received(&deployment.engines[0]) == before
     });
 }
--- a/crates/curlewlift/tests/platform_seeds.rs
+++ b/crates/curlewlift/tests/platform_seeds.rs
@@ -1,20 +1,9 @@
-//! Finding control again after a restart whose settings name other hosts to begin with.
+//! Finding the control replicas after a restart, when the settings name other hosts as seeds.
 //!
-//! Seen: all processes of a deployment were killed and were back within a second; for the 12 s that were
-//! looked at none of 121 requests was served.
-//!
-//! Sequence: every host answers operators, so the settings came to name three hosts without a disk
-//! (second 1 to 3). Five hosts that were restarted at 11 s and 14 s never got a table again; the others,
-//! which knew the leader, served on. At 35 s all were killed. The replicas elected a leader 0.01 s after
-//! the last of them had started (`400 leads term=2`), and no gateway ever asked it, not even the one in
-//! its own process.
-//!
-//! Cause: a gateway looked for control at the hosts that its settings name and nowhere else, and a host
-//! without a replica answers nothing there. What settled it: `7003 unreachable: 10.1.0.29:7080:
-//! Connection refused`, 10.1.0.29 being a host that started with `"replica":false`, in the answers to
-//! operators of every host that was restarted; and no `hub-found` after the exchange. Ruled out: that
-//! the leader was not settled (a leader that is not steps down within 0.6 s, and it wrote no `follows`),
-//! and that a disk was lost (its term went on from the former one).
+//! All processes of a deployment were killed and restarted within a second, and for the next 12 s none of 121 requests
+//! was served. The settings had come to name three hosts without a disk. A gateway looked for control replicas only at
+//! the hosts that its settings name, and a host without a replica does not respond there. The replicas elected a leader
+//! at once, but no gateway ever polled it, not even the one in its own process.
 
 mod platform;
 
@@ -25,45 +14,47 @@
 use platform::folder;
 use platform::wait;
 
-/// Hosts without a disk.
-const MORE: u8 = 3;
+/// Number of hosts without a disk.
+const DISKLESS_HOSTS: u8 = 3;
 
-fn served(hosts: &Hosts, place: usize) -> bool {
+/// Whether a host is ready and serves a request.
+fn is_served(hosts: &Hosts, host: usize) -> bool {
     let head = "GET /safe/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a\r\n\
                 X-Deadline-Ms: 5000\r\nAuthorization: Bearer key-ann";
-    hosts.is_ready(place) && ask(hosts.callers(place), head, "").status == 200
+    hosts.is_ready(host) && ask(hosts.callers(host), head, "").status == 200
 }
 
+/// Starts hosts with a configuration and one engine.
 fn start(name: &str) -> Hosts {
     let engine = Engine::start("i-1");
-    let hosts = Hosts::start_more(folder(name), &[(&engine, "chat")], MORE, None);
+    let hosts = Hosts::start_more(folder(name), &[(&engine, "chat")], DISKLESS_HOSTS, None);
     hosts.configure(&document(7).to_string());
     hosts
 }
 
-/// One host is restarted while the others run.
+/// One host is restarted while the others keep running.
 #[test]
 fn one_restarted() {
     let mut hosts = start("one_restarted");
     hosts.name_seeds(&[4, 5]);
     hosts.kill(3);
     hosts.boot(3, false);
-    wait("it is served again", || served(&hosts, 3));
+    wait("the restarted host serves again", || is_served(&hosts, 3));
 }
 
-/// All are restarted, and nobody remembers anything but what the disks hold.
+/// All hosts are restarted, and only what the disks hold is left.
 #[test]
 fn all_restarted() {
     let mut hosts = start("all_restarted");
     hosts.name_seeds(&[3, 4, 5]);
-    hosts.places().for_each(|place| hosts.kill(place));
-    hosts.places().for_each(|place| hosts.boot(place, false));
-    wait("all are served again", || {
-        hosts.places().all(|place| served(&hosts, place))
+    hosts.places().for_each(|host| hosts.kill(host));
+    hosts.places().for_each(|host| hosts.boot(host, false));
+    wait("all hosts serve again", || {
+        hosts.places().all(|host| is_served(&hosts, host))
     });
 }
 
-/// A host that lost its disk counts again: a newer table is taken only then.
+/// A host that lost its disk becomes a voter again: only then is a newer table accepted.
 #[test]
 fn lost_disk() {
     let mut hosts = start("seeds_lost_disk");
@@ -71,10 +62,12 @@
     hosts.kill(0);
     hosts.wipe(0);
     hosts.boot(0, false);
-    wait("it is served again", || served(&hosts, 0));
-    wait("the blank one counts", || hosts.counts_again(0));
+    wait("the restarted host serves again", || is_served(&hosts, 0));
+    wait("the host with the blank disk counts again", || {
+        hosts.counts_again(0)
+    });
     hosts.kill(1);
-    wait("a newer one is taken with it", || {
+    wait("a newer table is accepted with its vote", || {
         hosts.put(2, &document(9).to_string()) == 200
     });
 }
--- a/crates/curlewlift/tests/platform_session.rs
+++ b/crates/curlewlift/tests/platform_session.rs
@@ -1,4 +1,4 @@
-//! A whole session in the platform's words, against its golden file.
+//! A complete session in the platform's wire format, compared with its golden file.
 
 #[path = "support/golden.rs"]
 #[allow(dead_code)]
@@ -15,8 +15,8 @@
 
 use golden::Session;
 
-/// The headers that the session shows.
-const SHOWN: [&str; 5] = [
+/// The response headers that the session records.
+const SHOWN_HEADERS: [&str; 5] = [
     "content-type",
     "retry-after",
     "x-attempt-id",
@@ -24,19 +24,20 @@
     "connection",
 ];
 
-/// Writes down what was asked and what came.
-fn tell(session: &mut Session, asked: &str, answer: &Answer) {
-    session.did(asked);
+/// Records a request and its response in the session.
+fn record(session: &mut Session, request: &str, answer: &Answer) {
+    session.did(request);
     session.said(&answer.status.to_string());
-    for name in SHOWN {
+    for name in SHOWN_HEADERS {
         if let Some(value) = answer.header(name) {
             session.said(&format!("{name}: {value}"));
         }
     }
-    let end = if answer.whole { "" } else { " (cut)" };
-    session.said(&format!("{}{end}", answer.body.trim_end()));
+    let suffix = if answer.whole { "" } else { " (cut)" };
+    session.said(&format!("{}{suffix}", answer.body.trim_end()));
 }
 
+/// The head of a request on a route; `play` selects how the engine responds.
 fn request(route: &str, play: &str, key: &str) -> String {
     format!(
         "POST /{route}/a HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: {route}-{play}\r\n\
@@ -47,12 +48,12 @@
 #[test]
 fn whole_session() {
     let engines = [Engine::start("i-1"), Engine::start("i-2")];
-    let listed: Vec<_> = engines.iter().map(|engine| (engine, "chat")).collect();
-    let hosts = Hosts::start(folder("whole_session"), &listed);
+    let server_list: Vec<_> = engines.iter().map(|engine| (engine, "chat")).collect();
+    let hosts = Hosts::start(folder("whole_session"), &server_list);
     hosts.configure(&document(7).to_string());
     let mut session = Session::default();
     let resolve = "GET /api/resolve?name=shop.example&zone=none HTTP/1.1\r\nHost: x";
-    wait("all are named", || {
+    wait("the directory names all hosts", || {
         ask(hosts.directory(0), resolve, "")
             .body
             .matches(':')
@@ -73,17 +74,17 @@
     ];
     for (route, play, key) in plays {
         let answer = ask(hosts.callers(0), &request(route, play, key), "question");
-        tell(&mut session, &format!("{route}, {play}, {key}"), &answer);
+        record(&mut session, &format!("{route}, {play}, {key}"), &answer);
     }
     let put = "POST /api/config/put HTTP/1.1\r\nHost: x";
     let mut invalid = document(9);
     invalid["routes"][0]["service"] = serde_json::json!("none");
     let answer = ask(hosts.control(1), put, &invalid.to_string());
-    tell(&mut session, "put 9, with an unknown service", &answer);
+    record(&mut session, "put 9, with an unknown service", &answer);
     let answer = ask(hosts.control(1), put, &document(8).to_string());
-    tell(&mut session, "put 8", &answer);
+    record(&mut session, "put 8", &answer);
     let answer = ask(hosts.control(2), put, &document(6).to_string());
-    tell(&mut session, "put 6, which is older", &answer);
+    record(&mut session, "put 6, which is older", &answer);
     let get = "GET /api/config/get HTTP/1.1\r\nHost: x";
     let answer = ask(hosts.control(0), get, "");
     assert_eq!(answer.body, document(8).to_string());
