--- a/crates/curlewlift/src/gateway/exchange.rs
+++ b/crates/curlewlift/src/gateway/exchange.rs
@@ -74,6 +74,7 @@
 /// A response whose head has arrived, and whose body is still to be read.
 pub(super) struct ResponseStart {
     pub(super) head: response::Parts,
+    /// The parsed status and header fields of `head`.
     pub(super) head_fields: ResponseHead,
     pub(super) body: Incoming,
     pub(super) slot: Place,
@@ -116,14 +117,14 @@
     }
     let request = build_request(&slot);
     let until = deadline.timer_instant();
-    let began = Instant::now();
+    let sent_at = Instant::now();
     match await_head(&mut sender, request, &slot, until, silence_limit).await {
         Ok(response) => Ok(response_start(
             response,
             slot,
             connection,
             dialect,
-            began.elapsed(),
+            sent_at.elapsed(),
         )),
         Err(failure) => Err((failure, slot)),
     }
@@ -172,6 +173,7 @@
     response.map_err(|error| Failure::ConnectionLost(error.to_string()))
 }
 
+/// Records what the head of a response announces about its server, and returns the response with its body unread.
 fn response_start(
     response: Response<Incoming>,
     mut slot: Place,
@@ -225,7 +227,7 @@
     }
 
     /// Whether the body may be buffered before it is forwarded, by its stated length.
-    pub(super) fn is_small(&self) -> bool {
+    pub(super) fn is_bufferable(&self) -> bool {
         self.body
             .size_hint()
             .upper()
@@ -252,6 +254,7 @@
     }
 }
 
+/// Reads a body up to the size limit.
 async fn read_body(body: &mut Incoming) -> Result<Bytes, Failure> {
     let collected = Limited::new(body, MAX_READ_BYTES).collect().await;
     let collected = collected.map_err(|error| {
--- a/crates/curlewlift/src/gateway/forward.rs
+++ b/crates/curlewlift/src/gateway/forward.rs
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Builds the request for one server, with the time that is left.
+    /// Builds the request for the server of `slot`, with the time that is left.
     pub(super) fn build_request(
         &self,
         slot: &Place,
@@ -218,6 +218,7 @@
         (self.admitted.rule.objective * 3).max(MIN_SILENCE_LIMIT)
     }
 
+    /// Logs an attempt, sends the request to the server of `slot`, and handles the result.
     async fn send_attempt(&mut self, slot: Place) -> Result<Step, Refused> {
         let line = self
             .admitted
@@ -264,7 +265,7 @@
         if status.is_success() && self.admitted.rule.kind.is_stream() {
             return Ok(Step::Respond(self.stream_response(response_start)));
         }
-        if !response_start.is_small() {
+        if !response_start.is_bufferable() {
             let first_byte = response_start.first_byte;
             response_start.slot.end(AttemptOutcome::Answered {
                 first_byte,
--- a/crates/curlewlift/src/gateway/relay.rs
+++ b/crates/curlewlift/src/gateway/relay.rs
@@ -68,7 +68,7 @@
         finished: false,
     };
     let chunks = futures::stream::unfold(relay, |mut relay| async move {
-        let chunk = relay.next().await?;
+        let chunk = relay.next_chunk().await?;
         Some((chunk.map(Frame::data), relay))
     });
     Box::pin(StreamBody::new(chunks))
@@ -88,7 +88,7 @@
 
 impl Relay {
     /// The next chunk for the caller; none at the end.
-    async fn next(&mut self) -> Option<Result<Bytes, TruncatedBody>> {
+    async fn next_chunk(&mut self) -> Option<Result<Bytes, TruncatedBody>> {
         while !self.finished {
             let until = self.request.admitted.deadline.timer_instant();
             let Ok(frame) = tokio::time::timeout_at(until, self.body.frame()).await else {
@@ -99,7 +99,7 @@
                     let Ok(data) = frame.into_data() else {
                         continue;
                     };
-                    if let Some(chunk) = self.chunk(data) {
+                    if let Some(chunk) = self.forwardable(data) {
                         self.record_forwarded();
                         return Some(Ok(chunk));
                     }
@@ -119,7 +119,7 @@
     }
 
     /// The part of `data` that may be forwarded now: complete events only, if the stream is resumable.
-    fn chunk(&mut self, data: Bytes) -> Option<Bytes> {
+    fn forwardable(&mut self, data: Bytes) -> Option<Bytes> {
         self.chunks += 1;
         let Some(events) = &mut self.events else {
             return Some(data);
