--- a/crates/curlewlift/src/gateway/failure.rs
+++ b/crates/curlewlift/src/gateway/failure.rs
@@ -55,12 +55,12 @@
     /// Handles an attempt that certainly did not run at the server.
     fn on_not_run(&mut self, reason: String) -> Result<Step, Refused> {
         self.not_run_attempts += 1;
-        let max_attempts = self
+        let attempt_limit = self
             .admitted
             .rule
             .attempts
             .saturating_add(EXTRA_NOT_RUN_ATTEMPTS);
-        if self.attempts() < max_attempts {
+        if self.attempts() < attempt_limit {
             return Ok(Step::Retry);
         }
         if self.maybe_run_attempts > 0 {
