--- a/crates/curlewlift/src/gateway/exchange.rs
+++ b/crates/curlewlift/src/gateway/exchange.rs
@@ -111,7 +111,7 @@
         let error = "the deadline passed before the request was sent".to_owned();
         return Err((Failure::NotSent(error), slot));
     }
-    // Up to 0.7 s have passed since the hub or this gateway chose the server. This is the last check, for every request.
+    // Up to 0.7 s have passed since the hub or this gateway chose the server. Every request passes this last check.
     if slot.is_closed() {
         return Err((Failure::ServerUnavailable, slot));
     }
--- a/crates/curlewlift/tests/platform_requests.rs
+++ b/crates/curlewlift/tests/platform_requests.rs
@@ -1,5 +1,5 @@
-//! Requests in the platform's wire format, sent through a gateway to engines that fail in various ways: the gateway must
-//! not run a request twice, lose stream events or deliver a truncated response as complete.
+//! Requests in the platform's wire format, sent through a gateway to engines that fail in various ways: the gateway
+//! must not run a request twice, lose stream events or deliver a truncated response as complete.
 
 mod platform;
 
