--- a/crates/curlewlift/src/platform/headers.rs
+++ b/crates/curlewlift/src/platform/headers.rs
@@ -13,10 +13,10 @@
 use curlewlift_core::limit::Rate;
 use curlewlift_core::pool::Notice;
 
-use crate::gateway::Call;
+use crate::gateway::BackendHead;
 use crate::gateway::Dialect;
-use crate::gateway::Hand;
-use crate::gateway::Marks;
+use crate::gateway::RequestHead;
+use crate::gateway::ResponseHead;
 
 use super::http;
 
@@ -65,14 +65,18 @@
     HeaderName::from_static("kv-fetch"),
 ];
 
-/// How the platform's headers are read and written.
-pub(super) const DIALECT: Dialect = Dialect { read, dress, marks };
+/// Parses and writes the header fields of the platform.
+pub(super) const DIALECT: Dialect = Dialect {
+    parse_request,
+    prepare_request,
+    parse_response,
+};
 
-fn read(headers: &HeaderMap) -> Result<Call, Refusal> {
-    Ok(Call {
+fn parse_request(headers: &HeaderMap) -> Result<RequestHead, Refusal> {
+    Ok(RequestHead {
         id: headers.get(ATTEMPT_ID).cloned(),
         key: bearer_key(headers),
-        patience: millis(headers, &DEADLINE)?.map(Duration::from_millis),
+        timeout: millis(headers, &DEADLINE)?.map(Duration::from_millis),
         tokens: token_counts(headers)?,
     })
 }
@@ -123,17 +127,17 @@
     )
 }
 
-fn dress(headers: &mut HeaderMap, hand: &Hand<'_>) {
+fn prepare_request(headers: &mut HeaderMap, hand: &BackendHead<'_>) {
     headers.remove(header::AUTHORIZATION);
     for name in RESERVED_HEADERS {
         headers.remove(name);
     }
-    set(headers, DEADLINE, &hand.patience.as_millis().to_string());
+    set(headers, DEADLINE, &hand.timeout.as_millis().to_string());
     set(headers, EXPECTED_SERVER, hand.server);
     if let Some(customer) = hand.customer {
         set(headers, CUSTOMER, customer);
     }
-    if let Some(after) = hand.after {
+    if let Some(after) = hand.last_event_id {
         set(headers, LAST_EVENT, after);
     }
 }
@@ -147,8 +151,8 @@
     }
 }
 
-fn marks(status: u16, headers: &HeaderMap) -> Marks {
-    Marks {
+fn parse_response(status: u16, headers: &HeaderMap) -> ResponseHead {
+    ResponseHead {
         id: headers.get(ATTEMPT_ID).cloned(),
         not_run: headers.contains_key(NOT_RUN),
         moved: status == MISDIRECTED_STATUS,
--- a/crates/curlewlift/src/platform/headers/tests.rs
+++ b/crates/curlewlift/src/platform/headers/tests.rs
@@ -8,7 +8,7 @@
 use curlewlift_core::limit::Announcement;
 use curlewlift_core::pool::Notice;
 
-use super::marks;
+use super::parse_response;
 
 fn headers(pairs: &[(&'static str, &'static str)]) -> HeaderMap {
     let pairs = pairs.iter().map(|(name, value)| {
@@ -21,7 +21,7 @@
 /// The notices in a response with these `Retry-After` values.
 fn backoffs(status: u16, values: &[&'static str]) -> Vec<Notice> {
     let pairs: Vec<_> = values.iter().map(|value| ("retry-after", *value)).collect();
-    marks(status, &headers(&pairs)).notices
+    parse_response(status, &headers(&pairs)).notices
 }
 
 #[test]
@@ -59,7 +59,8 @@
 #[test]
 fn draining() {
     for status in [200, 421, 500, 503] {
-        let notices = |value| marks(status, &headers(&[("server-leaving", value)])).notices;
+        let notices =
+            |value| parse_response(status, &headers(&[("server-leaving", value)])).notices;
         assert_eq!(notices("1"), [Notice::Draining], "{status}");
         assert_eq!(notices("0"), [], "{status}");
     }
@@ -71,7 +72,7 @@
         .iter()
         .map(|value| ("server-limit", *value))
         .collect();
-    marks(200, &headers(&pairs)).limit
+    parse_response(200, &headers(&pairs)).limit
 }
 
 #[test]
--- a/crates/curlewlift/src/platform/http.rs
+++ b/crates/curlewlift/src/platform/http.rs
@@ -10,7 +10,7 @@
 
 use crate::gateway;
 use crate::gateway::Answer;
-use crate::gateway::whole;
+use crate::gateway::full;
 
 /// The `Retry-After` of a response with status 503, in seconds.
 const RETRY_AFTER_SECONDS: &str = "0.2";
@@ -26,14 +26,14 @@
 
 /// A response without a body.
 pub(super) fn empty(status: StatusCode) -> Answer {
-    let mut response = Response::new(whole(""));
+    let mut response = Response::new(full(""));
     *response.status_mut() = status;
     response
 }
 
 /// The response for a refusal; one with status 503 says when to retry.
 pub(super) fn refused(refusal: &Refusal) -> Answer {
-    let mut response = gateway::refuse(refusal, None);
+    let mut response = gateway::refusal_response(refusal, None);
     if response.status() == StatusCode::SERVICE_UNAVAILABLE {
         let retry_after = HeaderValue::from_static(RETRY_AFTER_SECONDS);
         response
