--- a/crates/curlewlift/src/gateway/daemon.rs
+++ b/crates/curlewlift/src/gateway/daemon.rs
@@ -25,20 +25,20 @@
 use crate::rpc;
 use crate::timeline::Timeline;
 
-use super::beside;
-use super::beside::Beside;
 use super::dialect::Dialect;
+use super::discovery;
+use super::environment::Environment;
+use super::hub_slots;
 use super::lists;
 use super::lists::Fetch;
+use super::local_replica;
+use super::local_replica::LocalReplica;
 use super::log::Line;
-use super::meet;
 use super::node::Node;
 use super::open;
-use super::places;
 use super::serve;
 use super::stop;
-use super::stop::Grace;
-use super::surroundings::Surroundings;
+use super::stop::StopTiming;
 use super::sync;
 use super::tables;
 
@@ -60,9 +60,9 @@
     /// How much more than an allowance may be let in.
     pub(crate) tolerance: Tolerance,
     /// How long a planned stop takes.
-    pub(crate) grace: Grace,
+    pub(crate) grace: StopTiming,
     /// The control replica beside it, where the host has one.
-    pub(crate) beside: Option<Beside>,
+    pub(crate) beside: Option<LocalReplica>,
     /// Whether the whole deployment starts for the first time.
     pub(crate) first_start: bool,
     /// How many calls a second the platform's list takes from all gateways together; 0 where that is not known.
@@ -86,7 +86,8 @@
 }
 
 /// Starts what runs beside a gateway's own tasks: what is served on other addresses.
-pub(crate) type Beginning = Box<dyn FnOnce(&Rc<Node>, &Rc<Surroundings>) -> Result<(), Refusal>>;
+pub(crate) type StartListeners =
+    Box<dyn FnOnce(&Rc<Node>, &Rc<Environment>) -> Result<(), Refusal>>;
 
 impl Gateway {
     /// Starts it on a thread of its own, with what `make` makes there.
@@ -97,20 +98,20 @@
     /// be had.
     pub(crate) fn start<M>(self, make: M) -> Result<Process, Refusal>
     where
-        M: FnOnce() -> (Surroundings, Fetch, Beginning) + Send + 'static,
+        M: FnOnce() -> (Environment, Fetch, StartListeners) + Send + 'static,
     {
         let name = format!("gateway {}", self.host);
         Process::start(&name, move |signal| async move {
-            let (around, fetch, also) = make();
-            self.run(Rc::new(around), fetch, also, signal).await
+            let (environment, fetch, also) = make();
+            self.run(Rc::new(environment), fetch, also, signal).await
         })
     }
 
     async fn run(
         self,
-        around: Rc<Surroundings>,
+        environment: Rc<Environment>,
         fetch: Fetch,
-        also: Beginning,
+        also: StartListeners,
         mut signal: Signal,
     ) -> Result<(), Refusal> {
         let timeline = Timeline::new(self.host.as_str());
@@ -136,18 +137,21 @@
             .with("replica", kept)
             .write();
         if let Some(beside) = self.beside {
-            tokio::task::spawn_local(beside::keep(self.host, beside));
-            tokio::task::spawn_local(meet::introduce(Rc::clone(&node), Rc::clone(&around)));
+            tokio::task::spawn_local(local_replica::keep(self.host, beside));
+            tokio::task::spawn_local(discovery::introduce(
+                Rc::clone(&node),
+                Rc::clone(&environment),
+            ));
         } else {
-            meet::serve(&node, self.meets)?;
+            discovery::serve(&node, self.meets)?;
         }
         tokio::task::spawn_local(serve_callers(Rc::clone(&node), listener));
-        tokio::task::spawn_local(sync::keep(Rc::clone(&node), Rc::clone(&around)));
-        tokio::task::spawn_local(tables::keep(Rc::clone(&node), Rc::clone(&around)));
+        tokio::task::spawn_local(sync::keep(Rc::clone(&node), Rc::clone(&environment)));
+        tokio::task::spawn_local(tables::keep(Rc::clone(&node), Rc::clone(&environment)));
         tokio::task::spawn_local(lists::keep(Rc::clone(&node), fetch, kept, self.list_rate));
-        tokio::task::spawn_local(places::report(Rc::clone(&node)));
+        tokio::task::spawn_local(hub_slots::report(Rc::clone(&node)));
         tokio::task::spawn_local(tick(Rc::clone(&node)));
-        also(&node, &around)?;
+        also(&node, &environment)?;
         if signal.next().await == Order::Stop {
             stop::run(&node, self.grace).await;
         }
--- a/crates/curlewlift/src/gateway/meet.rs
+++ b/crates/curlewlift/src/gateway/discovery.rs
@@ -21,8 +21,8 @@
 use crate::rpc::Method;
 use crate::rpc::RenewCall;
 
+use super::environment::Environment;
 use super::node::Node;
-use super::surroundings::Surroundings;
 
 /// Between two times that a host with a replica says so to the hosts that the settings name.
 const EVERY: Duration = Duration::from_millis(500);
@@ -69,7 +69,7 @@
 }
 
 /// Says over and over, from a host with a replica, which hosts keep one.
-pub(super) async fn introduce(node: Rc<Node>, around: Rc<Surroundings>) {
+pub(super) async fn introduce(node: Rc<Node>, environment: Rc<Environment>) {
     loop {
         tokio::time::sleep(EVERY).await;
         let mut hosts = node.known.get();
@@ -78,9 +78,9 @@
         }
         let kept: Vec<_> = hosts
             .iter()
-            .filter_map(|host| (around.locate)(host))
+            .filter_map(|host| (environment.locate)(host))
             .collect();
-        for seed in (around.seeds)() {
+        for seed in (environment.seeds)() {
             if !kept.contains(&seed) {
                 tokio::task::spawn_local(tell(Rc::clone(&node), seed, hosts.clone()));
             }
--- a/crates/curlewlift/src/gateway/surroundings.rs
+++ b/crates/curlewlift/src/gateway/environment.rs
@@ -6,7 +6,7 @@
 use crate::control::Locate;
 
 /// What a gateway finds around it.
-pub(crate) struct Surroundings {
+pub(crate) struct Environment {
     /// Where control replicas may be found; read anew each time.
     pub(crate) seeds: Box<dyn Fn() -> Vec<SocketAddr>>,
     /// Where the control replica on a host is reached.
--- a/crates/curlewlift/src/gateway/events.rs
+++ b/crates/curlewlift/src/gateway/events.rs
@@ -41,16 +41,16 @@
     fn end(&mut self) -> Option<usize> {
         let bytes = &self.partial[..];
         let from = self.looked;
-        for place in from..bytes.len() {
-            if bytes[place] != b'\n' {
+        for slot in from..bytes.len() {
+            if bytes[slot] != b'\n' {
                 continue;
             }
-            let rest = &bytes[place + 1..];
+            let rest = &bytes[slot + 1..];
             if rest.first() == Some(&b'\n') {
-                return Some(place + 2);
+                return Some(slot + 2);
             }
             if rest.starts_with(b"\r\n") {
-                return Some(place + 3);
+                return Some(slot + 3);
             }
         }
         self.looked = bytes.len().saturating_sub(2);
--- a/crates/curlewlift/src/gateway/exchange.rs
+++ b/crates/curlewlift/src/gateway/exchange.rs
@@ -29,7 +29,7 @@
 use super::deadline::Deadline;
 use super::dialect::Dialect;
 use super::dialect::Marks;
-use super::place::Place;
+use super::slot::Slot;
 
 /// How long a connection may take to be made.
 ///
@@ -76,13 +76,13 @@
     pub(super) head: response::Parts,
     pub(super) marks: Marks,
     pub(super) body: Incoming,
-    pub(super) place: Place,
+    pub(super) slot: Slot,
     connection: Connection,
     /// From the sending to the head.
     pub(super) first: Duration,
 }
 
-/// Sends the request that `dress` makes to the server of `place`, and waits for the head of the answer.
+/// Sends the request that `dress` makes to the server of `slot`, and waits for the head of the answer.
 ///
 /// It is made once the connection is there: a host may be suspended meanwhile, and a server must not be given
 /// more time than is left.
@@ -91,31 +91,31 @@
 ///
 /// What is known of the request's fate, with the place, for the caller to say how it ended.
 pub(super) async fn send(
-    dress: impl FnOnce(&Place) -> Request<Full<Bytes>>,
-    place: Place,
+    dress: impl FnOnce(&Slot) -> Request<Full<Bytes>>,
+    slot: Slot,
     dialect: Dialect,
     deadline: &Deadline,
     quiet: Duration,
-) -> Result<Coming, (Failure, Place)> {
-    let made = connect(place.server.address, CONNECT.min(deadline.left())).await;
+) -> Result<Coming, (Failure, Slot)> {
+    let made = connect(slot.server.address, CONNECT.min(deadline.left())).await;
     let (mut sender, connection) = match made {
         Ok(made) => made,
-        Err(failure) => return Err((failure, place)),
+        Err(failure) => return Err((failure, slot)),
     };
     if deadline.is_past() {
         let why = "the deadline passed before it was sent".to_owned();
-        return Err((Failure::NotSent(why), place));
+        return Err((Failure::NotSent(why), slot));
     }
     // Up to 0.7 s after it was chosen, by whomever: the last look is here, for all that is sent.
-    if place.is_closed() {
-        return Err((Failure::Closed, place));
+    if slot.is_closed() {
+        return Err((Failure::Closed, slot));
     }
-    let request = dress(&place);
+    let request = dress(&slot);
     let until = deadline.timer();
     let began = Instant::now();
-    match ask(&mut sender, request, &place, until, quiet).await {
-        Ok(answer) => Ok(coming(answer, place, connection, dialect, began.elapsed())),
-        Err(failure) => Err((failure, place)),
+    match ask(&mut sender, request, &slot, until, quiet).await {
+        Ok(answer) => Ok(coming(answer, slot, connection, dialect, began.elapsed())),
+        Err(failure) => Err((failure, slot)),
     }
 }
 
@@ -144,7 +144,7 @@
 async fn ask(
     sender: &mut SendRequest<Full<Bytes>>,
     request: Request<Full<Bytes>>,
-    place: &Place,
+    slot: &Slot,
     until: Instant,
     quiet: Duration,
 ) -> Result<Response<Incoming>, Failure> {
@@ -154,7 +154,7 @@
         answer
     } else {
         if Instant::now() < until {
-            place.seen(AttemptOutcome::TimedOut);
+            slot.seen(AttemptOutcome::TimedOut);
         }
         let late = tokio::time::timeout_at(until, answer).await;
         late.map_err(|_| Failure::Late)?
@@ -164,27 +164,27 @@
 
 fn coming(
     answer: Response<Incoming>,
-    mut place: Place,
+    mut slot: Slot,
     connection: Connection,
     dialect: Dialect,
     first: Duration,
 ) -> Coming {
-    place.begun();
+    slot.begun();
     let (head, body) = answer.into_parts();
     let marks = (dialect.marks)(head.status.as_u16(), &head.headers);
     if let Some(in_flight) = marks.in_flight {
-        place.told(in_flight);
+        slot.told(in_flight);
     }
     // Another incarnation that has the address speaks for itself.
     if !marks.moved {
-        place.heard(&marks.notices);
-        place.limited(&marks.limit);
+        slot.heard(&marks.notices);
+        slot.limited(&marks.limit);
     }
     Coming {
         head,
         marks,
         body,
-        place,
+        slot,
         connection,
         first,
     }
@@ -226,19 +226,19 @@
     pub(super) async fn whole(
         mut self,
         until: Instant,
-    ) -> (response::Parts, Result<Bytes, Failure>, Place, Duration) {
+    ) -> (response::Parts, Result<Bytes, Failure>, Slot, Duration) {
         let read = read(&mut self.body);
         let body = match tokio::time::timeout_at(until, read).await {
             Ok(body) => body,
             Err(_) => Err(Failure::Late),
         };
         drop(self.connection);
-        (self.head, body, self.place, self.first)
+        (self.head, body, self.slot, self.first)
     }
 
     /// The parts for a body that is passed on as it comes; the connection ends with it.
-    pub(super) fn open(self) -> (response::Parts, Incoming, Place, Connection) {
-        (self.head, self.body, self.place, self.connection)
+    pub(super) fn open(self) -> (response::Parts, Incoming, Slot, Connection) {
+        (self.head, self.body, self.slot, self.connection)
     }
 }
 
--- a/crates/curlewlift/src/gateway/places.rs
+++ b/crates/curlewlift/src/gateway/hub_slots.rs
@@ -46,7 +46,7 @@
 
 /// What a request wants a place for.
 #[derive(Clone, Copy)]
-pub(super) struct Wanted<'a> {
+pub(super) struct AttemptContext<'a> {
     /// The service.
     pub(super) service: &'a id::Service,
     /// The rule that the request came under.
@@ -60,34 +60,34 @@
 }
 
 /// What the hub said.
-pub(super) enum Word {
+pub(super) enum HubDecision {
     /// The request is to be sent where the hub's grant says.
-    Place(Grant),
+    Granted(Grant),
     /// There was no place in time.
-    NoPlace,
+    NoSlot,
     /// Its customer has used up its allowance; there is enough after this time.
-    Beyond(Duration),
+    QuotaExceeded(Duration),
     /// Servers ended under such a request.
-    Withheld(Rejection),
+    Rejected(Rejection),
     /// It was sent before, and no further sending is left.
     NoRetry,
     /// A place at a server that has told this host that it wants no request, or a limit that the hub did not know of;
     /// what the request counts is drawn.
-    Closed(Server),
+    Unavailable(Server),
     /// Nothing, or nothing that can be used: this gateway has to choose by itself.
-    Nothing,
+    Undecided,
 }
 
 /// Asks the hub for a place for at most `patience`, and to draw what the request counts.
 pub(super) async fn ask(
     node: &Node,
-    wanted: Wanted<'_>,
+    wanted: AttemptContext<'_>,
     ask: &Request,
     charge: Option<&Charge>,
     patience: Duration,
-) -> Word {
+) -> HubDecision {
     let Some(address) = node.hub_address() else {
-        return Word::Nothing;
+        return HubDecision::Undecided;
     };
     let want = node.want(wanted, ask, charge, patience);
     let call = RenewCall::Hub(HubCall::Want(Box::new(want)));
@@ -105,10 +105,10 @@
             let is_late = node.now().since(asked) > patience + ON_ITS_WAY;
             node.take(wanted, grant, ask.prompt, is_late)
         }
-        Some(Ok(HubReply::Place(None))) => Word::NoPlace,
-        Some(Ok(HubReply::Beyond(filled))) => Word::Beyond(filled),
-        Some(Ok(HubReply::Withheld(why))) => Word::Withheld(why),
-        Some(Ok(HubReply::NoRetry)) => Word::NoRetry,
+        Some(Ok(HubReply::Place(None))) => HubDecision::NoSlot,
+        Some(Ok(HubReply::Beyond(filled))) => HubDecision::QuotaExceeded(filled),
+        Some(Ok(HubReply::Withheld(why))) => HubDecision::Rejected(why),
+        Some(Ok(HubReply::NoRetry)) => HubDecision::NoRetry,
         Some(Ok(_)) => node.doubt("it does not lead"),
         Some(Err(why)) => node.doubt(&why.to_string()),
         None => node.doubt("no word in time"),
@@ -142,7 +142,7 @@
 
     fn want(
         &self,
-        wanted: Wanted<'_>,
+        wanted: AttemptContext<'_>,
         ask: &Request,
         charge: Option<&Charge>,
         patience: Duration,
@@ -184,7 +184,13 @@
     }
 
     /// Takes up a grant, but for one that has come too late.
-    fn take(&self, wanted: Wanted<'_>, grant: Grant, prompt: Tokens, is_late: bool) -> Word {
+    fn take(
+        &self,
+        wanted: AttemptContext<'_>,
+        grant: Grant,
+        prompt: Tokens,
+        is_late: bool,
+    ) -> HubDecision {
         let service = wanted.service;
         let mut hub = self.hub.borrow_mut();
         if grant.id.follows(hub.mark) {
@@ -205,7 +211,7 @@
             !is_late && !is_closed && service.pool.accept_grant(&server, prompt, now)
         };
         if self.with_service(service, take) == Some(true) {
-            return Word::Place(grant);
+            return HubDecision::Granted(grant);
         }
         if let Some(permit) = grant.permit {
             let identity = wanted.identity.clone();
@@ -214,9 +220,9 @@
         }
         self.tell(service, &server.incarnation, AttemptOutcome::Unknown, None);
         if (self.tell_word(service, &server) || is_closed) && !is_late {
-            return Word::Closed(grant.server);
+            return HubDecision::Unavailable(grant.server);
         }
-        Word::Nothing
+        HubDecision::Undecided
     }
 
     /// Tells the hub what a server has said of itself to this host and still holds; false where that is nothing.
@@ -233,7 +239,7 @@
         true
     }
 
-    fn doubt(&self, why: &str) -> Word {
+    fn doubt(&self, why: &str) -> HubDecision {
         let now = self.now();
         let mut hub = self.hub.borrow_mut();
         Line::new(Kind::HubDoubted)
@@ -241,11 +247,11 @@
             .with("why", why)
             .write();
         hub.doubted = Some(now);
-        Word::Nothing
+        HubDecision::Undecided
     }
 
     /// What is to be told of a sending that begins now, for a roll-out under way.
-    pub(super) fn watched(&self, wanted: Wanted<'_>) -> Option<RolloutTag> {
+    pub(super) fn watched(&self, wanted: AttemptContext<'_>) -> Option<RolloutTag> {
         let policy = self.policy.borrow();
         let target = policy.rollout_target(wanted.service)?;
         Some(RolloutTag {
--- a/crates/curlewlift/src/gateway/judge.rs
+++ b/crates/curlewlift/src/gateway/judge.rs
@@ -10,33 +10,33 @@
 
 use super::exchange::Failure;
 use super::log::Line;
-use super::place::Place;
 use super::refuse::Refused;
 use super::run::Run;
 use super::run::Step;
 use super::service::Service;
-use super::turn::NoTurn;
+use super::slot::Slot;
+use super::slot_wait::NoSlot;
 
 /// Sendings that a request may have beyond those its rule allows, where servers said that they
 /// did not run it.
 const FURTHER: u8 = 2;
 
 impl Run {
-    /// Decides what becomes of a request that the server of `place` did not answer.
-    pub(super) fn failed(&mut self, failure: &Failure, mut place: Place) -> Result<Step, Refused> {
+    /// Decides what becomes of a request that the server of `slot` did not answer.
+    pub(super) fn failed(&mut self, failure: &Failure, mut slot: Slot) -> Result<Step, Refused> {
         let (end, why) = meaning(failure);
-        place.end(end);
+        slot.end(end);
         if matches!(failure, Failure::Broke(_)) {
-            place.broke();
+            slot.broke();
         }
         Line::new(Kind::SendingFailed)
             .request(self.admitted.call.id.as_ref())
             .with("identity", self.admitted.identity.to_string())
-            .with("server", &*place.server.incarnation)
+            .with("server", &*slot.server.incarnation)
             .with("why", why.as_str())
             .after(self.admitted.deadline.age())
             .write();
-        drop(place);
+        drop(slot);
         match failure {
             Failure::Closed => {
                 self.tried.pop();
@@ -78,54 +78,54 @@
     }
 
     /// The refusal of a request that got no server.
-    pub(super) fn no_turn(&self, why: NoTurn) -> Refused {
-        if self.sent > 0 && why != NoTurn::NoRetry {
+    pub(super) fn no_turn(&self, why: NoSlot) -> Refused {
+        if self.sent > 0 && why != NoSlot::NoRetry {
             return Refused::new(Code::Broken, "it broke off, and no other server is free");
         }
         let all_rest = self.all_rest().is_some();
         let is_limited = self.node.is_limited(&self.service);
         let refused = match why {
-            NoTurn::Displaced | NoTurn::TimeUp if all_rest => Refused::new(
+            NoSlot::Displaced | NoSlot::TimeUp if all_rest => Refused::new(
                 Code::ServersRest,
                 "all servers of the service have asked this host for rest",
             ),
-            NoTurn::Displaced | NoTurn::TimeUp if is_limited => Refused::new(
+            NoSlot::Displaced | NoSlot::TimeUp if is_limited => Refused::new(
                 Code::ServersLimited,
                 "all servers of the service get as many requests as they take",
             ),
-            NoTurn::Limited => Refused::new(
+            NoSlot::Limited => Refused::new(
                 Code::ServersLimited,
                 "all servers of the service take a limited number of requests, and the hub is not heard",
             ),
-            NoTurn::NoServer => Refused::new(Code::NoServer, "the service has no server"),
-            NoTurn::Displaced => Refused::new(
+            NoSlot::NoServer => Refused::new(Code::NoServer, "the service has no server"),
+            NoSlot::Displaced => Refused::new(
                 Code::Shed,
                 "others go before it, and no turn would come in time",
             ),
-            NoTurn::TimeUp => Refused::new(Code::CannotFinish, "no server was free in time"),
+            NoSlot::TimeUp => Refused::new(Code::CannotFinish, "no server was free in time"),
             // It may have run, at the servers that ended.
-            NoTurn::Withheld(Rejection::Quarantined) => {
+            NoSlot::Rejected(Rejection::Quarantined) => {
                 let why = "backend servers ended under this request, and it is kept away from them";
                 return Refused::new(Code::Quarantined, why);
             }
-            NoTurn::Withheld(Rejection::InFlight) => {
+            NoSlot::Rejected(Rejection::InFlight) => {
                 let why =
                     "backend servers ended under this request, and it is being sent elsewhere";
                 Refused::new(Code::Suspected, why)
             }
-            NoTurn::NoRetry => return self.exhausted(),
-            NoTurn::Beyond(_) => {
+            NoSlot::NoRetry => return self.exhausted(),
+            NoSlot::QuotaExceeded(_) => {
                 let why = format!("customer {} has used up its allowance", self.customer());
                 Refused::new(Code::Allowance, why)
             }
-            NoTurn::NoWord => {
+            NoSlot::HubUnreachable => {
                 let why = "the hub is not heard, and this gateway's part is used up of customer";
                 Refused::new(Code::Unreachable, format!("{why} {}", self.customer()))
             }
         };
         // Not before there is enough of the allowance.
         let filled = match why {
-            NoTurn::Beyond(filled) => filled,
+            NoSlot::QuotaExceeded(filled) => filled,
             _ => Duration::ZERO,
         };
         refused.again(self.come_back().max(filled))
--- a/crates/curlewlift/src/gateway/orders.rs
+++ b/crates/curlewlift/src/gateway/leader_calls.rs
@@ -17,8 +17,8 @@
 use crate::rpc::Method;
 use crate::rpc::RenewCall;
 
+use super::environment::Environment;
 use super::node::Node;
-use super::surroundings::Surroundings;
 use super::sync;
 
 /// How long a routing table may take to be put in force, or read.
@@ -34,10 +34,10 @@
 /// The leader's refusal; [`Code::Unreachable`] where what became of it is not known.
 pub(crate) async fn publish(
     node: &Node,
-    around: &Surroundings,
+    environment: &Environment,
     publication: Publication,
 ) -> Result<(), Refusal> {
-    match ask(node, around, HubCall::Publish(publication)).await? {
+    match ask(node, environment, HubCall::Publish(publication)).await? {
         HubReply::Published => Ok(()),
         _ => Err(no_leader()),
     }
@@ -48,8 +48,8 @@
 /// # Errors
 ///
 /// [`Code::Unreachable`] where nobody can be sure.
-pub(crate) async fn read(node: &Node, around: &Surroundings) -> Result<Publication, Refusal> {
-    match ask(node, around, HubCall::Read).await? {
+pub(crate) async fn read(node: &Node, environment: &Environment) -> Result<Publication, Refusal> {
+    match ask(node, environment, HubCall::Read).await? {
         HubReply::Table(publication) => Ok(publication),
         _ => Err(no_leader()),
     }
@@ -62,10 +62,10 @@
 /// The leader's refusal; [`Code::Unreachable`] where what became of it is not known.
 pub(crate) async fn roll_out(
     node: &Node,
-    around: &Surroundings,
+    environment: &Environment,
     order: Order,
 ) -> Result<(), Refusal> {
-    match ask(node, around, HubCall::Rollout(order)).await? {
+    match ask(node, environment, HubCall::Rollout(order)).await? {
         HubReply::Ordered => Ok(()),
         _ => Err(no_leader()),
     }
@@ -78,10 +78,10 @@
 /// The leader's refusal; [`Code::Unreachable`] where what became of it is not known.
 pub(crate) async fn evacuate(
     node: &Node,
-    around: &Surroundings,
+    environment: &Environment,
     order: evacuation::Order,
 ) -> Result<(), Refusal> {
-    match ask(node, around, HubCall::Evacuate(order)).await? {
+    match ask(node, environment, HubCall::Evacuate(order)).await? {
         HubReply::Ordered => Ok(()),
         _ => Err(no_leader()),
     }
@@ -94,24 +94,26 @@
 /// [`Code::Unreachable`] where nobody can be sure.
 pub(crate) async fn rollout_of(
     node: &Node,
-    around: &Surroundings,
+    environment: &Environment,
     service: id::Service,
 ) -> Result<Option<(Version, Phase)>, Refusal> {
-    match ask(node, around, HubCall::RolloutOf(service)).await? {
+    match ask(node, environment, HubCall::RolloutOf(service)).await? {
         HubReply::Rollout(last) => Ok(last),
         _ => Err(no_leader()),
     }
 }
 
 /// Asks the leader, where it can be found within a few steps.
-async fn ask(node: &Node, around: &Surroundings, call: HubCall) -> Result<HubReply, Refusal> {
+async fn ask(node: &Node, environment: &Environment, call: HubCall) -> Result<HubReply, Refusal> {
     let call = RenewCall::Hub(call);
     let until = Instant::now() + PUBLISH;
     let mut named: Option<id::Host> = node.hub.borrow().leader.clone();
     let mut last = no_leader();
     for hop in 0..HOPS {
-        let leader = named.take().and_then(|leader| (around.locate)(&leader));
-        let Some(address) = leader.or_else(|| sync::elsewhere(node, around, hop)) else {
+        let leader = named
+            .take()
+            .and_then(|leader| (environment.locate)(&leader));
+        let Some(address) = leader.or_else(|| sync::elsewhere(node, environment, hop)) else {
             continue;
         };
         let left = until.saturating_duration_since(Instant::now());
--- a/crates/curlewlift/src/gateway/lists.rs
+++ b/crates/curlewlift/src/gateway/lists.rs
@@ -17,7 +17,7 @@
 
 /// Why there is no list.
 #[derive(Debug)]
-pub(crate) struct Missed {
+pub(crate) struct FetchError {
     /// What happened.
     pub(crate) why: String,
     /// For how long the platform wants no further call, where it says so.
@@ -26,7 +26,7 @@
 
 /// Fetches the list, with a pause between two calls.
 pub(crate) type Fetch =
-    Rc<dyn Fn(Duration) -> Pin<Box<dyn Future<Output = Result<ServerList, Missed>>>>>;
+    Rc<dyn Fn(Duration) -> Pin<Box<dyn Future<Output = Result<ServerList, FetchError>>>>>;
 
 /// Between two fetches for all: a sixth of the time in which a leaving server must be left alone.
 const FOR_ALL: Duration = Duration::from_millis(500);
--- a/crates/curlewlift/src/gateway/draw.rs
+++ b/crates/curlewlift/src/gateway/local_quota.rs
@@ -22,7 +22,7 @@
 ///
 /// Load: no leader for a second, and a customer's requests at 200 gateways. A two-hundredth of what may be
 /// let in is less than one request counts; an eighth is some.
-pub(super) async fn draw(node: &Rc<Node>, charge: &Charge) -> bool {
+pub(super) async fn acquire(node: &Rc<Node>, charge: &Charge) -> bool {
     if node.draw(charge) {
         return true;
     }
--- a/crates/curlewlift/src/gateway/beside.rs
+++ b/crates/curlewlift/src/gateway/local_replica.rs
@@ -19,7 +19,7 @@
 
 /// The control replica beside a gateway, to be started.
 #[derive(Clone)]
-pub(crate) struct Beside {
+pub(crate) struct LocalReplica {
     /// Where it is reached.
     pub(crate) rpc: SocketAddr,
     /// The folder of its files.
@@ -53,7 +53,7 @@
 
 /// Keeps a control replica running: one that its disk has failed begins anew with what the disk
 /// holds, and the gateway goes on meanwhile.
-pub(super) async fn keep(host: id::Host, mut beside: Beside) {
+pub(super) async fn keep(host: id::Host, mut beside: LocalReplica) {
     loop {
         match start(&host, &beside) {
             Ok(process) => {
@@ -73,7 +73,7 @@
     }
 }
 
-fn start(host: &id::Host, beside: &Beside) -> Result<Process, Refusal> {
+fn start(host: &id::Host, beside: &LocalReplica) -> Result<Process, Refusal> {
     let listener = process::bind(beside.rpc)?;
     Control::new(host.clone(), listener)
         .data(beside.data.clone())
--- a/crates/curlewlift/src/gateway/node.rs
+++ b/crates/curlewlift/src/gateway/node.rs
@@ -36,10 +36,10 @@
 use crate::process::Clock;
 use crate::rpc;
 
-use super::deputies::Deputies;
 use super::dialect::Dialect;
 use super::log::Line;
 use super::service::Service;
+use super::standbys::Standbys;
 
 /// How old the hub's last word may be for it to be asked, at the least.
 const HEARD: Duration = Duration::from_millis(500);
@@ -105,7 +105,7 @@
     /// What customers may still ask for where the hub gives no word.
     pub(super) reserve: RefCell<LocalLimiter>,
     /// Who else may let their requests in then.
-    pub(super) deputies: RefCell<Deputies>,
+    pub(super) deputies: RefCell<Standbys>,
     /// What it knows of requests under which servers end.
     pub(super) quarantine: RefCell<quarantine::LocalTracker>,
     /// What it knows of limits that servers name.
--- a/crates/curlewlift/src/gateway/relay.rs
+++ b/crates/curlewlift/src/gateway/relay.rs
@@ -23,14 +23,14 @@
 use super::exchange::Failure;
 use super::judge;
 use super::log::Line;
-use super::place::Place;
 use super::run::Run;
+use super::slot::Slot;
 
 /// A stream that is being passed on.
 struct Relay {
     run: Run,
     body: Incoming,
-    place: Option<Place>,
+    slot: Option<Slot>,
     /// The connection that `body` comes over.
     connection: Option<Connection>,
     /// Splits a stream that can be taken up; none for any other.
@@ -53,11 +53,11 @@
 pub(super) fn body(run: Run, coming: Coming) -> Reply {
     let first = coming.first;
     let resumable = run.admitted.rule.kind == route::Kind::Resumable;
-    let (_, body, place, connection) = coming.open();
+    let (_, body, slot, connection) = coming.open();
     let relay = Relay {
         run,
         body,
-        place: Some(place),
+        slot: Some(slot),
         connection: Some(connection),
         events: resumable.then(Events::default),
         first,
@@ -105,8 +105,8 @@
                     }
                 }
                 Some(Err(why)) => {
-                    if let Some(place) = &mut self.place {
-                        place.broke();
+                    if let Some(slot) = &mut self.slot {
+                        slot.broke();
                     }
                     if !self.take_up(&why.to_string()).await {
                         return Some(Err(self.cut(why.to_string())));
@@ -141,13 +141,13 @@
         self.ended = true;
         let gaps = self.pieces.saturating_sub(1);
         let gap = (gaps > 0).then(|| self.began.elapsed() / gaps);
-        if let Some(place) = &mut self.place {
-            place.whole(AttemptOutcome::Answered {
+        if let Some(slot) = &mut self.slot {
+            slot.whole(AttemptOutcome::Answered {
                 first_byte: self.first,
                 gap,
             });
         }
-        self.place = None;
+        self.slot = None;
         let status = StatusCode::OK.as_u16();
         self.run
             .log_end(status, "stream", Some((self.pieces, self.longest)));
@@ -158,12 +158,12 @@
     /// The stream cannot go on.
     fn cut(&mut self, why: String) -> Cut {
         self.ended = true;
-        if let Some(place) = &mut self.place
+        if let Some(slot) = &mut self.slot
             && !self.run.admitted.deadline.is_past()
         {
-            place.end(AttemptOutcome::Broken);
+            slot.end(AttemptOutcome::Broken);
         }
-        self.place = None;
+        self.slot = None;
         self.connection = None;
         Line::new(Kind::Ended)
             .request(self.run.admitted.call.id.as_ref())
@@ -183,24 +183,24 @@
         let Some(after) = self.events.as_mut().map(Events::broke) else {
             return false;
         };
-        self.place = None;
+        self.slot = None;
         // The former server must have stopped before another goes on.
         self.connection = None;
         while self.run.sendings() < self.run.admitted.rule.attempts {
             self.run.passed += 1;
-            let Ok(place) = self.run.turn().await else {
+            let Ok(slot) = self.run.turn().await else {
                 continue;
             };
-            if !self.run.take_budget(&place) {
+            if !self.run.take_budget(&slot) {
                 return false;
             }
-            let Some(coming) = self.other(place, after.as_deref()).await else {
+            let Some(coming) = self.other(slot, after.as_deref()).await else {
                 continue;
             };
             Line::new(Kind::Resumed)
                 .request(self.run.admitted.call.id.as_ref())
                 .with("identity", self.run.admitted.identity.to_string())
-                .with("server", &*coming.place.server.incarnation)
+                .with("server", &*coming.slot.server.incarnation)
                 .with("after_event", after.as_deref())
                 .with("why", why)
                 .write();
@@ -215,27 +215,27 @@
         self.began = Instant::now();
         self.pieces = 0;
         self.first = coming.first;
-        let (_, body, place, connection) = coming.open();
+        let (_, body, slot, connection) = coming.open();
         self.body = body;
-        self.place = Some(place);
+        self.slot = Some(slot);
         self.connection = Some(connection);
     }
 
-    /// Asks the server of `place` for the stream after the event `after`.
-    async fn other(&mut self, place: Place, after: Option<&str>) -> Option<Coming> {
-        let server = Arc::clone(&place.server.incarnation);
+    /// Asks the server of `slot` for the stream after the event `after`.
+    async fn other(&mut self, slot: Slot, after: Option<&str>) -> Option<Coming> {
+        let server = Arc::clone(&slot.server.incarnation);
         self.run.tried.push(server);
-        let dress = |place: &Place| self.run.request(place, after);
+        let dress = |slot: &Slot| self.run.request(slot, after);
         let deadline = &self.run.admitted.deadline;
         let quiet = self.run.quiet();
         let dialect = self.run.node.dialect;
-        let sent = exchange::send(dress, place, dialect, deadline, quiet).await;
+        let sent = exchange::send(dress, slot, dialect, deadline, quiet).await;
         let mut coming = match sent {
             Ok(coming) => coming,
-            Err((failure, mut place)) => {
-                place.end(judge::meaning(&failure).0);
+            Err((failure, mut slot)) => {
+                slot.end(judge::meaning(&failure).0);
                 if matches!(failure, Failure::Broke(_)) {
-                    place.broke();
+                    slot.broke();
                 }
                 return None;
             }
@@ -244,7 +244,7 @@
         if foreign || coming.head.status != StatusCode::OK {
             let refusal = coming.refusal();
             let end = refusal.map_or(AttemptOutcome::Broken, |refusal| judge::meaning(&refusal).0);
-            coming.place.end(end);
+            coming.slot.end(end);
             return None;
         }
         Some(coming)
--- a/crates/curlewlift/src/gateway/run.rs
+++ b/crates/curlewlift/src/gateway/run.rs
@@ -20,15 +20,15 @@
 use super::exchange;
 use super::exchange::Coming;
 use super::exchange::Failure;
+use super::hub_slots::AttemptContext;
 use super::log::Line;
 use super::log::millis;
 use super::node::Node;
-use super::place::Place;
-use super::place::log_limit;
-use super::places::Wanted;
 use super::refuse::Refused;
 use super::sending;
-use super::turn;
+use super::slot::Slot;
+use super::slot::log_limit;
+use super::slot_wait;
 
 /// How long a server may say nothing before it is thought to be silent: three times the time
 /// within which an answer is wanted, and no less than this.
@@ -102,16 +102,16 @@
                 let refusal = self.past();
                 return self.refuse(&refusal);
             }
-            let place = match self.turn().await {
-                Ok(place) => place,
+            let slot = match self.turn().await {
+                Ok(slot) => slot,
                 Err(refusal) => return self.refuse(&refusal),
             };
-            if self.sendings() > 0 && !self.take_budget(&place) {
-                drop(place);
+            if self.sendings() > 0 && !self.take_budget(&slot) {
+                drop(slot);
                 let refusal = self.exhausted();
                 return self.refuse(&refusal);
             }
-            match self.send(place).await {
+            match self.send(slot).await {
                 Ok(Step::Answer(answer)) => return answer,
                 Ok(Step::Again) => {}
                 Err(refusal) => return self.refuse(&refusal),
@@ -120,8 +120,8 @@
     }
 
     /// Whether the service's budget, here or at the hub, has a further sending left; if so it is counted.
-    pub(super) fn take_budget(&self, place: &Place) -> bool {
-        if place.is_retry() {
+    pub(super) fn take_budget(&self, slot: &Slot) -> bool {
+        if slot.is_retry() {
             return true;
         }
         let now = self.node.now();
@@ -148,7 +148,7 @@
     }
 
     /// Waits for a server.
-    pub(super) async fn turn(&mut self) -> Result<Place, Refused> {
+    pub(super) async fn turn(&mut self) -> Result<Slot, Refused> {
         let admitted = &self.admitted;
         let now = self.node.now();
         let patience = admitted.patience(&self.node);
@@ -173,30 +173,30 @@
             allowed_halls: admitted.halls.clone(),
         };
         let charge = self.admitted.charge.as_ref();
-        let wanted = Wanted {
+        let wanted = AttemptContext {
             service: &self.service,
             rule: &self.admitted.rule.name,
             identity: &self.admitted.identity,
             left: self.admitted.deadline.left(),
             retry: self.lacks_budget(),
         };
-        match turn::wait(&self.node, wanted, ask, charge, held).await {
-            Ok(place) => {
+        match slot_wait::wait(&self.node, wanted, ask, charge, held).await {
+            Ok(slot) => {
                 // What it counts is drawn once, however often it is sent.
                 self.admitted.charge = None;
-                Ok(place)
+                Ok(slot)
             }
             Err(why) => Err(self.no_turn(why)),
         }
     }
 
     /// The request for one server, with what is left of its time.
-    pub(super) fn request(&self, place: &Place, after: Option<&str>) -> Request<Full<Bytes>> {
+    pub(super) fn request(&self, slot: &Slot, after: Option<&str>) -> Request<Full<Bytes>> {
         let admitted = &self.admitted;
         let account = admitted.account.as_ref();
         let hand = Hand {
             patience: admitted.deadline.left(),
-            server: &place.server.name,
+            server: &slot.server.name,
             customer: account.map(|account| account.name.as_str()),
             after,
         };
@@ -208,23 +208,23 @@
         (self.admitted.rule.objective * 3).max(QUIET)
     }
 
-    async fn send(&mut self, place: Place) -> Result<Step, Refused> {
+    async fn send(&mut self, slot: Slot) -> Result<Step, Refused> {
         let line = self
             .admitted
             .line(Kind::Sent)
-            .with("server", &*place.server.incarnation)
+            .with("server", &*slot.server.incarnation)
             .with("sent", self.sendings() + 1)
             .with("hub_ms", self.node.hub_silence().map(millis))
-            .with("by", if place.is_by_hub() { "hub" } else { "gateway" })
-            .with("left_alone_ms", millis(place.left_alone()));
-        log_limit(line, &place.get_limit()).write();
-        self.tried.push(Arc::clone(&place.server.incarnation));
-        let dress = |place: &Place| self.request(place, None);
+            .with("by", if slot.is_by_hub() { "hub" } else { "gateway" })
+            .with("left_alone_ms", millis(slot.left_alone()));
+        log_limit(line, &slot.get_limit()).write();
+        self.tried.push(Arc::clone(&slot.server.incarnation));
+        let dress = |slot: &Slot| self.request(slot, None);
         let deadline = &self.admitted.deadline;
-        let sent = exchange::send(dress, place, self.node.dialect, deadline, self.quiet()).await;
+        let sent = exchange::send(dress, slot, self.node.dialect, deadline, self.quiet()).await;
         match sent {
             Ok(coming) => self.take(coming).await,
-            Err((failure, place)) => self.failed(&failure, place),
+            Err((failure, slot)) => self.failed(&failure, slot),
         }
     }
 
@@ -232,10 +232,10 @@
     async fn take(&mut self, mut coming: Coming) -> Result<Step, Refused> {
         if let Some(why) = coming.foreign(self.admitted.call.id.as_ref()) {
             let failure = Failure::Unknown(why.to_owned());
-            return self.failed(&failure, coming.place);
+            return self.failed(&failure, coming.slot);
         }
         if let Some(refusal) = coming.refusal() {
-            return self.failed(&refusal, coming.place);
+            return self.failed(&refusal, coming.slot);
         }
         self.sent += 1;
         self.first = Some(coming.first);
@@ -247,7 +247,7 @@
         }
         if !coming.is_small() {
             let first_byte = coming.first;
-            coming.place.end(AttemptOutcome::Answered {
+            coming.slot.end(AttemptOutcome::Answered {
                 first_byte,
                 gap: None,
             });
@@ -258,17 +258,16 @@
 
     /// Takes an answer that is read whole before any of it is passed on.
     async fn take_whole(&mut self, coming: Coming) -> Result<Step, Refused> {
-        let (head, body, mut place, first_byte) =
-            coming.whole(self.admitted.deadline.timer()).await;
+        let (head, body, mut slot, first_byte) = coming.whole(self.admitted.deadline.timer()).await;
         let body = match body {
             Ok(body) => body,
             Err(failure) => {
                 self.sent -= 1;
-                return self.failed(&failure, place);
+                return self.failed(&failure, slot);
             }
         };
         let failed = head.status.is_server_error();
-        place.whole(if failed {
+        slot.whole(if failed {
             AttemptOutcome::Failed
         } else {
             AttemptOutcome::Answered {
--- a/crates/curlewlift/src/gateway/place.rs
+++ b/crates/curlewlift/src/gateway/slot.rs
@@ -19,14 +19,14 @@
 use curlewlift_core::quarantine::Identity;
 use curlewlift_core::unit::Tokens;
 
+use super::hub_slots::AttemptContext;
 use super::log::Line;
 use super::log::millis;
 use super::node::Node;
-use super::places::Wanted;
 use super::service::Service;
 
 /// A place at a backend server; given back when it is dropped.
-pub(super) struct Place {
+pub(super) struct Slot {
     node: Rc<Node>,
     service: id::Service,
     /// For the roll-out that was under way when it was given.
@@ -47,11 +47,11 @@
     end: AttemptOutcome,
 }
 
-impl Place {
+impl Slot {
     /// A place at `server` that this gateway chose.
     pub(super) fn new(
         node: &Rc<Node>,
-        wanted: Wanted<'_>,
+        wanted: AttemptContext<'_>,
         server: Arc<Server>,
         prompt: Tokens,
     ) -> Self {
@@ -256,7 +256,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
         self.begun();
         // Before the end is told, so that one report tells both.
--- a/crates/curlewlift/src/gateway/turn.rs
+++ b/crates/curlewlift/src/gateway/slot_wait.rs
@@ -14,12 +14,12 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use super::draw;
+use super::hub_slots;
+use super::hub_slots::AttemptContext;
+use super::hub_slots::HubDecision;
+use super::local_quota;
 use super::node::Node;
-use super::place::Place;
-use super::places;
-use super::places::Wanted;
-use super::places::Word;
+use super::slot::Slot;
 
 /// Between two looks whether the hub is heard again, of a request that only it can let in.
 const LOOK: Duration = Duration::from_millis(30);
@@ -46,21 +46,21 @@
         // A turn that came in the moment in which its request went away is given back.
         self.turn.close();
         if let Ok(turn) = self.turn.try_recv() {
-            let wanted = Wanted {
+            let wanted = AttemptContext {
                 service: &self.service,
                 rule: &self.rule,
                 identity: &self.identity,
                 left: self.left,
                 retry: false,
             };
-            drop(Place::new(&self.node, wanted, turn.server, turn.prompt));
+            drop(Slot::new(&self.node, wanted, turn.server, turn.prompt));
         }
     }
 }
 
 /// Why no turn came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum NoTurn {
+pub(super) enum NoSlot {
     /// There is no such service here, or no server of it.
     NoServer,
     /// Others go before it, and its turn would not come in time.
@@ -68,13 +68,13 @@
     /// Its time was up.
     TimeUp,
     /// Its customer has used up its allowance, by the hub's word; there is enough after this time.
-    Beyond(Duration),
+    QuotaExceeded(Duration),
     /// Its customer has used up what this gateway may let in without the hub's word.
-    NoWord,
+    HubUnreachable,
     /// All servers have named limits, from which only the hub draws, and it is not heard.
     Limited,
     /// Servers ended under such a request.
-    Withheld(Rejection),
+    Rejected(Rejection),
     /// It was sent before, and no further sending is left.
     NoRetry,
 }
@@ -83,40 +83,40 @@
 /// request counts is drawn there or here.
 pub(super) async fn wait(
     node: &Rc<Node>,
-    wanted: Wanted<'_>,
+    wanted: AttemptContext<'_>,
     mut ask: Request,
     mut charge: Option<&Charge>,
     patience: Duration,
-) -> Result<Place, NoTurn> {
+) -> Result<Slot, NoSlot> {
     let began = Instant::now();
     let until = began + patience;
     let word = ask.send_by.since(node.now()) / WORD_PART;
     loop {
         let left = until.saturating_duration_since(Instant::now());
-        match places::ask(node, wanted, &ask, charge, left).await {
-            Word::Place(grant) => {
+        match hub_slots::ask(node, wanted, &ask, charge, left).await {
+            HubDecision::Granted(grant) => {
                 let server = Arc::new(grant.server.clone());
-                return Ok(Place::new(node, wanted, server, ask.prompt).by_hub(grant));
+                return Ok(Slot::new(node, wanted, server, ask.prompt).by_hub(grant));
             }
-            Word::NoPlace => return Err(NoTurn::TimeUp),
-            Word::Beyond(wait) => return Err(NoTurn::Beyond(wait)),
-            Word::Withheld(why) => return Err(NoTurn::Withheld(why)),
-            Word::NoRetry => return Err(NoTurn::NoRetry),
-            Word::Closed(server) => {
+            HubDecision::NoSlot => return Err(NoSlot::TimeUp),
+            HubDecision::QuotaExceeded(wait) => return Err(NoSlot::QuotaExceeded(wait)),
+            HubDecision::Rejected(why) => return Err(NoSlot::Rejected(why)),
+            HubDecision::NoRetry => return Err(NoSlot::NoRetry),
+            HubDecision::Unavailable(server) => {
                 charge = None;
                 ask.tried.push(Arc::clone(&server.incarnation));
                 continue;
             }
-            Word::Nothing => {}
+            HubDecision::Undecided => {}
         }
         // Others may be sending it as well, and only the hub adds that up.
         if !node.quarantine.borrow().may_send(wanted.identity) {
-            return Err(NoTurn::Withheld(Rejection::Quarantined));
+            return Err(NoSlot::Rejected(Rejection::Quarantined));
         }
         let is_limited = node.is_limited(wanted.service);
         let is_let_in = match charge {
             _ if is_limited => false,
-            Some(charge) => draw::draw(node, charge).await,
+            Some(charge) => local_quota::acquire(node, charge).await,
             None => true,
         };
         let left = until.saturating_duration_since(Instant::now());
@@ -125,9 +125,9 @@
         }
         if left < LOOK || began.elapsed() + LOOK > word {
             let why = if is_limited {
-                NoTurn::Limited
+                NoSlot::Limited
             } else {
-                NoTurn::NoWord
+                NoSlot::HubUnreachable
             };
             return Err(why);
         }
@@ -138,11 +138,11 @@
 /// Waits for a turn by what this gateway knows itself.
 async fn wait_here(
     node: &Rc<Node>,
-    wanted: Wanted<'_>,
+    wanted: AttemptContext<'_>,
     ask: Request,
     patience: Duration,
-) -> Result<Place, NoTurn> {
-    let (ticket, turn) = node.ask(wanted.service, ask).ok_or(NoTurn::NoServer)?;
+) -> Result<Slot, NoSlot> {
+    let (ticket, turn) = node.ask(wanted.service, ask).ok_or(NoSlot::NoServer)?;
     let mut line = Line {
         node: Rc::clone(node),
         service: wanted.service.clone(),
@@ -155,8 +155,8 @@
     let turn = tokio::time::timeout(patience, &mut line.turn).await;
     let turn = match turn {
         Ok(Ok(turn)) => turn,
-        Ok(Err(_)) => return Err(NoTurn::Displaced),
-        Err(_) => return Err(NoTurn::TimeUp),
+        Ok(Err(_)) => return Err(NoSlot::Displaced),
+        Err(_) => return Err(NoSlot::TimeUp),
     };
-    Ok(Place::new(node, wanted, turn.server, turn.prompt))
+    Ok(Slot::new(node, wanted, turn.server, turn.prompt))
 }
--- a/crates/curlewlift/src/gateway/deputies.rs
+++ b/crates/curlewlift/src/gateway/standbys.rs
@@ -13,14 +13,14 @@
 
 /// The deputies, as a gateway knows them.
 #[derive(Debug, Default)]
-pub(super) struct Deputies {
+pub(super) struct Standbys {
     /// The version that the hub told.
     pub(super) version: u64,
     /// Where the others are reached.
     addresses: Vec<SocketAddr>,
 }
 
-impl Deputies {
+impl Standbys {
     /// Those that the hub tells, but for the gateway on `host` itself.
     pub(super) fn told(told: &gateway::Standbys, host: &id::Host, locate: &Locate) -> Self {
         let others = told.hosts.iter().filter(|other| *other != host);
--- a/crates/curlewlift/src/gateway/stop.rs
+++ b/crates/curlewlift/src/gateway/stop.rs
@@ -20,7 +20,7 @@
 
 /// How long a stop takes.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Grace {
+pub(crate) struct StopTiming {
     /// How long callers may still hold this gateway's address.
     pub(crate) held: Duration,
     /// After how long the platform ends the process.
@@ -33,7 +33,7 @@
 }
 
 /// Sends callers elsewhere, waits until nobody holds the address any more, and finishes.
-pub(super) async fn run(node: &Rc<Node>, grace: Grace) {
+pub(super) async fn run(node: &Rc<Node>, grace: StopTiming) {
     let began = node.now();
     node.stopping.set(Some(began));
     node.changed.notify_one();
--- a/crates/curlewlift/src/gateway/sync.rs
+++ b/crates/curlewlift/src/gateway/sync.rs
@@ -17,10 +17,10 @@
 use crate::rpc::Method;
 use crate::rpc::RenewCall;
 
-use super::deputies::Deputies;
+use super::environment::Environment;
 use super::log::Line;
 use super::node::Node;
-use super::surroundings::Surroundings;
+use super::standbys::Standbys;
 use super::tables;
 
 /// How long an answer may take beyond the hub's own wait: a busy host's delay.
@@ -39,13 +39,13 @@
 const LOST: Duration = Duration::from_millis(1_500);
 
 /// Asks for as long as the process lives.
-pub(super) async fn keep(node: Rc<Node>, around: Rc<Surroundings>) {
+pub(super) async fn keep(node: Rc<Node>, environment: Rc<Environment>) {
     let began = node.now();
-    let mut place = 0;
+    let mut slot = 0;
     let mut known = None;
     let mut search = LeaderSearch::default();
     loop {
-        let asked = once(&node, &around, &mut place).await;
+        let asked = once(&node, &environment, &mut slot).await;
         let hears = hears(&node, began);
         if hears.is_some() && hears != known {
             known = hears;
@@ -97,9 +97,9 @@
 }
 
 /// One question; whether the leader answered it, else why not.
-async fn once(node: &Rc<Node>, around: &Surroundings, place: &mut usize) -> Result<(), String> {
-    let Some(address) = address(node, around, *place) else {
-        *place += 1;
+async fn once(node: &Rc<Node>, environment: &Environment, slot: &mut usize) -> Result<(), String> {
+    let Some(address) = address(node, environment, *slot) else {
+        *slot += 1;
         return Err("nobody is known whom to ask".to_owned());
     };
     let asked = node.now();
@@ -121,7 +121,7 @@
                 limits.apply_reply(reply.hub_id, told_limits, reply.limits.as_ref(), node.now());
             drop(limits);
             node.limit(changes.into_iter());
-            take(node, around, address, asked, *reply);
+            take(node, environment, address, asked, *reply);
             Ok(())
         }
         Ok(HubReply::Elsewhere { leader, control }) => {
@@ -129,7 +129,7 @@
             let why = format!("{address} does not lead");
             let same = leader == node.hub.borrow().leader;
             if same || leader.is_none() {
-                *place += 1;
+                *slot += 1;
             }
             node.hub.borrow_mut().leader = if same { None } else { leader };
             Err(why)
@@ -138,7 +138,7 @@
         Err(why) => {
             log::debug!("no word from {address}: {why}");
             node.hub.borrow_mut().leader = None;
-            *place += 1;
+            *slot += 1;
             Err(why.get_detail().to_owned())
         }
     }
@@ -146,24 +146,24 @@
 
 /// Where to ask: at the leader, or in turn at each that may know it: the replica in this process, the
 /// hosts that are known to keep one, and those that the settings name, which may not.
-fn address(node: &Node, around: &Surroundings, place: usize) -> Option<SocketAddr> {
+fn address(node: &Node, environment: &Environment, slot: usize) -> Option<SocketAddr> {
     let hub = node.hub.borrow();
     let leader = hub.leader.as_ref();
-    let leader = leader.and_then(|leader| (around.locate)(leader));
-    leader.or_else(|| elsewhere(node, around, place))
+    let leader = leader.and_then(|leader| (environment.locate)(leader));
+    leader.or_else(|| elsewhere(node, environment, slot))
 }
 
 /// Where to ask in turn, whoever is said to lead.
-pub(super) fn elsewhere(node: &Node, around: &Surroundings, place: usize) -> Option<SocketAddr> {
+pub(super) fn elsewhere(node: &Node, environment: &Environment, slot: usize) -> Option<SocketAddr> {
     let known = node.known.get();
-    let known = known.iter().filter_map(|host| (around.locate)(host));
-    let mut all: Vec<_> = around.beside.into_iter().chain(known).collect();
-    for seed in (around.seeds)() {
+    let known = known.iter().filter_map(|host| (environment.locate)(host));
+    let mut all: Vec<_> = environment.beside.into_iter().chain(known).collect();
+    for seed in (environment.seeds)() {
         if !all.contains(&seed) {
             all.push(seed);
         }
     }
-    all.get(place % all.len().max(1)).copied()
+    all.get(slot % all.len().max(1)).copied()
 }
 
 fn question(node: &Node) -> Poll {
@@ -196,13 +196,13 @@
 /// Takes up the answer to a question that was sent at `asked`.
 fn take(
     node: &Node,
-    around: &Surroundings,
+    environment: &Environment,
     address: SocketAddr,
     asked: clock::Instant,
     reply: Reply,
 ) {
     if let Some(publication) = reply.table {
-        tables::adopt(node, around, &publication);
+        tables::adopt(node, environment, &publication);
     }
     {
         let mut hub = node.hub.borrow_mut();
@@ -236,7 +236,7 @@
     }
     node.known.set(reply.control_hosts);
     if let Some(told) = reply.standbys {
-        *node.deputies.borrow_mut() = Deputies::told(&told, &node.host, &around.locate);
+        *node.deputies.borrow_mut() = Standbys::told(&told, &node.host, &environment.locate);
     }
     node.part.borrow_mut().set(reply.retry_share, asked);
     node.reserve
--- a/crates/curlewlift/src/gateway/tables.rs
+++ b/crates/curlewlift/src/gateway/tables.rs
@@ -13,8 +13,8 @@
 use crate::rpc::Method;
 use crate::rpc::RenewCall;
 
+use super::environment::Environment;
 use super::node::Node;
-use super::surroundings::Surroundings;
 
 /// How long a piece may take: the hub's own wait, and the pieces of others before it on a link of
 /// 1 Mbit/s.
@@ -26,7 +26,7 @@
 /// Fetches whenever a newer table is known of than the one held, for as long as the process lives.
 ///
 /// What has come stays when a call fails or another leads: a slow link makes it late, not endless.
-pub(super) async fn keep(node: Rc<Node>, around: Rc<Surroundings>) {
+pub(super) async fn keep(node: Rc<Node>, environment: Rc<Environment>) {
     let mut come = Come::default();
     // A table that cannot be read is not fetched over and over.
     let mut done = 0;
@@ -38,7 +38,7 @@
                 Progress::None => tokio::time::sleep(AGAIN).await,
                 Progress::Whole(publication) => {
                     done = publication.number;
-                    adopt(&node, &around, &publication);
+                    adopt(&node, &environment, &publication);
                 }
             }
         }
@@ -46,8 +46,8 @@
 }
 
 /// Puts a table in force that has come whole.
-pub(super) fn adopt(node: &Node, around: &Surroundings, publication: &Publication) {
-    match (around.decode)(publication) {
+pub(super) fn adopt(node: &Node, environment: &Environment, publication: &Publication) {
+    match (environment.decode)(publication) {
         Ok(table) => node.adopt_table(table),
         Err(why) => log::error!("table {} cannot be read: {why}", publication.number),
     }
--- a/crates/curlewlift/src/platform/evacuations.rs
+++ b/crates/curlewlift/src/platform/evacuations.rs
@@ -11,8 +11,8 @@
 
 use crate::gateway;
 use crate::gateway::Answer;
+use crate::gateway::Environment;
 use crate::gateway::Node;
-use crate::gateway::Surroundings;
 use crate::gateway::note;
 
 use super::http;
@@ -35,11 +35,11 @@
 }
 
 /// Takes an order.
-pub(super) async fn order(node: &Node, around: &Surroundings, order: Order) -> Answer {
+pub(super) async fn order(node: &Node, environment: &Environment, order: Order) -> Answer {
     let hall = Arc::clone(&order.hall);
     let action = order.action;
     let taken = match check(node, &order) {
-        Ok(()) => gateway::evacuate(node, around, order)
+        Ok(()) => gateway::evacuate(node, environment, order)
             .await
             .map_err(operator::unclear),
         Err(refusal) => Err(refusal),
--- a/crates/curlewlift/src/platform/instances.rs
+++ b/crates/curlewlift/src/platform/instances.rs
@@ -21,7 +21,7 @@
 
 use crate::gateway;
 use crate::gateway::Fetch;
-use crate::gateway::Missed;
+use crate::gateway::FetchError;
 
 use super::entries::Page;
 use super::http;
@@ -57,7 +57,7 @@
     platform: SocketAddr,
     noted: &Noted,
     apart: Duration,
-) -> Result<ServerList, Missed> {
+) -> Result<ServerList, FetchError> {
     let mut servers = Vec::new();
     let mut unreadable = BTreeSet::new();
     let mut from = String::new();
@@ -81,7 +81,7 @@
     client: &Client<HttpConnector, Body>,
     platform: SocketAddr,
     from: &str,
-) -> Result<Page, Missed> {
+) -> Result<Page, FetchError> {
     let request = Request::get(format!("http://{platform}/instances{from}"))
         .body(Body::empty())
         .map_err(|why| lost(&why))?;
@@ -89,7 +89,7 @@
     if answer.status() != StatusCode::OK {
         let missed = lost(answer.status());
         let again = again(answer.headers());
-        return Err(Missed { again, ..missed });
+        return Err(FetchError { again, ..missed });
     }
     let body = Limited::new(answer.into_body(), LARGEST).collect().await;
     let body = body.map_err(|why| lost(&why))?.to_bytes();
@@ -114,8 +114,8 @@
     http::seconds(text)
 }
 
-fn lost(why: impl std::fmt::Display) -> Missed {
-    Missed {
+fn lost(why: impl std::fmt::Display) -> FetchError {
+    FetchError {
         why: why.to_string(),
         again: None,
     }
--- a/crates/curlewlift/src/platform/operator.rs
+++ b/crates/curlewlift/src/platform/operator.rs
@@ -18,8 +18,8 @@
 
 use crate::gateway;
 use crate::gateway::Answer;
+use crate::gateway::Environment;
 use crate::gateway::Node;
-use crate::gateway::Surroundings;
 use crate::gateway::note;
 
 use super::document;
@@ -29,25 +29,27 @@
 
 pub(super) async fn answer(
     node: Rc<Node>,
-    around: Rc<Surroundings>,
+    environment: Rc<Environment>,
     request: Request<Incoming>,
 ) -> Answer {
     let path = request.uri().path();
     match (request.method(), path) {
-        (&Method::POST, "/api/config/put") => put(&node, &around, request).await,
-        (&Method::GET, "/api/config/get") => get(&node, &around).await,
-        (&Method::POST, "/api/rollouts/start") => rollouts::start(&node, &around, request).await,
+        (&Method::POST, "/api/config/put") => put(&node, &environment, request).await,
+        (&Method::GET, "/api/config/get") => get(&node, &environment).await,
+        (&Method::POST, "/api/rollouts/start") => {
+            rollouts::start(&node, &environment, request).await
+        }
         (&Method::POST, _) if let Some(order) = evacuations::asked(path) => {
-            evacuations::order(&node, &around, order).await
+            evacuations::order(&node, &environment, order).await
         }
         (&Method::GET, _) if let Some(service) = rollouts::asked(path) => {
-            rollouts::get(&node, &around, &service).await
+            rollouts::get(&node, &environment, &service).await
         }
         _ => http::empty(StatusCode::NOT_FOUND),
     }
 }
 
-async fn put(node: &Node, around: &Surroundings, request: Request<Incoming>) -> Answer {
+async fn put(node: &Node, environment: &Environment, request: Request<Incoming>) -> Answer {
     let text = match text(request).await {
         Ok(text) => text,
         Err(refusal) => return http::refused(&refusal),
@@ -66,7 +68,7 @@
         number,
         document: Document::pack(&text),
     };
-    let published = gateway::publish(node, around, publication).await;
+    let published = gateway::publish(node, environment, publication).await;
     let why = published.as_ref().err().map(ToString::to_string);
     note(Kind::Command)
         .with("table", number)
@@ -79,8 +81,8 @@
     }
 }
 
-async fn get(node: &Node, around: &Surroundings) -> Answer {
-    match gateway::read(node, around).await {
+async fn get(node: &Node, environment: &Environment) -> Answer {
+    match gateway::read(node, environment).await {
         Ok(publication) if publication.number > 0 => match publication.document.unpack() {
             Ok(text) => gateway::json(text),
             Err(refusal) => http::refused(&unclear(refusal)),
--- a/crates/curlewlift/src/platform/rollouts.rs
+++ b/crates/curlewlift/src/platform/rollouts.rs
@@ -17,8 +17,8 @@
 
 use crate::gateway;
 use crate::gateway::Answer;
+use crate::gateway::Environment;
 use crate::gateway::Node;
-use crate::gateway::Surroundings;
 use crate::gateway::note;
 
 use super::http;
@@ -39,7 +39,7 @@
 /// Takes an order.
 pub(super) async fn start(
     node: &Node,
-    around: &Surroundings,
+    environment: &Environment,
     request: Request<Incoming>,
 ) -> Answer {
     let text = operator::text(request).await;
@@ -50,7 +50,7 @@
             return http::refused(&refusal);
         }
     };
-    let taken = gateway::roll_out(node, around, order.clone()).await;
+    let taken = gateway::roll_out(node, environment, order.clone()).await;
     log(Some(&order), taken.as_ref().err());
     match taken {
         Ok(()) => http::empty(StatusCode::OK),
@@ -65,7 +65,7 @@
 }
 
 /// Tells how far the last roll-out of a service has come.
-pub(super) async fn get(node: &Node, around: &Surroundings, service: &str) -> Answer {
+pub(super) async fn get(node: &Node, environment: &Environment, service: &str) -> Answer {
     let service: id::Service = match service.parse() {
         Ok(service) => service,
         Err(why) => {
@@ -73,7 +73,7 @@
             return http::refused(&refusal);
         }
     };
-    match gateway::rollout_of(node, around, service.clone()).await {
+    match gateway::rollout_of(node, environment, service.clone()).await {
         Ok(Some((target, phase))) => gateway::json(told(&target, phase)),
         Ok(None) => {
             let why = format!("no roll-out of `{service}` was ordered");
--- a/crates/curlewlift/src/platform/start.rs
+++ b/crates/curlewlift/src/platform/start.rs
@@ -23,12 +23,12 @@
 use crate::control::Known;
 use crate::control::Locate;
 use crate::gateway::Answer;
-use crate::gateway::Beginning;
-use crate::gateway::Beside;
+use crate::gateway::Environment;
 use crate::gateway::Gateway;
-use crate::gateway::Grace;
+use crate::gateway::LocalReplica;
 use crate::gateway::Node;
-use crate::gateway::Surroundings;
+use crate::gateway::StartListeners;
+use crate::gateway::StopTiming;
 use crate::gateway::serve;
 use crate::process;
 use crate::process::Clock;
@@ -128,7 +128,7 @@
         dialect: heads::DIALECT,
         allowed: settings.retries(),
         tolerance: settings.tolerance(),
-        grace: Grace {
+        grace: StopTiming {
             held: Duration::from_secs_f64(keep * KEPT) + WORD,
             grace: settings.stop_time(),
         },
@@ -141,10 +141,11 @@
         clock,
     };
     gateway.start(move || {
-        let around = surroundings(path, &settings);
+        let environment = surroundings(path, &settings);
         let fetch = instances::fetch(settings.platform.address);
-        let also: Beginning = Box::new(move |node, around| also(node, around, listeners, keep));
-        (around, fetch, also)
+        let also: StartListeners =
+            Box::new(move |node, environment| also(node, environment, listeners, keep));
+        (environment, fetch, also)
     })
 }
 
@@ -164,7 +165,11 @@
 }
 
 /// The control replica, on a host with a disk.
-fn beside(settings: &Settings, known: &Known, clock: &Clock) -> Result<Option<Beside>, Refusal> {
+fn beside(
+    settings: &Settings,
+    known: &Known,
+    clock: &Clock,
+) -> Result<Option<LocalReplica>, Refusal> {
     let Some(data) = &settings.data_dir else {
         return Ok(None);
     };
@@ -173,7 +178,7 @@
         peers.insert(host(seed.ip())?, settings.replica(seed.ip()));
     }
     let replicas = settings.tolerated.replicas();
-    Ok(Some(Beside {
+    Ok(Some(LocalReplica {
         rpc: settings.replica(settings.ip),
         data: data.clone(),
         found: settings.founds(),
@@ -196,9 +201,9 @@
     }))
 }
 
-fn surroundings(path: PathBuf, settings: &Settings) -> Surroundings {
+fn surroundings(path: PathBuf, settings: &Settings) -> Environment {
     let first = settings.clone();
-    Surroundings {
+    Environment {
         // The file may change without a signal.
         seeds: Box::new(move || {
             let settings = Settings::read(&path).unwrap_or_else(|why| {
@@ -220,7 +225,7 @@
 /// Serves operators, address questions and the question of readiness.
 fn also(
     node: &Rc<Node>,
-    around: &Rc<Surroundings>,
+    environment: &Rc<Environment>,
     listeners: Listeners,
     keep: f64,
 ) -> Result<(), Refusal> {
@@ -233,9 +238,9 @@
         std::future::ready(directory::resolve(&asked, keep, &request))
     })?;
     let node = Rc::clone(node);
-    let around = Rc::clone(around);
+    let environment = Rc::clone(environment);
     listen(listeners.operators, move |request| {
-        operator::answer(Rc::clone(&node), Rc::clone(&around), request)
+        operator::answer(Rc::clone(&node), Rc::clone(&environment), request)
     })
 }
 
