--- a/crates/curlewlift/src/gateway/admit.rs
+++ b/crates/curlewlift/src/gateway/admit.rs
@@ -113,7 +113,7 @@
             objective: self.rule.objective,
             waited: self.deadline.age(),
             remaining: self.deadline.left(),
-            first_byte: node.lead(&self.rule.name),
+            first_byte: node.first_byte_estimate(&self.rule.name),
         }
     }
 
--- a/crates/curlewlift/src/gateway/daemon.rs
+++ b/crates/curlewlift/src/gateway/daemon.rs
@@ -149,7 +149,7 @@
         tokio::task::spawn_local(sync::keep(Rc::clone(&node), Rc::clone(&environment)));
         tokio::task::spawn_local(tables::keep(Rc::clone(&node), Rc::clone(&environment)));
         tokio::task::spawn_local(lists::keep(Rc::clone(&node), fetch, kept, self.list_rate));
-        tokio::task::spawn_local(hub_slots::report(Rc::clone(&node)));
+        tokio::task::spawn_local(hub_slots::send_reports(Rc::clone(&node)));
         tokio::task::spawn_local(tick(Rc::clone(&node)));
         also(&node, &environment)?;
         if signal.next().await == Order::Stop {
@@ -176,8 +176,8 @@
 async fn tick(node: Rc<Node>) {
     loop {
         tokio::time::sleep(TICK).await;
-        if node.waiting() > 0 {
-            node.serve_all();
+        if node.queue_len() > 0 {
+            node.assign_all_slots();
         }
     }
 }
--- a/crates/curlewlift/src/gateway/discovery.rs
+++ b/crates/curlewlift/src/gateway/discovery.rs
@@ -52,13 +52,13 @@
     }
     let reply = match rpc::decode(body)? {
         RenewCall::Hub(HubCall::Introduce(hosts)) => {
-            node.known.add(hosts);
+            node.known_replicas.add(hosts);
             HubReply::Told
         }
-        RenewCall::Hub(HubCall::Draw(charge)) => HubReply::Drawn(node.draw(&charge)),
+        RenewCall::Hub(HubCall::Draw(charge)) => HubReply::Drawn(node.acquire_quota(&charge)),
         RenewCall::Hub(_) => HubReply::Elsewhere {
             leader: node.hub.borrow().leader.clone(),
-            control: node.known.get(),
+            control: node.known_replicas.get(),
         },
         RenewCall::Replica { .. } | RenewCall::Entry(_) => {
             let why = "this host keeps no control replica";
@@ -72,7 +72,7 @@
 pub(super) async fn introduce(node: Rc<Node>, environment: Rc<Environment>) {
     loop {
         tokio::time::sleep(EVERY).await;
-        let mut hosts = node.known.get();
+        let mut hosts = node.known_replicas.get();
         if !hosts.contains(&node.host) {
             hosts.push(node.host.clone());
         }
@@ -92,7 +92,7 @@
     let call = RenewCall::Hub(HubCall::Introduce(hosts));
     let told: Result<HubReply, Refusal> = node.rpc.call(seed, Method::Renew, &call, CALL).await;
     match told {
-        Ok(HubReply::Elsewhere { control, .. }) => node.known.add(control),
+        Ok(HubReply::Elsewhere { control, .. }) => node.known_replicas.add(control),
         Ok(_) => {}
         Err(why) => log::debug!("{seed} was not told where control is: {why}"),
     }
--- a/crates/curlewlift/src/gateway/hub_slots.rs
+++ b/crates/curlewlift/src/gateway/hub_slots.rs
@@ -79,7 +79,7 @@
 }
 
 /// Asks the hub for a place for at most `patience`, and to draw what the request counts.
-pub(super) async fn ask(
+pub(super) async fn request_slot(
     node: &Node,
     wanted: AttemptContext<'_>,
     ask: &Request,
@@ -89,7 +89,7 @@
     let Some(address) = node.hub_address() else {
         return HubDecision::Undecided;
     };
-    let want = node.want(wanted, ask, charge, patience);
+    let want = node.slot_request(wanted, ask, charge, patience);
     let call = RenewCall::Hub(HubCall::Want(Box::new(want)));
     let asked = node.now();
     let call = node
@@ -97,21 +97,21 @@
         .call(address, Method::Renew, &call, CALL + patience);
     let reply: Option<Result<HubReply, Refusal>> = tokio::select! {
         reply = tokio::time::timeout(patience + ON_ITS_WAY, call) => reply.ok(),
-        () = node.hub_falls_silent() => None,
+        () = node.wait_for_hub_timeout() => None,
     };
     match reply {
         Some(Ok(HubReply::Place(Some(grant)))) => {
             // A host that was suspended finds a place that has been given to others since.
             let is_late = node.now().since(asked) > patience + ON_ITS_WAY;
-            node.take(wanted, grant, ask.prompt, is_late)
+            node.accept_grant(wanted, grant, ask.prompt, is_late)
         }
         Some(Ok(HubReply::Place(None))) => HubDecision::NoSlot,
         Some(Ok(HubReply::Beyond(filled))) => HubDecision::QuotaExceeded(filled),
         Some(Ok(HubReply::Withheld(why))) => HubDecision::Rejected(why),
         Some(Ok(HubReply::NoRetry)) => HubDecision::NoRetry,
-        Some(Ok(_)) => node.doubt("it does not lead"),
-        Some(Err(why)) => node.doubt(&why.to_string()),
-        None => node.doubt("no word in time"),
+        Some(Ok(_)) => node.doubt_hub("it does not lead"),
+        Some(Err(why)) => node.doubt_hub(&why.to_string()),
+        None => node.doubt_hub("no word in time"),
     }
 }
 
@@ -119,10 +119,10 @@
     /// Where the hub is asked for places; none where it is not heard or is doubted.
     fn hub_address(&self) -> Option<SocketAddr> {
         let now = self.now();
-        let fresh = self.hub_fresh();
+        let fresh = self.hub_timeout();
         let hub = self.hub.borrow();
         let lately = |when: Option<_>, length| when.is_some_and(|when| now.since(when) < length);
-        if !lately(hub.heard, fresh) || lately(hub.doubted, DOUBT) {
+        if !lately(hub.last_reply_at, fresh) || lately(hub.doubted_at, DOUBT) {
             return None;
         }
         hub.address
@@ -132,15 +132,15 @@
     ///
     /// A hub whose host has lost power resets nothing: waiting for its word for as long as a request is
     /// held, gateways began nothing for 0.4 s, and most of their streams for up to 1 s.
-    async fn hub_falls_silent(&self) {
-        while let Some(silence) = self.hub_silence()
-            && silence < self.hub_fresh()
+    async fn wait_for_hub_timeout(&self) {
+        while let Some(silence) = self.since_hub_reply()
+            && silence < self.hub_timeout()
         {
-            tokio::time::sleep(self.hub_fresh().saturating_sub(silence)).await;
+            tokio::time::sleep(self.hub_timeout().saturating_sub(silence)).await;
         }
     }
 
-    fn want(
+    fn slot_request(
         &self,
         wanted: AttemptContext<'_>,
         ask: &Request,
@@ -184,7 +184,7 @@
     }
 
     /// Takes up a grant, but for one that has come too late.
-    fn take(
+    fn accept_grant(
         &self,
         wanted: AttemptContext<'_>,
         grant: Grant,
@@ -193,8 +193,8 @@
     ) -> HubDecision {
         let service = wanted.service;
         let mut hub = self.hub.borrow_mut();
-        if grant.id.follows(hub.mark) {
-            hub.mark = grant.id;
+        if grant.id.follows(hub.last_grant) {
+            hub.last_grant = grant.id;
         }
         drop(hub);
         let server = Arc::new(grant.server.clone());
@@ -203,7 +203,7 @@
             .limits
             .borrow_mut()
             .observe_servers(std::iter::once(&*server), now);
-        self.limit(met.into_iter());
+        self.apply_limits(met.into_iter());
         let is_beyond = !grant.rate_charged && self.limits.borrow().blocks(&server, grant.id);
         let is_evacuated = self.policy.borrow().is_evacuated(&server.hall);
         let is_closed = is_beyond || is_evacuated;
@@ -218,15 +218,15 @@
             let mut quarantine = self.quarantine.borrow_mut();
             quarantine.record_inconclusive(identity, permit, now);
         }
-        self.tell(service, &server.incarnation, AttemptOutcome::Unknown, None);
-        if (self.tell_word(service, &server) || is_closed) && !is_late {
+        self.report_end(service, &server.incarnation, AttemptOutcome::Unknown, None);
+        if (self.report_notice(service, &server) || is_closed) && !is_late {
             return HubDecision::Unavailable(grant.server);
         }
         HubDecision::Undecided
     }
 
     /// Tells the hub what a server has said of itself to this host and still holds; false where that is nothing.
-    pub(super) fn tell_word(&self, service: &id::Service, server: &Server) -> bool {
+    pub(super) fn report_notice(&self, service: &id::Service, server: &Server) -> bool {
         let now = self.now();
         let incarnation = &server.incarnation;
         let word = |service: &mut Service| service.pool.get_notices().active(incarnation, now);
@@ -235,23 +235,23 @@
             Some(Notice::Backoff(left)) => AttemptOutcome::Backoff(left),
             Some(Notice::Unreadable(_)) | None => return false,
         };
-        self.tell(service, incarnation, end, None);
+        self.report_end(service, incarnation, end, None);
         true
     }
 
-    fn doubt(&self, why: &str) -> HubDecision {
+    fn doubt_hub(&self, why: &str) -> HubDecision {
         let now = self.now();
         let mut hub = self.hub.borrow_mut();
         Line::new(Kind::HubDoubted)
             .with("leader", hub.leader.as_ref().map(ToString::to_string))
             .with("why", why)
             .write();
-        hub.doubted = Some(now);
+        hub.doubted_at = Some(now);
         HubDecision::Undecided
     }
 
     /// What is to be told of a sending that begins now, for a roll-out under way.
-    pub(super) fn watched(&self, wanted: AttemptContext<'_>) -> Option<RolloutTag> {
+    pub(super) fn rollout_tag(&self, wanted: AttemptContext<'_>) -> Option<RolloutTag> {
         let policy = self.policy.borrow();
         let target = policy.rollout_target(wanted.service)?;
         Some(RolloutTag {
@@ -261,35 +261,35 @@
     }
 
     /// Tells the hub how a sending ended.
-    pub(super) fn tell(
+    pub(super) fn report_end(
         &self,
         service: &id::Service,
         incarnation: &str,
         end: AttemptOutcome,
         watched: Option<RolloutTag>,
     ) {
-        self.ends.borrow_mut().push(AttemptEnd {
+        self.attempt_ends.borrow_mut().push(AttemptEnd {
             service: service.clone(),
             incarnation: incarnation.into(),
             rollout: watched,
             outcome: end,
         });
-        self.reports.notify_one();
+        self.report_wakeup.notify_one();
     }
 }
 
 /// Reports what is in flight as soon as an answer begins or a sending ends; one report at a time.
-pub(super) async fn report(node: Rc<Node>) {
+pub(super) async fn send_reports(node: Rc<Node>) {
     loop {
-        node.reports.notified().await;
-        let ends = node.ends.take();
+        node.report_wakeup.notified().await;
+        let ends = node.attempt_ends.take();
         let Some(address) = node.hub_address() else {
             // The next question tells what is in flight.
             continue;
         };
         let report = Report {
             host: node.host.clone(),
-            last_grant: node.hub.borrow().mark,
+            last_grant: node.hub.borrow().last_grant,
             loads: node.loads(),
             ended: ends,
             observations: node.quarantine.borrow().get_evidence().unacknowledged().0,
--- a/crates/curlewlift/src/gateway/leader_calls.rs
+++ b/crates/curlewlift/src/gateway/leader_calls.rs
@@ -120,7 +120,7 @@
         let reply = node.rpc.call(address, Method::Renew, &call, left).await;
         match reply {
             Ok(HubReply::Elsewhere { leader, control }) => {
-                node.known.add(control);
+                node.known_replicas.add(control);
                 named = leader;
             }
             Ok(reply) => return Ok(reply),
--- a/crates/curlewlift/src/gateway/lists.rs
+++ b/crates/curlewlift/src/gateway/lists.rs
@@ -52,10 +52,10 @@
             tokio::time::sleep(LOOK).await;
             continue;
         };
-        let apart = if beside || node.hub.borrow().fetches {
+        let apart = if beside || node.hub.borrow().fetches_list {
             Duration::ZERO
         } else {
-            gateway::call_interval(node.roll.borrow().gateways.len(), rate)
+            gateway::call_interval(node.membership.borrow().gateways.len(), rate)
         };
         // Those that hear no hub any more do not all begin at the same moment.
         tokio::time::sleep(apart.mul_f64(rand::rng().random())).await;
@@ -67,8 +67,8 @@
                 answered = true;
                 // Its first pages may be older than what the hub has told since.
                 if due(&node, beside).is_some() {
-                    node.adopt_list(|holding| holding.set_whole(listing));
-                    node.changed.notify_one();
+                    node.update_server_list(|holding| holding.set_whole(listing));
+                    node.poll_wakeup.notify_one();
                 }
                 None
             }
@@ -93,11 +93,11 @@
 /// A gateway that has never heard the hub has no routing table either. Were it to fetch, 300 that start at
 /// the same moment would ask the platform for 18,000 pages of a list of 3,000 servers.
 fn due(node: &Node, beside: bool) -> Option<Duration> {
-    let Some(silence) = node.hub_silence() else {
+    let Some(silence) = node.since_hub_reply() else {
         return beside.then_some(ALONE);
     };
-    if silence > node.hub_fresh() + SILENT {
+    if silence > node.hub_timeout() + SILENT {
         return Some(ALONE);
     }
-    node.hub.borrow().fetches.then_some(FOR_ALL)
+    node.hub.borrow().fetches_list.then_some(FOR_ALL)
 }
--- a/crates/curlewlift/src/gateway/local_quota.rs
+++ b/crates/curlewlift/src/gateway/local_quota.rs
@@ -23,10 +23,10 @@
 /// Load: no leader for a second, and a customer's requests at 200 gateways. A two-hundredth of what may be
 /// let in is less than one request counts; an eighth is some.
 pub(super) async fn acquire(node: &Rc<Node>, charge: &Charge) -> bool {
-    if node.draw(charge) {
+    if node.acquire_quota(charge) {
         return true;
     }
-    let some = node.deputies.borrow().some();
+    let some = node.standbys.borrow().some();
     for address in some {
         if ask(node, address, charge).await {
             return true;
--- a/crates/curlewlift/src/gateway/node.rs
+++ b/crates/curlewlift/src/gateway/node.rs
@@ -42,11 +42,11 @@
 use super::standbys::Standbys;
 
 /// How old the hub's last word may be for it to be asked, at the least.
-const HEARD: Duration = Duration::from_millis(500);
+const MIN_HUB_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How many gateways a caller's own data hall, or region, must have for it to be sent to those only: one that
 /// fails leaves another.
-const NEAR: usize = 2;
+const MIN_NEARBY_GATEWAYS: usize = 2;
 
 /// What a gateway knows of the hub.
 #[derive(Debug, Default)]
@@ -56,21 +56,21 @@
     /// Where it was reached when it last answered.
     pub(super) address: Option<SocketAddr>,
     /// When it last answered.
-    pub(super) heard: Option<clock::Instant>,
+    pub(super) last_reply_at: Option<clock::Instant>,
     /// When it last gave no word on a place in time.
-    pub(super) doubted: Option<clock::Instant>,
+    pub(super) doubted_at: Option<clock::Instant>,
     /// The last grant of a place that has come.
-    pub(super) mark: GrantId,
+    pub(super) last_grant: GrantId,
     /// How long this gateway's next question may wait there.
-    pub(super) wait: Duration,
+    pub(super) poll_timeout: Duration,
     /// The number of its last answer.
-    pub(super) got: u64,
+    pub(super) last_reply: u64,
     /// The number of the newest table that it told of.
-    pub(super) newest: u64,
+    pub(super) newest_table: u64,
     /// The version of the whole list that it held at its last word.
-    pub(super) listing: u64,
+    pub(super) server_list_version: u64,
     /// Whether this gateway fetches the list for all.
-    pub(super) fetches: bool,
+    pub(super) fetches_list: bool,
 }
 
 /// What the tasks of a gateway share; one task at a time has it, and none holds a part over a wait.
@@ -82,7 +82,7 @@
     /// How heads are read and written.
     pub(super) dialect: Dialect,
     /// How many sendings past the first are allowed.
-    pub(super) allowed: RetryAllowance,
+    pub(super) retry_allowance: RetryAllowance,
     pub(super) clock: Clock,
     /// Which region each data hall is in.
     pub(super) regions: Regions,
@@ -95,61 +95,61 @@
     /// What the table names as services.
     pub(super) services: RefCell<BTreeMap<id::Service, Service>>,
     /// What it holds of the list of backend servers.
-    pub(super) holding: RefCell<ServerListCache>,
+    pub(super) server_lists: RefCell<ServerListCache>,
     /// The versions of servers that it may send to by its own choice, by the last word of the hub.
     pub(super) policy: RefCell<Policy>,
     /// The gateways that live, by the last word of the hub.
-    pub(super) roll: RefCell<Membership>,
+    pub(super) membership: RefCell<Membership>,
     /// How long answers take to begin, by rule.
-    pub(super) leads: RefCell<BTreeMap<Arc<str>, FirstByteTime>>,
+    pub(super) first_byte_times: RefCell<BTreeMap<Arc<str>, FirstByteTime>>,
     /// What customers may still ask for where the hub gives no word.
-    pub(super) reserve: RefCell<LocalLimiter>,
+    pub(super) local_limiter: RefCell<LocalLimiter>,
     /// Who else may let their requests in then.
-    pub(super) deputies: RefCell<Standbys>,
+    pub(super) standbys: RefCell<Standbys>,
     /// What it knows of requests under which servers end.
     pub(super) quarantine: RefCell<quarantine::LocalTracker>,
     /// What it knows of limits that servers name.
     pub(super) limits: RefCell<limit::LocalReports>,
     /// The part of the sendings past the first that this gateway may do by itself.
-    pub(super) part: RefCell<Share>,
+    pub(super) retry_share: RefCell<Share>,
     /// The hosts that are known to keep a control replica.
-    pub(super) known: Known,
+    pub(super) known_replicas: Known,
     /// What is known of the hub.
     pub(super) hub: RefCell<Hub>,
     /// Since when it is told to stop.
     pub(super) stopping: Cell<Option<clock::Instant>>,
     /// Whether callers that still come are turned away.
-    pub(super) closed: Cell<bool>,
+    pub(super) rejects_callers: Cell<bool>,
     /// Sendings that have ended and that the hub was not told of.
-    pub(super) ends: RefCell<Vec<AttemptEnd>>,
+    pub(super) attempt_ends: RefCell<Vec<AttemptEnd>>,
     /// Wakes the report to the hub where an answer begins or a sending has ended.
-    pub(super) reports: Notify,
+    pub(super) report_wakeup: Notify,
     /// Requests that are open.
-    pub(super) open: Cell<usize>,
+    pub(super) open_requests: Cell<usize>,
     /// Requests that were open and have ended.
-    pub(super) finished: Cell<u64>,
+    pub(super) finished_requests: Cell<u64>,
     /// Wakes the question to the hub where there is something to tell it at once.
-    pub(super) changed: Notify,
+    pub(super) poll_wakeup: Notify,
     /// Wakes the fetching of a newer table.
-    pub(super) newer: Notify,
+    pub(super) fetch_wakeup: Notify,
 }
 
 impl Node {
     pub(super) fn new(
-        holding: ServerListCache,
+        server_lists: ServerListCache,
         gateway: gateway::Gateway,
         dialect: Dialect,
-        allowed: RetryAllowance,
+        retry_allowance: RetryAllowance,
         tolerance: Tolerance,
-        known: Known,
+        known_replicas: Known,
         rpc: rpc::Client,
     ) -> Self {
         Self {
-            host: holding.get_host().clone(),
-            holding: RefCell::new(holding),
+            host: server_lists.get_host().clone(),
+            server_lists: RefCell::new(server_lists),
             gateway,
             dialect,
-            allowed,
+            retry_allowance,
             clock: Clock::start(),
             regions: Regions::default(),
             first_start: false,
@@ -157,23 +157,23 @@
             table: RefCell::default(),
             services: RefCell::default(),
             policy: RefCell::default(),
-            roll: RefCell::default(),
-            leads: RefCell::default(),
-            reserve: RefCell::new(LocalLimiter::new(tolerance)),
-            deputies: RefCell::default(),
+            membership: RefCell::default(),
+            first_byte_times: RefCell::default(),
+            local_limiter: RefCell::new(LocalLimiter::new(tolerance)),
+            standbys: RefCell::default(),
             quarantine: RefCell::default(),
             limits: RefCell::new(limit::LocalReports::new(rand::rng().next_u64())),
-            part: RefCell::default(),
-            known,
+            retry_share: RefCell::default(),
+            known_replicas,
             hub: RefCell::default(),
             stopping: Cell::new(None),
-            closed: Cell::new(false),
-            ends: RefCell::default(),
-            reports: Notify::new(),
-            open: Cell::new(0),
-            finished: Cell::new(0),
-            changed: Notify::new(),
-            newer: Notify::new(),
+            rejects_callers: Cell::new(false),
+            attempt_ends: RefCell::default(),
+            report_wakeup: Notify::new(),
+            open_requests: Cell::new(0),
+            finished_requests: Cell::new(0),
+            poll_wakeup: Notify::new(),
+            fetch_wakeup: Notify::new(),
         }
     }
 
@@ -208,28 +208,39 @@
     pub(crate) fn is_ready(&self) -> bool {
         self.stopping.get().is_none()
             && self.table.borrow().is_some()
-            && self.holding.borrow().get_subset().version != 0
+            && self.server_lists.borrow().get_subset().version != 0
     }
 
     /// The gateways that live, nearest ones for a caller in `hall` of `region`, by the last word of the hub.
     ///
     /// A request that must stay in some regions may come by its caller's own, not by a third one.
     pub(crate) fn gateways(&self, hall: &str, region: &str) -> Vec<SocketAddr> {
-        let roll = self.roll.borrow();
-        let near = |is_near: &dyn Fn(&str) -> bool| -> Vec<_> {
-            let near = roll.gateways.iter().filter(|other| is_near(&other.hall));
-            near.map(|other| other.callers).collect()
+        let membership = self.membership.borrow();
+        let nearby = |matches: &dyn Fn(&str) -> bool| -> Vec<_> {
+            let nearby = membership
+                .gateways
+                .iter()
+                .filter(|other| matches(&other.hall));
+            nearby.map(|other| other.callers).collect()
         };
-        let in_hall = near(&|other| other == hall);
-        if in_hall.len() >= NEAR {
+        let in_hall = nearby(&|other| other == hall);
+        if in_hall.len() >= MIN_NEARBY_GATEWAYS {
             return in_hall;
         }
         let region = self.regions.get(hall).map_or(region, |region| &**region);
-        let in_region = near(&|other| self.regions.get(other).is_some_and(|of| **of == *region));
-        if in_region.len() >= NEAR {
+        let in_region = nearby(&|other| {
+            self.regions
+                .get(other)
+                .is_some_and(|other_region| **other_region == *region)
+        });
+        if in_region.len() >= MIN_NEARBY_GATEWAYS {
             return in_region;
         }
-        let all: Vec<_> = roll.gateways.iter().map(|other| other.callers).collect();
+        let all: Vec<_> = membership
+            .gateways
+            .iter()
+            .map(|other| other.callers)
+            .collect();
         if all.is_empty() && self.is_ready() {
             return vec![self.gateway.callers];
         }
@@ -242,106 +253,109 @@
     }
 
     /// How old the hub's last word may be for it to be asked: twice the longest time between two.
-    pub(super) fn hub_fresh(&self) -> Duration {
-        HEARD.max(self.hub.borrow().wait * 2)
+    pub(super) fn hub_timeout(&self) -> Duration {
+        MIN_HUB_TIMEOUT.max(self.hub.borrow().poll_timeout * 2)
     }
 
     /// How long this gateway's hub has been silent; none where it was never heard.
-    pub(super) fn hub_silence(&self) -> Option<Duration> {
-        let heard = self.hub.borrow().heard;
-        heard.map(|heard| self.now().since(heard))
+    pub(super) fn since_hub_reply(&self) -> Option<Duration> {
+        let last_reply_at = self.hub.borrow().last_reply_at;
+        last_reply_at.map(|last_reply_at| self.now().since(last_reply_at))
     }
 }
 
 /// # What customers may still ask for
 impl Node {
     /// Whether a request is let in by the word of this gateway alone; if so it is counted.
-    pub(super) fn draw(&self, charge: &Charge) -> bool {
+    pub(super) fn acquire_quota(&self, charge: &Charge) -> bool {
         let table = self.table();
-        let mut accounts = table.iter().flat_map(|table| table.customers());
-        let Some(account) = accounts.find(|account| account.name == charge.customer) else {
+        let mut policies = table.iter().flat_map(|table| table.customers());
+        let Some(policy) = policies.find(|policy| policy.name == charge.customer) else {
             return false;
         };
-        let mut reserve = self.reserve.borrow_mut();
-        reserve.acquire(charge, &account.quota, self.now())
+        let mut local_limiter = self.local_limiter.borrow_mut();
+        local_limiter.acquire(charge, &policy.quota, self.now())
     }
 
     /// The number of the table in force here; 0 before the first one has come.
-    pub(super) fn held_table(&self) -> u64 {
+    pub(super) fn table_version(&self) -> u64 {
         self.table().map_or(0, |table| table.get_version())
     }
 
     /// The number of the newest table that it knows of.
     pub(super) fn newest_table(&self) -> u64 {
-        self.held_table().max(self.hub.borrow().newest)
+        self.table_version().max(self.hub.borrow().newest_table)
     }
 }
 
 /// # How long answers take
 impl Node {
     /// How long answers to requests of a rule take to begin, once they are sent.
-    pub(super) fn lead(&self, rule: &str) -> Duration {
-        let leads = self.leads.borrow();
-        leads
+    pub(super) fn first_byte_estimate(&self, rule: &str) -> Duration {
+        let first_byte_times = self.first_byte_times.borrow();
+        first_byte_times
             .get(rule)
             .map_or(Duration::ZERO, FirstByteTime::estimate)
     }
 
     /// Takes note that an answer to a request of `rule` began `first` after it was sent.
-    pub(super) fn answered(&self, rule: &Arc<str>, first: Duration) {
-        let mut leads = self.leads.borrow_mut();
-        leads.entry(Arc::clone(rule)).or_default().add(first);
+    pub(super) fn record_first_byte_time(&self, rule: &Arc<str>, first: Duration) {
+        let mut first_byte_times = self.first_byte_times.borrow_mut();
+        first_byte_times
+            .entry(Arc::clone(rule))
+            .or_default()
+            .add(first);
     }
 
     /// Forgets the rules that a table does not have.
-    fn keep_leads(&self, table: &Table) {
+    fn retain_first_byte_times(&self, table: &Table) {
         let rules = table.rules();
         let names: BTreeSet<_> = rules.map(|rule| &rule.name).collect();
-        let mut leads = self.leads.borrow_mut();
-        leads.retain(|name, _| names.contains(name));
+        let mut first_byte_times = self.first_byte_times.borrow_mut();
+        first_byte_times.retain(|name, _| names.contains(name));
     }
 }
 
 /// # What it takes up
 impl Node {
     /// Puts a table in force that is newer than the one held.
-    pub(super) fn adopt_table(&self, table: Table) {
-        let number = table.get_version();
-        let held = self.held_table();
-        if number <= held {
+    pub(super) fn apply_table(&self, table: Table) {
+        let version = table.get_version();
+        let former = self.table_version();
+        if version <= former {
             return;
         }
         Line::new(Kind::TableHeld)
-            .with("table", number)
-            .with("former", held)
+            .with("table", version)
+            .with("former", former)
             .write();
-        self.keep_leads(&table);
+        self.retain_first_byte_times(&table);
         *self.table.borrow_mut() = Some(Rc::new(table));
-        self.spread();
+        self.update_pools();
     }
 
     /// Takes up what is new of the gateways that live.
-    pub(super) fn adopt_roll(&self, news: gateway::MembershipUpdate) {
-        let mut roll = self.roll.borrow_mut();
-        match roll.apply(news) {
-            Some(after) => *roll = after,
+    pub(super) fn apply_membership(&self, update: gateway::MembershipUpdate) {
+        let mut membership = self.membership.borrow_mut();
+        match membership.apply(update) {
+            Some(after) => *membership = after,
             // The news are about another roll: the whole one comes with the next answer.
-            None => roll.version = 0,
+            None => membership.version = 0,
         }
     }
 
     /// Takes up which versions of servers it may send to by its own choice.
-    pub(super) fn adopt_policy(&self, policy: Policy) {
+    pub(super) fn apply_policy(&self, policy: Policy) {
         *self.policy.borrow_mut() = policy;
-        self.spread();
+        self.update_pools();
     }
 
     /// Takes up a list of backend servers, as `take` does it.
-    pub(super) fn adopt_list(&self, take: impl FnOnce(&mut ServerListCache)) {
-        let mut holding = self.holding.borrow_mut();
-        let former = holding.get_subset().version;
-        take(&mut holding);
-        let subset = holding.get_subset();
+    pub(super) fn update_server_list(&self, take: impl FnOnce(&mut ServerListCache)) {
+        let mut server_lists = self.server_lists.borrow_mut();
+        let former = server_lists.get_subset().version;
+        take(&mut server_lists);
+        let subset = server_lists.get_subset();
         if subset.version == former {
             return;
         }
@@ -352,8 +366,8 @@
             .with("leaving", leaving.count())
             .with("software", versions(&subset.servers))
             .write();
-        drop(holding);
-        self.spread();
+        drop(server_lists);
+        self.update_pools();
     }
 }
 
@@ -366,6 +380,6 @@
             .or_insert(0_usize) += 1;
     }
     let counts = counts.into_iter();
-    let told = counts.map(|((service, version), count)| format!("{service} {version} {count}"));
-    told.collect()
+    let texts = counts.map(|((service, version), count)| format!("{service} {version} {count}"));
+    texts.collect()
 }
--- a/crates/curlewlift/src/gateway/open.rs
+++ b/crates/curlewlift/src/gateway/open.rs
@@ -17,15 +17,17 @@
 
 impl Open {
     fn new(node: &Rc<Node>) -> Self {
-        node.open.set(node.open.get() + 1);
+        node.open_requests.set(node.open_requests.get() + 1);
         Self(Rc::clone(node))
     }
 }
 
 impl Drop for Open {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
-        self.0.finished.set(self.0.finished.get() + 1);
+        self.0.open_requests.set(self.0.open_requests.get() - 1);
+        self.0
+            .finished_requests
+            .set(self.0.finished_requests.get() + 1);
     }
 }
 
--- a/crates/curlewlift/src/gateway/run.rs
+++ b/crates/curlewlift/src/gateway/run.rs
@@ -125,7 +125,7 @@
             return true;
         }
         let now = self.node.now();
-        let part = self.node.part.borrow().get(now);
+        let part = self.node.retry_share.borrow().get(now);
         let taken = self.node.with_service(&self.service, |service| {
             service.budget.try_acquire(part, now)
         });
@@ -135,7 +135,7 @@
     /// Whether it was sent before, and the service's budget here has no further sending left.
     fn lacks_budget(&self) -> bool {
         let now = self.node.now();
-        let part = self.node.part.borrow().get(now);
+        let part = self.node.retry_share.borrow().get(now);
         let allows = self
             .node
             .with_service(&self.service, |service| service.budget.allows(part, now));
@@ -214,7 +214,7 @@
             .line(Kind::Sent)
             .with("server", &*slot.server.incarnation)
             .with("sent", self.sendings() + 1)
-            .with("hub_ms", self.node.hub_silence().map(millis))
+            .with("hub_ms", self.node.since_hub_reply().map(millis))
             .with("by", if slot.is_by_hub() { "hub" } else { "gateway" })
             .with("left_alone_ms", millis(slot.left_alone()));
         log_limit(line, &slot.get_limit()).write();
@@ -239,7 +239,8 @@
         }
         self.sent += 1;
         self.first = Some(coming.first);
-        self.node.answered(&self.admitted.rule.name, coming.first);
+        self.node
+            .record_first_byte_time(&self.admitted.rule.name, coming.first);
         let status = coming.head.status;
         metrics::histogram!("curlewlift_first_seconds").record(coming.first.as_secs_f64());
         if status.is_success() && self.admitted.rule.kind.is_stream() {
--- a/crates/curlewlift/src/gateway/services.rs
+++ b/crates/curlewlift/src/gateway/services.rs
@@ -21,14 +21,14 @@
 /// # Servers
 impl Node {
     /// Gives every service its servers.
-    pub(super) fn spread(&self) {
+    pub(super) fn update_pools(&self) {
         let now = self.now();
-        let mut by_service = self.holding.borrow().get_subset().by_service();
+        let mut by_service = self.server_lists.borrow().get_subset().by_service();
         let mut services = self.services.borrow_mut();
         if let Some(table) = &*self.table.borrow() {
             for (name, provider) in table.get_services() {
                 let service = services.entry(name.clone());
-                let service = service.or_insert_with(|| Service::new(self.allowed));
+                let service = service.or_insert_with(|| Service::new(self.retry_allowance));
                 let warmup = provider.cold_rate;
                 let warmup = warmup.map(|rate| Warmup::new(rate, Slack::default()));
                 service.pool.set_warmup(warmup, now);
@@ -43,17 +43,17 @@
         }
         drop(policy);
         drop(services);
-        let servers = self.holding.borrow().get_subset().servers.clone();
+        let servers = self.server_lists.borrow().get_subset().servers.clone();
         let _ = self
             .limits
             .borrow_mut()
             .observe_servers(servers.iter(), now);
-        self.limit(self.limits.borrow().all_limits());
-        self.serve_all();
+        self.apply_limits(self.limits.borrow().all_limits());
+        self.assign_all_slots();
     }
 
     /// Servers have named limits, or name none any more.
-    pub(super) fn limit(&self, changes: impl Iterator<Item = Change>) {
+    pub(super) fn apply_limits(&self, changes: impl Iterator<Item = Change>) {
         let now = self.now();
         for Change { key, limit } in changes {
             self.with_service(&key.service, |service| {
@@ -69,13 +69,13 @@
     }
 
     /// Takes up what other gateways have in flight.
-    pub(super) fn hear(&self, loads: &[Load]) {
+    pub(super) fn update_other_loads(&self, loads: &[Load]) {
         let mut services = self.services.borrow_mut();
         for service in services.values_mut() {
             service.pool.update_other_loads(loads);
         }
         drop(services);
-        self.serve_all();
+        self.assign_all_slots();
     }
 
     /// What is in flight from here.
@@ -89,7 +89,7 @@
 /// # Turns
 impl Node {
     /// Puts a request in line; none where there is no such service.
-    pub(super) fn ask(
+    pub(super) fn enqueue(
         &self,
         name: &id::Service,
         ask: pool::Request,
@@ -105,12 +105,12 @@
             service.waiters.remove(&last);
         }
         drop(services);
-        self.serve(name);
+        self.assign_slots(name);
         Some((ticket, receiver))
     }
 
     /// Takes a request out of line.
-    pub(super) fn leave(&self, name: &id::Service, ticket: Ticket) {
+    pub(super) fn dequeue(&self, name: &id::Service, ticket: Ticket) {
         self.with_service(name, |service| {
             service.pool.cancel(ticket);
             service.waiters.remove(&ticket);
@@ -118,15 +118,15 @@
     }
 
     /// Takes note that a server has read a request's prompt, or will not.
-    pub(super) fn begun(&self, name: &id::Service, incarnation: &str, prompt: Tokens) {
+    pub(super) fn record_first_byte(&self, name: &id::Service, incarnation: &str, prompt: Tokens) {
         self.with_service(name, |service| {
             service.pool.record_first_byte(incarnation, prompt);
         });
-        self.reports.notify_one();
+        self.report_wakeup.notify_one();
     }
 
     /// Takes note of how a sending ended, and gives turns for the room that it made.
-    pub(super) fn ended(
+    pub(super) fn finish_attempt(
         &self,
         name: &id::Service,
         incarnation: &str,
@@ -137,8 +137,8 @@
         self.with_service(name, |service| {
             service.pool.finish_attempt(incarnation, end, now);
         });
-        self.tell(name, incarnation, end, watched);
-        self.serve(name);
+        self.report_end(name, incarnation, end, watched);
+        self.assign_slots(name);
     }
 
     /// Does something with a service; none where there is no such service.
@@ -151,14 +151,14 @@
     }
 
     /// Gives turns at every service.
-    pub(super) fn serve_all(&self) {
+    pub(super) fn assign_all_slots(&self) {
         let names: Vec<_> = self.services.borrow().keys().cloned().collect();
         for name in names {
-            self.serve(&name);
+            self.assign_slots(&name);
         }
     }
 
-    fn serve(&self, name: &id::Service) {
+    fn assign_slots(&self, name: &id::Service) {
         let now = self.now();
         let mut services = self.services.borrow_mut();
         let Some(service) = services.get_mut(name) else {
@@ -183,7 +183,7 @@
     }
 
     /// How many wait for a turn.
-    pub(super) fn waiting(&self) -> usize {
+    pub(super) fn queue_len(&self) -> usize {
         let services = self.services.borrow();
         services
             .values()
--- a/crates/curlewlift/src/gateway/slot.rs
+++ b/crates/curlewlift/src/gateway/slot.rs
@@ -58,7 +58,7 @@
         Self {
             node: Rc::clone(node),
             service: wanted.service.clone(),
-            watched: node.watched(wanted),
+            watched: node.rollout_tag(wanted),
             server,
             grant: None,
             identity: wanted.identity.clone(),
@@ -134,7 +134,8 @@
     pub(super) fn begun(&mut self) {
         if let Some(prompt) = self.unread.take() {
             let incarnation = &self.server.incarnation;
-            self.node.begun(&self.service, incarnation, prompt);
+            self.node
+                .record_first_byte(&self.service, incarnation, prompt);
         }
     }
 
@@ -171,7 +172,7 @@
                 continue;
             };
             self.log_notice(notice, &news);
-            self.node.tell_word(&self.service, &self.server);
+            self.node.report_notice(&self.service, &self.server);
         }
     }
 
@@ -185,7 +186,7 @@
             limit: limits.get(&Key::from_server(&self.server)),
         };
         drop(limits);
-        self.node.limit(std::iter::once(change));
+        self.node.apply_limits(std::iter::once(change));
         if let Some(news) = news {
             let line = Line::new(Kind::ServerLimits).with("server", &*self.server.incarnation);
             log_limit(line, &news).write();
@@ -264,7 +265,7 @@
         let incarnation = &self.server.incarnation;
         let watched = self.watched.take();
         self.node
-            .ended(&self.service, incarnation, self.end, watched);
+            .finish_attempt(&self.service, incarnation, self.end, watched);
     }
 }
 
--- a/crates/curlewlift/src/gateway/slot_wait.rs
+++ b/crates/curlewlift/src/gateway/slot_wait.rs
@@ -42,7 +42,7 @@
 
 impl Drop for Line {
     fn drop(&mut self) {
-        self.node.leave(&self.service, self.ticket);
+        self.node.dequeue(&self.service, self.ticket);
         // A turn that came in the moment in which its request went away is given back.
         self.turn.close();
         if let Ok(turn) = self.turn.try_recv() {
@@ -93,7 +93,7 @@
     let word = ask.send_by.since(node.now()) / WORD_PART;
     loop {
         let left = until.saturating_duration_since(Instant::now());
-        match hub_slots::ask(node, wanted, &ask, charge, left).await {
+        match hub_slots::request_slot(node, wanted, &ask, charge, left).await {
             HubDecision::Granted(grant) => {
                 let server = Arc::new(grant.server.clone());
                 return Ok(Slot::new(node, wanted, server, ask.prompt).by_hub(grant));
@@ -142,7 +142,7 @@
     ask: Request,
     patience: Duration,
 ) -> Result<Slot, NoSlot> {
-    let (ticket, turn) = node.ask(wanted.service, ask).ok_or(NoSlot::NoServer)?;
+    let (ticket, turn) = node.enqueue(wanted.service, ask).ok_or(NoSlot::NoServer)?;
     let mut line = Line {
         node: Rc::clone(node),
         service: wanted.service.clone(),
--- a/crates/curlewlift/src/gateway/stop.rs
+++ b/crates/curlewlift/src/gateway/stop.rs
@@ -29,25 +29,25 @@
 
 /// Whether a request is turned away, and after how long it may come back.
 pub(super) fn turns_away(node: &Node) -> Option<Duration> {
-    node.closed.get().then_some(ELSEWHERE)
+    node.rejects_callers.get().then_some(ELSEWHERE)
 }
 
 /// Sends callers elsewhere, waits until nobody holds the address any more, and finishes.
 pub(super) async fn run(node: &Rc<Node>, grace: StopTiming) {
     let began = node.now();
     node.stopping.set(Some(began));
-    node.changed.notify_one();
+    node.poll_wakeup.notify_one();
     Line::new(Kind::Stopping)
-        .with("open", node.open.get())
+        .with("open", node.open_requests.get())
         .write();
     tokio::time::sleep(grace.held).await;
-    node.closed.set(true);
+    node.rejects_callers.set(true);
     let latest = grace.grace.saturating_sub(MARGIN);
-    while node.open.get() > 0 && node.now().since(began) < latest {
+    while node.open_requests.get() > 0 && node.now().since(began) < latest {
         tokio::time::sleep(LOOK).await;
     }
     Line::new(Kind::Stopped)
-        .with("open", node.open.get())
-        .with("finished", node.finished.get())
+        .with("open", node.open_requests.get())
+        .with("finished", node.finished_requests.get())
         .write();
 }
--- a/crates/curlewlift/src/gateway/sync.rs
+++ b/crates/curlewlift/src/gateway/sync.rs
@@ -59,7 +59,7 @@
             next(&node, search)
         };
         // A gateway that stops, or that has fetched another list, says so at once.
-        let _ = tokio::time::timeout(pause, node.changed.notified()).await;
+        let _ = tokio::time::timeout(pause, node.poll_wakeup.notified()).await;
     }
 }
 
@@ -68,13 +68,13 @@
     if node.hub.borrow().leader.is_some() {
         return NEXT;
     }
-    let gateways = node.roll.borrow().gateways.len();
+    let gateways = node.membership.borrow().gateways.len();
     search.pause(gateways, rand::rng().random())
 }
 
 /// Whether the hub is heard; none where that is not known yet, as the gateway has only begun.
 fn hears(node: &Node, began: clock::Instant) -> Option<bool> {
-    match node.hub_silence() {
+    match node.since_hub_reply() {
         Some(silence) => Some(silence <= LOST),
         None => (node.now().since(began) > LOST).then_some(false),
     }
@@ -87,7 +87,7 @@
         Err(_) => Kind::HubLost,
     };
     let leader = node.hub.borrow().leader.clone();
-    let known = node.known.get();
+    let known = node.known_replicas.get();
     let known: Vec<_> = known.iter().map(ToString::to_string).collect();
     Line::new(kind)
         .with("leader", leader.map(|leader| leader.to_string()))
@@ -103,7 +103,7 @@
         return Err("nobody is known whom to ask".to_owned());
     };
     let asked = node.now();
-    let most = CALL + node.hub.borrow().wait.max(WAIT);
+    let most = CALL + node.hub.borrow().poll_timeout.max(WAIT);
     let question = question(node);
     let (_, told) = node.quarantine.borrow().get_evidence().unacknowledged();
     let told_limits = node.limits.borrow().get_last_number();
@@ -120,12 +120,12 @@
             let changes =
                 limits.apply_reply(reply.hub_id, told_limits, reply.limits.as_ref(), node.now());
             drop(limits);
-            node.limit(changes.into_iter());
+            node.apply_limits(changes.into_iter());
             take(node, environment, address, asked, *reply);
             Ok(())
         }
         Ok(HubReply::Elsewhere { leader, control }) => {
-            node.known.add(control);
+            node.known_replicas.add(control);
             let why = format!("{address} does not lead");
             let same = leader == node.hub.borrow().leader;
             if same || leader.is_none() {
@@ -155,7 +155,7 @@
 
 /// Where to ask in turn, whoever is said to lead.
 pub(super) fn elsewhere(node: &Node, environment: &Environment, slot: usize) -> Option<SocketAddr> {
-    let known = node.known.get();
+    let known = node.known_replicas.get();
     let known = known.iter().filter_map(|host| (environment.locate)(host));
     let mut all: Vec<_> = environment.beside.into_iter().chain(known).collect();
     for seed in (environment.seeds)() {
@@ -168,10 +168,12 @@
 
 fn question(node: &Node) -> Poll {
     let hub = node.hub.borrow();
-    let holding = node.holding.borrow();
+    let holding = node.server_lists.borrow();
     let quarantine = node.quarantine.borrow();
     let limits = node.limits.borrow();
-    let fetched = holding.for_hub(hub.listing).filter(|_| hub.fetches);
+    let fetched = holding
+        .for_hub(hub.server_list_version)
+        .filter(|_| hub.fetches_list);
     Poll {
         host: node.host.clone(),
         gateway: node.gateway.clone(),
@@ -179,12 +181,12 @@
         known_table: node.newest_table(),
         wants_whole_list: holding.stores_whole(),
         server_list_version: holding.get_version(),
-        membership_version: node.roll.borrow().version,
-        standbys_version: node.deputies.borrow().version,
+        membership_version: node.membership.borrow().version,
+        standbys_version: node.standbys.borrow().version,
         policy_version: node.policy.borrow().version,
-        last_grant: hub.mark,
+        last_grant: hub.last_grant,
         loads: node.loads(),
-        last_reply: hub.got,
+        last_reply: hub.last_reply,
         quarantine_version: quarantine.get_version(),
         observations: quarantine.get_evidence().unacknowledged().0,
         limit_reports: limits.pending_reports(),
@@ -206,25 +208,25 @@
     }
     {
         let mut hub = node.hub.borrow_mut();
-        hub.heard = Some(node.now());
+        hub.last_reply_at = Some(node.now());
         hub.address = Some(address);
         hub.leader = reply.leader;
-        hub.got = reply.number;
-        hub.wait = reply.poll_timeout;
-        hub.newest = hub.newest.max(reply.newest_table);
-        hub.fetches = reply.fetches_list;
-        hub.listing = reply.server_list_version;
+        hub.last_reply = reply.number;
+        hub.poll_timeout = reply.poll_timeout;
+        hub.newest_table = hub.newest_table.max(reply.newest_table);
+        hub.fetches_list = reply.fetches_list;
+        hub.server_list_version = reply.server_list_version;
     }
     if let Some(news) = reply.quarantine {
         node.quarantine.borrow_mut().apply_update(&news);
     }
     // Before the list: what is new on it may be of a version that gets nothing by this gateway's own choice.
     if let Some(policy) = reply.policy {
-        node.adopt_policy(policy);
+        node.apply_policy(policy);
     }
     // The one that fetches the list has it first hand.
     if !reply.fetches_list {
-        node.adopt_list(|holding| {
+        node.update_server_list(|holding| {
             holding.drop_fetched();
             if let Some(listing) = reply.server_list {
                 holding.apply(listing);
@@ -232,16 +234,16 @@
         });
     }
     if let Some(news) = reply.membership {
-        node.adopt_roll(news);
+        node.apply_membership(news);
     }
-    node.known.set(reply.control_hosts);
+    node.known_replicas.set(reply.control_hosts);
     if let Some(told) = reply.standbys {
-        *node.deputies.borrow_mut() = Standbys::told(&told, &node.host, &environment.locate);
+        *node.standbys.borrow_mut() = Standbys::told(&told, &node.host, &environment.locate);
     }
-    node.part.borrow_mut().set(reply.retry_share, asked);
-    node.reserve
+    node.retry_share.borrow_mut().set(reply.retry_share, asked);
+    node.local_limiter
         .borrow_mut()
         .set_share(reply.admission_share, asked, node.now());
-    node.newer.notify_one();
-    node.hear(&reply.other_loads);
+    node.fetch_wakeup.notify_one();
+    node.update_other_loads(&reply.other_loads);
 }
--- a/crates/curlewlift/src/gateway/tables.rs
+++ b/crates/curlewlift/src/gateway/tables.rs
@@ -31,8 +31,8 @@
     // A table that cannot be read is not fetched over and over.
     let mut done = 0;
     loop {
-        node.newer.notified().await;
-        while node.newest_table() > node.held_table().max(done) {
+        node.fetch_wakeup.notified().await;
+        while node.newest_table() > node.table_version().max(done) {
             match come.go_on(&node).await {
                 Progress::Piece => {}
                 Progress::None => tokio::time::sleep(AGAIN).await,
@@ -48,7 +48,7 @@
 /// Puts a table in force that has come whole.
 pub(super) fn adopt(node: &Node, environment: &Environment, publication: &Publication) {
     match (environment.decode)(publication) {
-        Ok(table) => node.adopt_table(table),
+        Ok(table) => node.apply_table(table),
         Err(why) => log::error!("table {} cannot be read: {why}", publication.number),
     }
 }
