--- a/crates/curlewlift/src/gateway/exchange.rs
+++ b/crates/curlewlift/src/gateway/exchange.rs
@@ -107,7 +107,7 @@
         return Err((Failure::NotSent(why), slot));
     }
     // Up to 0.7 s after it was chosen, by whomever: the last look is here, for all that is sent.
-    if slot.is_closed() {
+    if slot.is_unavailable() {
         return Err((Failure::Closed, slot));
     }
     let request = dress(&slot);
@@ -154,7 +154,7 @@
         answer
     } else {
         if Instant::now() < until {
-            slot.seen(AttemptOutcome::TimedOut);
+            slot.observe(AttemptOutcome::TimedOut);
         }
         let late = tokio::time::timeout_at(until, answer).await;
         late.map_err(|_| Failure::Late)?
@@ -169,16 +169,16 @@
     dialect: Dialect,
     first: Duration,
 ) -> Coming {
-    slot.begun();
+    slot.record_first_byte();
     let (head, body) = answer.into_parts();
     let marks = (dialect.marks)(head.status.as_u16(), &head.headers);
     if let Some(in_flight) = marks.in_flight {
-        slot.told(in_flight);
+        slot.update_load(in_flight);
     }
     // Another incarnation that has the address speaks for itself.
     if !marks.moved {
-        slot.heard(&marks.notices);
-        slot.limited(&marks.limit);
+        slot.record_notices(&marks.notices);
+        slot.record_limit(&marks.limit);
     }
     Coming {
         head,
--- a/crates/curlewlift/src/gateway/hub_slots.rs
+++ b/crates/curlewlift/src/gateway/hub_slots.rs
@@ -32,17 +32,17 @@
 use super::service::Service;
 
 /// How long a report may take.
-const REPORT: Duration = Duration::from_millis(500);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What the hub's word may take beyond the time that the request waits there: two ways between data
 /// halls, and a busy host's delay.
-const ON_ITS_WAY: Duration = Duration::from_millis(40);
+const DELIVERY_MARGIN: Duration = Duration::from_millis(40);
 
 /// How long a gateway chooses by itself after the hub gave no word in time.
-const DOUBT: Duration = Duration::from_millis(400);
+const HUB_DOUBT_TIME: Duration = Duration::from_millis(400);
 
 /// How long a call may take before its connection is given up; the request has gone on by then.
-const CALL: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What a request wants a place for.
 #[derive(Clone, Copy)]
@@ -54,9 +54,9 @@
     /// What the request is.
     pub(super) identity: &'a Identity,
     /// For how much longer it may take.
-    pub(super) left: Duration,
+    pub(super) time_left: Duration,
     /// Whether it was sent before, and this gateway has no further sending left.
-    pub(super) retry: bool,
+    pub(super) needs_retry: bool,
 }
 
 /// What the hub said.
@@ -78,35 +78,35 @@
     Undecided,
 }
 
-/// Asks the hub for a place for at most `patience`, and to draw what the request counts.
+/// Asks the hub for a place for at most `wait_limit`, and to draw what the request counts.
 pub(super) async fn request_slot(
     node: &Node,
-    wanted: AttemptContext<'_>,
-    ask: &Request,
+    context: AttemptContext<'_>,
+    request: &Request,
     charge: Option<&Charge>,
-    patience: Duration,
+    wait_limit: Duration,
 ) -> HubDecision {
     let Some(address) = node.hub_address() else {
         return HubDecision::Undecided;
     };
-    let want = node.slot_request(wanted, ask, charge, patience);
-    let call = RenewCall::Hub(HubCall::Want(Box::new(want)));
-    let asked = node.now();
+    let slot_request = node.slot_request(context, request, charge, wait_limit);
+    let call = RenewCall::Hub(HubCall::Want(Box::new(slot_request)));
+    let sent_at = node.now();
     let call = node
         .rpc
-        .call(address, Method::Renew, &call, CALL + patience);
+        .call(address, Method::Renew, &call, CALL_TIMEOUT + wait_limit);
     let reply: Option<Result<HubReply, Refusal>> = tokio::select! {
-        reply = tokio::time::timeout(patience + ON_ITS_WAY, call) => reply.ok(),
+        reply = tokio::time::timeout(wait_limit + DELIVERY_MARGIN, call) => reply.ok(),
         () = node.wait_for_hub_timeout() => None,
     };
     match reply {
         Some(Ok(HubReply::Place(Some(grant)))) => {
             // A host that was suspended finds a place that has been given to others since.
-            let is_late = node.now().since(asked) > patience + ON_ITS_WAY;
-            node.accept_grant(wanted, grant, ask.prompt, is_late)
+            let is_late = node.now().since(sent_at) > wait_limit + DELIVERY_MARGIN;
+            node.accept_grant(context, grant, request.prompt, is_late)
         }
         Some(Ok(HubReply::Place(None))) => HubDecision::NoSlot,
-        Some(Ok(HubReply::Beyond(filled))) => HubDecision::QuotaExceeded(filled),
+        Some(Ok(HubReply::Beyond(retry_after))) => HubDecision::QuotaExceeded(retry_after),
         Some(Ok(HubReply::Withheld(why))) => HubDecision::Rejected(why),
         Some(Ok(HubReply::NoRetry)) => HubDecision::NoRetry,
         Some(Ok(_)) => node.doubt_hub("it does not lead"),
@@ -119,10 +119,10 @@
     /// Where the hub is asked for places; none where it is not heard or is doubted.
     fn hub_address(&self) -> Option<SocketAddr> {
         let now = self.now();
-        let fresh = self.hub_timeout();
+        let timeout = self.hub_timeout();
         let hub = self.hub.borrow();
-        let lately = |when: Option<_>, length| when.is_some_and(|when| now.since(when) < length);
-        if !lately(hub.last_reply_at, fresh) || lately(hub.doubted_at, DOUBT) {
+        let is_recent = |when: Option<_>, within| when.is_some_and(|when| now.since(when) < within);
+        if !is_recent(hub.last_reply_at, timeout) || is_recent(hub.doubted_at, HUB_DOUBT_TIME) {
             return None;
         }
         hub.address
@@ -142,56 +142,56 @@
 
     fn slot_request(
         &self,
-        wanted: AttemptContext<'_>,
-        ask: &Request,
+        context: AttemptContext<'_>,
+        request: &Request,
         charge: Option<&Charge>,
-        patience: Duration,
+        wait_limit: Duration,
     ) -> SlotRequest {
         let now = self.now();
-        let service = wanted.service;
-        let watched = self.policy.borrow().rollout_target(service).is_some();
+        let service = context.service;
+        let in_rollout = self.policy.borrow().rollout_target(service).is_some();
         let avoid = self.with_service(service, |service| {
-            let avoided = service.pool.avoided(&ask.tried, now);
+            let avoided = service.pool.avoided(&request.tried, now);
             avoided.collect()
         });
-        let rests = self.with_service(service, |service| {
+        let backing_off = self.with_service(service, |service| {
             service.pool.get_notices().backing_off(now).collect()
         });
         SlotRequest {
             host: self.host.clone(),
             hall: Arc::clone(&self.gateway.hall),
             service: service.clone(),
-            rule: watched.then(|| Arc::clone(wanted.rule)),
-            rank: ask.rank,
-            waited: now.since(ask.arrived),
-            useful_for: ask.send_by.since(now),
-            wait_limit: patience,
-            time_left: wanted.left,
-            identity: wanted.identity.clone(),
+            rule: in_rollout.then(|| Arc::clone(context.rule)),
+            rank: request.rank,
+            waited: now.since(request.arrived),
+            useful_for: request.send_by.since(now),
+            wait_limit,
+            time_left: context.time_left,
+            identity: context.identity.clone(),
             observations: self
                 .quarantine
                 .borrow()
                 .get_evidence()
-                .unacknowledged_for(wanted.identity),
-            prompt: ask.prompt,
+                .unacknowledged_for(context.identity),
+            prompt: request.prompt,
             charge: charge.cloned(),
-            needs_retry: wanted.retry,
-            tried: ask.tried.clone(),
+            needs_retry: context.needs_retry,
+            tried: request.tried.clone(),
             avoid: avoid.unwrap_or_default(),
-            backing_off: rests.unwrap_or_default(),
-            allowed_halls: ask.allowed_halls.clone(),
+            backing_off: backing_off.unwrap_or_default(),
+            allowed_halls: request.allowed_halls.clone(),
         }
     }
 
     /// Takes up a grant, but for one that has come too late.
     fn accept_grant(
         &self,
-        wanted: AttemptContext<'_>,
+        context: AttemptContext<'_>,
         grant: Grant,
         prompt: Tokens,
         is_late: bool,
     ) -> HubDecision {
-        let service = wanted.service;
+        let service = context.service;
         let mut hub = self.hub.borrow_mut();
         if grant.id.follows(hub.last_grant) {
             hub.last_grant = grant.id;
@@ -199,27 +199,27 @@
         drop(hub);
         let server = Arc::new(grant.server.clone());
         let now = self.now();
-        let met = self
+        let new_limits = self
             .limits
             .borrow_mut()
             .observe_servers(std::iter::once(&*server), now);
-        self.apply_limits(met.into_iter());
-        let is_beyond = !grant.rate_charged && self.limits.borrow().blocks(&server, grant.id);
+        self.apply_limits(new_limits.into_iter());
+        let exceeds_limit = !grant.rate_charged && self.limits.borrow().blocks(&server, grant.id);
         let is_evacuated = self.policy.borrow().is_evacuated(&server.hall);
-        let is_closed = is_beyond || is_evacuated;
-        let take = |service: &mut Service| {
-            !is_late && !is_closed && service.pool.accept_grant(&server, prompt, now)
+        let is_unavailable = exceeds_limit || is_evacuated;
+        let accept = |service: &mut Service| {
+            !is_late && !is_unavailable && service.pool.accept_grant(&server, prompt, now)
         };
-        if self.with_service(service, take) == Some(true) {
+        if self.with_service(service, accept) == Some(true) {
             return HubDecision::Granted(grant);
         }
         if let Some(permit) = grant.permit {
-            let identity = wanted.identity.clone();
+            let identity = context.identity.clone();
             let mut quarantine = self.quarantine.borrow_mut();
             quarantine.record_inconclusive(identity, permit, now);
         }
         self.report_end(service, &server.incarnation, AttemptOutcome::Unknown, None);
-        if (self.report_notice(service, &server) || is_closed) && !is_late {
+        if (self.report_notice(service, &server) || is_unavailable) && !is_late {
             return HubDecision::Unavailable(grant.server);
         }
         HubDecision::Undecided
@@ -229,13 +229,14 @@
     pub(super) fn report_notice(&self, service: &id::Service, server: &Server) -> bool {
         let now = self.now();
         let incarnation = &server.incarnation;
-        let word = |service: &mut Service| service.pool.get_notices().active(incarnation, now);
-        let end = match self.with_service(service, word).flatten() {
+        let active_notice =
+            |service: &mut Service| service.pool.get_notices().active(incarnation, now);
+        let outcome = match self.with_service(service, active_notice).flatten() {
             Some(Notice::Draining) => AttemptOutcome::Gone,
-            Some(Notice::Backoff(left)) => AttemptOutcome::Backoff(left),
+            Some(Notice::Backoff(remaining)) => AttemptOutcome::Backoff(remaining),
             Some(Notice::Unreadable(_)) | None => return false,
         };
-        self.report_end(service, incarnation, end, None);
+        self.report_end(service, incarnation, outcome, None);
         true
     }
 
@@ -251,11 +252,11 @@
     }
 
     /// What is to be told of a sending that begins now, for a roll-out under way.
-    pub(super) fn rollout_tag(&self, wanted: AttemptContext<'_>) -> Option<RolloutTag> {
+    pub(super) fn rollout_tag(&self, context: AttemptContext<'_>) -> Option<RolloutTag> {
         let policy = self.policy.borrow();
-        let target = policy.rollout_target(wanted.service)?;
+        let target = policy.rollout_target(context.service)?;
         Some(RolloutTag {
-            rule: Arc::clone(wanted.rule),
+            rule: Arc::clone(context.rule),
             target: target.clone(),
         })
     }
@@ -265,14 +266,14 @@
         &self,
         service: &id::Service,
         incarnation: &str,
-        end: AttemptOutcome,
-        watched: Option<RolloutTag>,
+        outcome: AttemptOutcome,
+        rollout_tag: Option<RolloutTag>,
     ) {
         self.attempt_ends.borrow_mut().push(AttemptEnd {
             service: service.clone(),
             incarnation: incarnation.into(),
-            rollout: watched,
-            outcome: end,
+            rollout: rollout_tag,
+            outcome,
         });
         self.report_wakeup.notify_one();
     }
@@ -282,7 +283,7 @@
 pub(super) async fn send_reports(node: Rc<Node>) {
     loop {
         node.report_wakeup.notified().await;
-        let ends = node.attempt_ends.take();
+        let attempt_ends = node.attempt_ends.take();
         let Some(address) = node.hub_address() else {
             // The next question tells what is in flight.
             continue;
@@ -291,14 +292,16 @@
             host: node.host.clone(),
             last_grant: node.hub.borrow().last_grant,
             loads: node.loads(),
-            ended: ends,
+            ended: attempt_ends,
             observations: node.quarantine.borrow().get_evidence().unacknowledged().0,
             limit_reports: node.limits.borrow().pending_reports(),
         };
         let call = RenewCall::Hub(HubCall::Tell(report));
-        let told: Result<HubReply, Refusal> =
-            node.rpc.call(address, Method::Renew, &call, REPORT).await;
-        if let Err(why) = told {
+        let result: Result<HubReply, Refusal> = node
+            .rpc
+            .call(address, Method::Renew, &call, REPORT_TIMEOUT)
+            .await;
+        if let Err(why) = result {
             log::debug!("a report did not reach the hub: {why}");
         }
     }
--- a/crates/curlewlift/src/gateway/judge.rs
+++ b/crates/curlewlift/src/gateway/judge.rs
@@ -25,9 +25,9 @@
     /// Decides what becomes of a request that the server of `slot` did not answer.
     pub(super) fn failed(&mut self, failure: &Failure, mut slot: Slot) -> Result<Step, Refused> {
         let (end, why) = meaning(failure);
-        slot.end(end);
+        slot.set_outcome(end);
         if matches!(failure, Failure::Broke(_)) {
-            slot.broke();
+            slot.set_crashed();
         }
         Line::new(Kind::SendingFailed)
             .request(self.admitted.call.id.as_ref())
--- a/crates/curlewlift/src/gateway/relay.rs
+++ b/crates/curlewlift/src/gateway/relay.rs
@@ -106,7 +106,7 @@
                 }
                 Some(Err(why)) => {
                     if let Some(slot) = &mut self.slot {
-                        slot.broke();
+                        slot.set_crashed();
                     }
                     if !self.take_up(&why.to_string()).await {
                         return Some(Err(self.cut(why.to_string())));
@@ -142,7 +142,7 @@
         let gaps = self.pieces.saturating_sub(1);
         let gap = (gaps > 0).then(|| self.began.elapsed() / gaps);
         if let Some(slot) = &mut self.slot {
-            slot.whole(AttemptOutcome::Answered {
+            slot.set_completed(AttemptOutcome::Answered {
                 first_byte: self.first,
                 gap,
             });
@@ -161,7 +161,7 @@
         if let Some(slot) = &mut self.slot
             && !self.run.admitted.deadline.is_past()
         {
-            slot.end(AttemptOutcome::Broken);
+            slot.set_outcome(AttemptOutcome::Broken);
         }
         self.slot = None;
         self.connection = None;
@@ -233,9 +233,9 @@
         let mut coming = match sent {
             Ok(coming) => coming,
             Err((failure, mut slot)) => {
-                slot.end(judge::meaning(&failure).0);
+                slot.set_outcome(judge::meaning(&failure).0);
                 if matches!(failure, Failure::Broke(_)) {
-                    slot.broke();
+                    slot.set_crashed();
                 }
                 return None;
             }
@@ -244,7 +244,7 @@
         if foreign || coming.head.status != StatusCode::OK {
             let refusal = coming.refusal();
             let end = refusal.map_or(AttemptOutcome::Broken, |refusal| judge::meaning(&refusal).0);
-            coming.slot.end(end);
+            coming.slot.set_outcome(end);
             return None;
         }
         Some(coming)
--- a/crates/curlewlift/src/gateway/run.rs
+++ b/crates/curlewlift/src/gateway/run.rs
@@ -121,7 +121,7 @@
 
     /// Whether the service's budget, here or at the hub, has a further sending left; if so it is counted.
     pub(super) fn take_budget(&self, slot: &Slot) -> bool {
-        if slot.is_retry() {
+        if slot.includes_retry() {
             return true;
         }
         let now = self.node.now();
@@ -173,14 +173,14 @@
             allowed_halls: admitted.halls.clone(),
         };
         let charge = self.admitted.charge.as_ref();
-        let wanted = AttemptContext {
+        let context = AttemptContext {
             service: &self.service,
             rule: &self.admitted.rule.name,
             identity: &self.admitted.identity,
-            left: self.admitted.deadline.left(),
-            retry: self.lacks_budget(),
+            time_left: self.admitted.deadline.left(),
+            needs_retry: self.lacks_budget(),
         };
-        match slot_wait::wait(&self.node, wanted, ask, charge, held).await {
+        match slot_wait::wait(&self.node, context, ask, charge, held).await {
             Ok(slot) => {
                 // What it counts is drawn once, however often it is sent.
                 self.admitted.charge = None;
@@ -215,9 +215,16 @@
             .with("server", &*slot.server.incarnation)
             .with("sent", self.sendings() + 1)
             .with("hub_ms", self.node.since_hub_reply().map(millis))
-            .with("by", if slot.is_by_hub() { "hub" } else { "gateway" })
-            .with("left_alone_ms", millis(slot.left_alone()));
-        log_limit(line, &slot.get_limit()).write();
+            .with(
+                "by",
+                if slot.is_hub_granted() {
+                    "hub"
+                } else {
+                    "gateway"
+                },
+            )
+            .with("left_alone_ms", millis(slot.avoid_time()));
+        log_limit(line, &slot.server_limit()).write();
         self.tried.push(Arc::clone(&slot.server.incarnation));
         let dress = |slot: &Slot| self.request(slot, None);
         let deadline = &self.admitted.deadline;
@@ -248,7 +255,7 @@
         }
         if !coming.is_small() {
             let first_byte = coming.first;
-            coming.slot.end(AttemptOutcome::Answered {
+            coming.slot.set_outcome(AttemptOutcome::Answered {
                 first_byte,
                 gap: None,
             });
@@ -268,7 +275,7 @@
             }
         };
         let failed = head.status.is_server_error();
-        slot.whole(if failed {
+        slot.set_completed(if failed {
             AttemptOutcome::Failed
         } else {
             AttemptOutcome::Answered {
--- a/crates/curlewlift/src/gateway/services.rs
+++ b/crates/curlewlift/src/gateway/services.rs
@@ -92,15 +92,15 @@
     pub(super) fn enqueue(
         &self,
         name: &id::Service,
-        ask: pool::Request,
+        request: pool::Request,
     ) -> Option<(Ticket, oneshot::Receiver<Assignment>)> {
         let now = self.now();
         let mut services = self.services.borrow_mut();
         let service = services.get_mut(name)?;
-        let (ticket, turned_away) = service.pool.enqueue(ask, now);
+        let (ticket, displaced) = service.pool.enqueue(request, now);
         let (sender, receiver) = oneshot::channel();
         service.waiters.insert(ticket, sender);
-        if let Some(last) = turned_away {
+        if let Some(last) = displaced {
             // Dropping the sender tells the waiter that it lost its place.
             service.waiters.remove(&last);
         }
@@ -130,14 +130,14 @@
         &self,
         name: &id::Service,
         incarnation: &str,
-        end: AttemptOutcome,
-        watched: Option<RolloutTag>,
+        outcome: AttemptOutcome,
+        rollout_tag: Option<RolloutTag>,
     ) {
         let now = self.now();
         self.with_service(name, |service| {
-            service.pool.finish_attempt(incarnation, end, now);
+            service.pool.finish_attempt(incarnation, outcome, now);
         });
-        self.report_end(name, incarnation, end, watched);
+        self.report_end(name, incarnation, outcome, rollout_tag);
         self.assign_slots(name);
     }
 
@@ -145,9 +145,9 @@
     pub(super) fn with_service<T>(
         &self,
         name: &id::Service,
-        work: impl FnOnce(&mut Service) -> T,
+        action: impl FnOnce(&mut Service) -> T,
     ) -> Option<T> {
-        self.services.borrow_mut().get_mut(name).map(work)
+        self.services.borrow_mut().get_mut(name).map(action)
     }
 
     /// Gives turns at every service.
@@ -164,12 +164,12 @@
         let Some(service) = services.get_mut(name) else {
             return;
         };
-        for turn in service.pool.assign(now) {
-            let incarnation = Arc::clone(&turn.server.incarnation);
-            let prompt = turn.prompt;
-            let waiter = service.waiters.remove(&turn.ticket);
-            let taken = waiter.is_some_and(|waiter| waiter.send(turn).is_ok());
-            if !taken {
+        for assignment in service.pool.assign(now) {
+            let incarnation = Arc::clone(&assignment.server.incarnation);
+            let prompt = assignment.prompt;
+            let waiter = service.waiters.remove(&assignment.ticket);
+            let is_delivered = waiter.is_some_and(|waiter| waiter.send(assignment).is_ok());
+            if !is_delivered {
                 service.pool.record_first_byte(&incarnation, prompt);
                 service
                     .pool
--- a/crates/curlewlift/src/gateway/slot_wait.rs
+++ b/crates/curlewlift/src/gateway/slot_wait.rs
@@ -22,38 +22,43 @@
 use super::slot::Slot;
 
 /// Between two looks whether the hub is heard again, of a request that only it can let in.
-const LOOK: Duration = Duration::from_millis(30);
+const HUB_CHECK_INTERVAL: Duration = Duration::from_millis(30);
 
 /// The part of the time in which an answer can be in time that such a request waits: sent away then, its
 /// caller may still be answered in time elsewhere. At hosts that are cut off 1 s of waiting made one request
 /// in thirty late (three days of 12 hosts, four in ten cut off).
-const WORD_PART: u32 = 4;
+const HUB_WAIT_DIVISOR: u32 = 4;
 
 /// A place in line; left when it is dropped.
-struct Line {
+struct QueueEntry {
     node: Rc<Node>,
     service: id::Service,
     rule: Arc<str>,
     identity: Identity,
-    left: Duration,
+    time_left: Duration,
     ticket: Ticket,
-    turn: oneshot::Receiver<Assignment>,
+    assignment: oneshot::Receiver<Assignment>,
 }
 
-impl Drop for Line {
+impl Drop for QueueEntry {
     fn drop(&mut self) {
         self.node.dequeue(&self.service, self.ticket);
         // A turn that came in the moment in which its request went away is given back.
-        self.turn.close();
-        if let Ok(turn) = self.turn.try_recv() {
-            let wanted = AttemptContext {
+        self.assignment.close();
+        if let Ok(assignment) = self.assignment.try_recv() {
+            let context = AttemptContext {
                 service: &self.service,
                 rule: &self.rule,
                 identity: &self.identity,
-                left: self.left,
-                retry: false,
+                time_left: self.time_left,
+                needs_retry: false,
             };
-            drop(Slot::new(&self.node, wanted, turn.server, turn.prompt));
+            drop(Slot::new(
+                &self.node,
+                context,
+                assignment.server,
+                assignment.prompt,
+            ));
         }
     }
 }
@@ -79,24 +84,24 @@
     NoRetry,
 }
 
-/// Waits for a turn for at most `patience`: at the hub, or here while it is not to be had; what the
+/// Waits for a turn for at most `wait_limit`: at the hub, or here while it is not to be had; what the
 /// request counts is drawn there or here.
 pub(super) async fn wait(
     node: &Rc<Node>,
-    wanted: AttemptContext<'_>,
-    mut ask: Request,
+    context: AttemptContext<'_>,
+    mut request: Request,
     mut charge: Option<&Charge>,
-    patience: Duration,
+    wait_limit: Duration,
 ) -> Result<Slot, NoSlot> {
-    let began = Instant::now();
-    let until = began + patience;
-    let word = ask.send_by.since(node.now()) / WORD_PART;
+    let started = Instant::now();
+    let until = started + wait_limit;
+    let hub_wait = request.send_by.since(node.now()) / HUB_WAIT_DIVISOR;
     loop {
-        let left = until.saturating_duration_since(Instant::now());
-        match hub_slots::request_slot(node, wanted, &ask, charge, left).await {
+        let remaining = until.saturating_duration_since(Instant::now());
+        match hub_slots::request_slot(node, context, &request, charge, remaining).await {
             HubDecision::Granted(grant) => {
                 let server = Arc::new(grant.server.clone());
-                return Ok(Slot::new(node, wanted, server, ask.prompt).by_hub(grant));
+                return Ok(Slot::new(node, context, server, request.prompt).granted_by(grant));
             }
             HubDecision::NoSlot => return Err(NoSlot::TimeUp),
             HubDecision::QuotaExceeded(wait) => return Err(NoSlot::QuotaExceeded(wait)),
@@ -104,26 +109,26 @@
             HubDecision::NoRetry => return Err(NoSlot::NoRetry),
             HubDecision::Unavailable(server) => {
                 charge = None;
-                ask.tried.push(Arc::clone(&server.incarnation));
+                request.tried.push(Arc::clone(&server.incarnation));
                 continue;
             }
             HubDecision::Undecided => {}
         }
         // Others may be sending it as well, and only the hub adds that up.
-        if !node.quarantine.borrow().may_send(wanted.identity) {
+        if !node.quarantine.borrow().may_send(context.identity) {
             return Err(NoSlot::Rejected(Rejection::Quarantined));
         }
-        let is_limited = node.is_limited(wanted.service);
-        let is_let_in = match charge {
+        let is_limited = node.is_limited(context.service);
+        let is_admitted = match charge {
             _ if is_limited => false,
             Some(charge) => local_quota::acquire(node, charge).await,
             None => true,
         };
-        let left = until.saturating_duration_since(Instant::now());
-        if is_let_in {
-            return wait_here(node, wanted, ask, left).await;
+        let remaining = until.saturating_duration_since(Instant::now());
+        if is_admitted {
+            return wait_in_queue(node, context, request, remaining).await;
         }
-        if left < LOOK || began.elapsed() + LOOK > word {
+        if remaining < HUB_CHECK_INTERVAL || started.elapsed() + HUB_CHECK_INTERVAL > hub_wait {
             let why = if is_limited {
                 NoSlot::Limited
             } else {
@@ -131,32 +136,39 @@
             };
             return Err(why);
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(HUB_CHECK_INTERVAL).await;
     }
 }
 
 /// Waits for a turn by what this gateway knows itself.
-async fn wait_here(
+async fn wait_in_queue(
     node: &Rc<Node>,
-    wanted: AttemptContext<'_>,
-    ask: Request,
-    patience: Duration,
+    context: AttemptContext<'_>,
+    request: Request,
+    wait_limit: Duration,
 ) -> Result<Slot, NoSlot> {
-    let (ticket, turn) = node.enqueue(wanted.service, ask).ok_or(NoSlot::NoServer)?;
-    let mut line = Line {
+    let (ticket, assignment) = node
+        .enqueue(context.service, request)
+        .ok_or(NoSlot::NoServer)?;
+    let mut entry = QueueEntry {
         node: Rc::clone(node),
-        service: wanted.service.clone(),
-        rule: Arc::clone(wanted.rule),
-        identity: wanted.identity.clone(),
-        left: wanted.left,
+        service: context.service.clone(),
+        rule: Arc::clone(context.rule),
+        identity: context.identity.clone(),
+        time_left: context.time_left,
         ticket,
-        turn,
+        assignment,
     };
-    let turn = tokio::time::timeout(patience, &mut line.turn).await;
-    let turn = match turn {
-        Ok(Ok(turn)) => turn,
+    let assignment = tokio::time::timeout(wait_limit, &mut entry.assignment).await;
+    let assignment = match assignment {
+        Ok(Ok(assignment)) => assignment,
         Ok(Err(_)) => return Err(NoSlot::Displaced),
         Err(_) => return Err(NoSlot::TimeUp),
     };
-    Ok(Slot::new(node, wanted, turn.server, turn.prompt))
+    Ok(Slot::new(
+        node,
+        context,
+        assignment.server,
+        assignment.prompt,
+    ))
 }
--- a/crates/curlewlift/src/gateway/stop.rs
+++ b/crates/curlewlift/src/gateway/stop.rs
@@ -28,7 +28,7 @@
 }
 
 /// Whether a request is turned away, and after how long it may come back.
-pub(super) fn turns_away(node: &Node) -> Option<Duration> {
+pub(super) fn rejects_caller(node: &Node) -> Option<Duration> {
     node.rejects_callers.get().then_some(ELSEWHERE)
 }
 
