--- a/crates/curlewlift/src/gateway/daemon.rs
+++ b/crates/curlewlift/src/gateway/daemon.rs
@@ -43,26 +43,26 @@
 use super::tables;
 
 /// Between two looks at those who wait for a turn: a server that was left alone is tried again.
-const TICK: Duration = Duration::from_millis(50);
+const QUEUE_SCAN_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A gateway, to be started.
 pub(crate) struct Gateway {
     /// The host that it runs on.
     pub(crate) host: id::Host,
     /// What other gateways and callers know it as.
-    pub(crate) known_as: gateway::Gateway,
+    pub(crate) advertised: gateway::Gateway,
     /// Where callers reach it.
-    pub(crate) callers: TcpListener,
+    pub(crate) caller_listener: TcpListener,
     /// How heads are read and written.
     pub(crate) dialect: Dialect,
     /// How many sendings past the first are allowed.
-    pub(crate) allowed: RetryAllowance,
+    pub(crate) retry_allowance: RetryAllowance,
     /// How much more than an allowance may be let in.
     pub(crate) tolerance: Tolerance,
     /// How long a planned stop takes.
-    pub(crate) grace: StopTiming,
+    pub(crate) stop_timing: StopTiming,
     /// The control replica beside it, where the host has one.
-    pub(crate) beside: Option<LocalReplica>,
+    pub(crate) local_replica: Option<LocalReplica>,
     /// Whether the whole deployment starts for the first time.
     pub(crate) first_start: bool,
     /// How many calls a second the platform's list takes from all gateways together; 0 where that is not known.
@@ -70,9 +70,9 @@
     /// Which region each data hall is in.
     pub(crate) regions: Regions,
     /// Where it tells others of control, where it has none.
-    pub(crate) meets: SocketAddr,
+    pub(crate) discovery_address: SocketAddr,
     /// The hosts that are known to keep a control replica.
-    pub(crate) known: Known,
+    pub(crate) known_replicas: Known,
     /// What its decisions go by.
     pub(crate) clock: Clock,
 }
@@ -90,20 +90,21 @@
     Box<dyn FnOnce(&Rc<Node>, &Rc<Environment>) -> Result<(), Refusal>>;
 
 impl Gateway {
-    /// Starts it on a thread of its own, with what `make` makes there.
+    /// Starts it on a thread of its own, with what `set_up` makes there.
     ///
     /// # Errors
     ///
     /// [`Code::Internal`](curlewlift_core::code::Code::Internal) where a listener or thread cannot
     /// be had.
-    pub(crate) fn start<M>(self, make: M) -> Result<Process, Refusal>
+    pub(crate) fn start<M>(self, set_up: M) -> Result<Process, Refusal>
     where
         M: FnOnce() -> (Environment, Fetch, StartListeners) + Send + 'static,
     {
         let name = format!("gateway {}", self.host);
         Process::start(&name, move |signal| async move {
-            let (environment, fetch, also) = make();
-            self.run(Rc::new(environment), fetch, also, signal).await
+            let (environment, fetch, start_listeners) = set_up();
+            self.run(Rc::new(environment), fetch, start_listeners, signal)
+                .await
         })
     }
 
@@ -111,20 +112,20 @@
         self,
         environment: Rc<Environment>,
         fetch: Fetch,
-        also: StartListeners,
+        start_listeners: StartListeners,
         mut signal: Signal,
     ) -> Result<(), Refusal> {
         let timeline = Timeline::new(self.host.as_str());
         let client = rpc::Client::new(timeline);
-        let listener = process::listener(self.callers)?;
-        let kept = self.beside.is_some();
+        let listener = process::listener(self.caller_listener)?;
+        let has_replica = self.local_replica.is_some();
         let node = Node::new(
-            ServerListCache::new(self.host.clone(), kept),
-            self.known_as,
+            ServerListCache::new(self.host.clone(), has_replica),
+            self.advertised,
             self.dialect,
-            self.allowed,
+            self.retry_allowance,
             self.tolerance,
-            self.known,
+            self.known_replicas,
             client,
         );
         let node = node.clock(self.clock).first_start(self.first_start);
@@ -134,26 +135,34 @@
             .with("host", self.host.as_str())
             .with("hall", &*node.gateway.hall)
             .with("callers", node.gateway.callers.to_string())
-            .with("replica", kept)
+            .with("replica", has_replica)
             .write();
-        if let Some(beside) = self.beside {
-            tokio::task::spawn_local(local_replica::keep(self.host, beside));
-            tokio::task::spawn_local(discovery::introduce(
+        if let Some(replica) = self.local_replica {
+            tokio::task::spawn_local(local_replica::supervise(self.host, replica));
+            tokio::task::spawn_local(discovery::announce_replicas(
                 Rc::clone(&node),
                 Rc::clone(&environment),
             ));
         } else {
-            discovery::serve(&node, self.meets)?;
+            discovery::serve(&node, self.discovery_address)?;
         }
         tokio::task::spawn_local(serve_callers(Rc::clone(&node), listener));
-        tokio::task::spawn_local(sync::keep(Rc::clone(&node), Rc::clone(&environment)));
-        tokio::task::spawn_local(tables::keep(Rc::clone(&node), Rc::clone(&environment)));
-        tokio::task::spawn_local(lists::keep(Rc::clone(&node), fetch, kept, self.list_rate));
+        tokio::task::spawn_local(sync::poll_hub(Rc::clone(&node), Rc::clone(&environment)));
+        tokio::task::spawn_local(tables::fetch_tables(
+            Rc::clone(&node),
+            Rc::clone(&environment),
+        ));
+        tokio::task::spawn_local(lists::fetch_lists(
+            Rc::clone(&node),
+            fetch,
+            has_replica,
+            self.list_rate,
+        ));
         tokio::task::spawn_local(hub_slots::send_reports(Rc::clone(&node)));
-        tokio::task::spawn_local(tick(Rc::clone(&node)));
-        also(&node, &environment)?;
+        tokio::task::spawn_local(scan_queues(Rc::clone(&node)));
+        start_listeners(&node, &environment)?;
         if signal.next().await == Order::Stop {
-            stop::run(&node, self.grace).await;
+            stop::run(&node, self.stop_timing).await;
         }
         Ok(())
     }
@@ -161,9 +170,9 @@
 
 /// Answers callers within the limits of the table in force.
 async fn serve_callers(node: Rc<Node>, listener: tokio::net::TcpListener) {
-    let limited = Rc::clone(&node);
+    let limits_node = Rc::clone(&node);
     let limits = move || {
-        let table = limited.table();
+        let table = limits_node.table();
         table.map_or_else(Limits::default, |table| table.get_limits())
     };
     serve::serve(listener, limits, move |request| {
@@ -173,9 +182,9 @@
 }
 
 /// Gives turns that only the passing of time has made possible.
-async fn tick(node: Rc<Node>) {
+async fn scan_queues(node: Rc<Node>) {
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(QUEUE_SCAN_INTERVAL).await;
         if node.queue_len() > 0 {
             node.assign_all_slots();
         }
--- a/crates/curlewlift/src/gateway/discovery.rs
+++ b/crates/curlewlift/src/gateway/discovery.rs
@@ -25,10 +25,10 @@
 use super::node::Node;
 
 /// Between two times that a host with a replica says so to the hosts that the settings name.
-const EVERY: Duration = Duration::from_millis(500);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long one of them may take to answer.
-const CALL: Duration = Duration::from_millis(400);
+const CALL_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Answers where control may be found, at `address`, on a host without a replica.
 pub(super) fn serve(node: &Rc<Node>, address: SocketAddr) -> Result<(), Refusal> {
@@ -69,29 +69,32 @@
 }
 
 /// Says over and over, from a host with a replica, which hosts keep one.
-pub(super) async fn introduce(node: Rc<Node>, environment: Rc<Environment>) {
+pub(super) async fn announce_replicas(node: Rc<Node>, environment: Rc<Environment>) {
     loop {
-        tokio::time::sleep(EVERY).await;
+        tokio::time::sleep(ANNOUNCE_INTERVAL).await;
         let mut hosts = node.known_replicas.get();
         if !hosts.contains(&node.host) {
             hosts.push(node.host.clone());
         }
-        let kept: Vec<_> = hosts
+        let replica_addresses: Vec<_> = hosts
             .iter()
             .filter_map(|host| (environment.locate)(host))
             .collect();
         for seed in (environment.seeds)() {
-            if !kept.contains(&seed) {
-                tokio::task::spawn_local(tell(Rc::clone(&node), seed, hosts.clone()));
+            if !replica_addresses.contains(&seed) {
+                tokio::task::spawn_local(announce(Rc::clone(&node), seed, hosts.clone()));
             }
         }
     }
 }
 
-async fn tell(node: Rc<Node>, seed: SocketAddr, hosts: Vec<id::Host>) {
+async fn announce(node: Rc<Node>, seed: SocketAddr, hosts: Vec<id::Host>) {
     let call = RenewCall::Hub(HubCall::Introduce(hosts));
-    let told: Result<HubReply, Refusal> = node.rpc.call(seed, Method::Renew, &call, CALL).await;
-    match told {
+    let reply: Result<HubReply, Refusal> = node
+        .rpc
+        .call(seed, Method::Renew, &call, CALL_TIMEOUT)
+        .await;
+    match reply {
         Ok(HubReply::Elsewhere { control, .. }) => node.known_replicas.add(control),
         Ok(_) => {}
         Err(why) => log::debug!("{seed} was not told where control is: {why}"),
--- a/crates/curlewlift/src/gateway/environment.rs
+++ b/crates/curlewlift/src/gateway/environment.rs
@@ -14,5 +14,5 @@
     /// Reads a routing table.
     pub(crate) decode: Decode,
     /// Where the control replica in this process is reached, where there is one.
-    pub(crate) beside: Option<SocketAddr>,
+    pub(crate) local_replica: Option<SocketAddr>,
 }
--- a/crates/curlewlift/src/gateway/leader_calls.rs
+++ b/crates/curlewlift/src/gateway/leader_calls.rs
@@ -22,10 +22,10 @@
 use super::sync;
 
 /// How long a routing table may take to be put in force, or read.
-const PUBLISH: Duration = Duration::from_millis(1_500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// How often another control replica is asked where the first does not lead.
-const HOPS: usize = 4;
+const MAX_CALLS: usize = 4;
 
 /// Puts a routing table in force.
 ///
@@ -37,7 +37,7 @@
     environment: &Environment,
     publication: Publication,
 ) -> Result<(), Refusal> {
-    match ask(node, environment, HubCall::Publish(publication)).await? {
+    match call_leader(node, environment, HubCall::Publish(publication)).await? {
         HubReply::Published => Ok(()),
         _ => Err(no_leader()),
     }
@@ -49,7 +49,7 @@
 ///
 /// [`Code::Unreachable`] where nobody can be sure.
 pub(crate) async fn read(node: &Node, environment: &Environment) -> Result<Publication, Refusal> {
-    match ask(node, environment, HubCall::Read).await? {
+    match call_leader(node, environment, HubCall::Read).await? {
         HubReply::Table(publication) => Ok(publication),
         _ => Err(no_leader()),
     }
@@ -65,7 +65,7 @@
     environment: &Environment,
     order: Order,
 ) -> Result<(), Refusal> {
-    match ask(node, environment, HubCall::Rollout(order)).await? {
+    match call_leader(node, environment, HubCall::Rollout(order)).await? {
         HubReply::Ordered => Ok(()),
         _ => Err(no_leader()),
     }
@@ -81,7 +81,7 @@
     environment: &Environment,
     order: evacuation::Order,
 ) -> Result<(), Refusal> {
-    match ask(node, environment, HubCall::Evacuate(order)).await? {
+    match call_leader(node, environment, HubCall::Evacuate(order)).await? {
         HubReply::Ordered => Ok(()),
         _ => Err(no_leader()),
     }
@@ -97,38 +97,46 @@
     environment: &Environment,
     service: id::Service,
 ) -> Result<Option<(Version, Phase)>, Refusal> {
-    match ask(node, environment, HubCall::RolloutOf(service)).await? {
-        HubReply::Rollout(last) => Ok(last),
+    match call_leader(node, environment, HubCall::RolloutOf(service)).await? {
+        HubReply::Rollout(rollout) => Ok(rollout),
         _ => Err(no_leader()),
     }
 }
 
 /// Asks the leader, where it can be found within a few steps.
-async fn ask(node: &Node, environment: &Environment, call: HubCall) -> Result<HubReply, Refusal> {
+async fn call_leader(
+    node: &Node,
+    environment: &Environment,
+    call: HubCall,
+) -> Result<HubReply, Refusal> {
     let call = RenewCall::Hub(call);
-    let until = Instant::now() + PUBLISH;
-    let mut named: Option<id::Host> = node.hub.borrow().leader.clone();
-    let mut last = no_leader();
-    for hop in 0..HOPS {
-        let leader = named
+    let call_deadline = Instant::now() + CALL_TIMEOUT;
+    let mut named_leader: Option<id::Host> = node.hub.borrow().leader.clone();
+    let mut last_refusal = no_leader();
+    for attempt in 0..MAX_CALLS {
+        let leader = named_leader
             .take()
             .and_then(|leader| (environment.locate)(&leader));
-        let Some(address) = leader.or_else(|| sync::elsewhere(node, environment, hop)) else {
+        let Some(address) = leader.or_else(|| sync::candidate_address(node, environment, attempt))
+        else {
             continue;
         };
-        let left = until.saturating_duration_since(Instant::now());
-        let reply = node.rpc.call(address, Method::Renew, &call, left).await;
+        let remaining = call_deadline.saturating_duration_since(Instant::now());
+        let reply = node
+            .rpc
+            .call(address, Method::Renew, &call, remaining)
+            .await;
         match reply {
             Ok(HubReply::Elsewhere { leader, control }) => {
                 node.known_replicas.add(control);
-                named = leader;
+                named_leader = leader;
             }
             Ok(reply) => return Ok(reply),
             // Who is not there refuses at once; all orders may be given again.
-            Err(why) => last = why,
+            Err(why) => last_refusal = why,
         }
     }
-    Err(last)
+    Err(last_refusal)
 }
 
 fn no_leader() -> Refusal {
--- a/crates/curlewlift/src/gateway/local_quota.rs
+++ b/crates/curlewlift/src/gateway/local_quota.rs
@@ -15,7 +15,7 @@
 use super::node::Node;
 
 /// How long a deputy may take: two ways between data halls, and a busy host's delay.
-const CALL: Duration = Duration::from_millis(60);
+const CALL_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Whether a request is let in without the hub's word: by this gateway, or by a deputy that holds a part of
 /// what all may let in; if so it is counted there.
@@ -26,20 +26,23 @@
     if node.acquire_quota(charge) {
         return true;
     }
-    let some = node.standbys.borrow().some();
-    for address in some {
-        if ask(node, address, charge).await {
+    let standbys = node.standbys.borrow().sample();
+    for address in standbys {
+        if acquire_at(node, address, charge).await {
             return true;
         }
     }
     false
 }
 
-async fn ask(node: &Node, address: SocketAddr, charge: &Charge) -> bool {
+async fn acquire_at(node: &Node, address: SocketAddr, charge: &Charge) -> bool {
     let call = RenewCall::Hub(HubCall::Draw(charge.clone()));
-    let reply: Result<HubReply, Refusal> = node.rpc.call(address, Method::Renew, &call, CALL).await;
+    let reply: Result<HubReply, Refusal> = node
+        .rpc
+        .call(address, Method::Renew, &call, CALL_TIMEOUT)
+        .await;
     match reply {
-        Ok(HubReply::Drawn(drawn)) => drawn,
+        Ok(HubReply::Drawn(acquired)) => acquired,
         Ok(_) => false,
         Err(why) => {
             log::debug!("the deputy at {address} does not answer: {why}");
--- a/crates/curlewlift/src/gateway/local_replica.rs
+++ b/crates/curlewlift/src/gateway/local_replica.rs
@@ -15,7 +15,7 @@
 use crate::process::Process;
 
 /// Between two looks whether the control replica has ended, and before it is started anew.
-const REVIVE: Duration = Duration::from_millis(500);
+const RESTART_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The control replica beside a gateway, to be started.
 #[derive(Clone)]
@@ -53,15 +53,15 @@
 
 /// Keeps a control replica running: one that its disk has failed begins anew with what the disk
 /// holds, and the gateway goes on meanwhile.
-pub(super) async fn keep(host: id::Host, mut beside: LocalReplica) {
+pub(super) async fn supervise(host: id::Host, mut settings: LocalReplica) {
     loop {
-        match start(&host, &beside) {
+        match start(&host, &settings) {
             Ok(process) => {
                 // A folder that is lost while it runs must not found a second log.
-                beside.found = false;
+                settings.found = false;
                 let mut replica = Replica(Some(process));
                 while !replica.is_ended() {
-                    tokio::time::sleep(REVIVE).await;
+                    tokio::time::sleep(RESTART_INTERVAL).await;
                 }
                 if let Some(Err(why)) = replica.0.take().map(Process::wait) {
                     log::error!("the control replica has ended: {why}");
@@ -69,17 +69,17 @@
             }
             Err(why) => log::error!("the control replica cannot start: {why}"),
         }
-        tokio::time::sleep(REVIVE).await;
+        tokio::time::sleep(RESTART_INTERVAL).await;
     }
 }
 
-fn start(host: &id::Host, beside: &LocalReplica) -> Result<Process, Refusal> {
-    let listener = process::bind(beside.rpc)?;
+fn start(host: &id::Host, settings: &LocalReplica) -> Result<Process, Refusal> {
+    let listener = process::bind(settings.rpc)?;
     Control::new(host.clone(), listener)
-        .data(beside.data.clone())
-        .found(beside.found)
-        .peers(beside.peers.clone())
-        .clock(beside.clock.clone())
-        .gateways(beside.gateways.clone())
+        .data(settings.data.clone())
+        .found(settings.found)
+        .peers(settings.peers.clone())
+        .clock(settings.clock.clone())
+        .gateways(settings.gateways.clone())
         .start()
 }
--- a/crates/curlewlift/src/gateway/serve.rs
+++ b/crates/curlewlift/src/gateway/serve.rs
@@ -18,17 +18,17 @@
 use super::body::Answer;
 
 /// The most headers in one head.
-const HEADERS: usize = 128;
+const MAX_HEADERS: usize = 128;
 
 /// The least that a connection's buffer holds for a head, and beside the largest one, in bytes: the
 /// HTTP library takes no smaller buffer.
-const LEAST: usize = 8 << 10;
+const MIN_BUFFER_BYTES: usize = 8 << 10;
 
 /// The most that a head may take, in bytes, whatever a table allows.
-const MOST: usize = 1 << 20;
+const MAX_HEAD_BYTES: usize = 1 << 20;
 
 /// Between two attempts to take a connection after one failed, for descriptors to come free.
-const PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Answers requests on `listener` with `answer` until it is dropped.
 pub(crate) async fn serve<L, F, A>(listener: TcpListener, limits: L, answer: F)
@@ -46,7 +46,7 @@
             }
             Err(why) => {
                 log::warn!("a connection cannot be taken: {why}");
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -66,8 +66,10 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_time + limits.header_time)
-        .max_headers(HEADERS)
-        .max_buf_size(limits.header_bytes.clamp(LEAST, MOST) + LEAST)
+        .max_headers(MAX_HEADERS)
+        .max_buf_size(
+            limits.header_bytes.clamp(MIN_BUFFER_BYTES, MAX_HEAD_BYTES) + MIN_BUFFER_BYTES,
+        )
         .serve_connection(TokioIo::new(stream), service);
     if let Err(why) = connection.await {
         log::debug!("a caller's connection has ended: {why}");
--- a/crates/curlewlift/src/gateway/service.rs
+++ b/crates/curlewlift/src/gateway/service.rs
@@ -23,11 +23,11 @@
 
 impl Service {
     /// A service without servers yet, with so many sendings past the first.
-    pub(super) fn new(allowed: RetryAllowance) -> Self {
+    pub(super) fn new(retry_allowance: RetryAllowance) -> Self {
         let seed = rand::rng().next_u64();
         Self {
             pool: Pool::new(pool::Tuning::default(), seed),
-            budget: RetryBudget::new(allowed),
+            budget: RetryBudget::new(retry_allowance),
             waiters: HashMap::new(),
         }
     }
--- a/crates/curlewlift/src/gateway/standbys.rs
+++ b/crates/curlewlift/src/gateway/standbys.rs
@@ -9,7 +9,7 @@
 use crate::control::Locate;
 
 /// How many deputies are asked for one request: some have gone, some have let in what they may.
-const ASKED: usize = 3;
+const STANDBYS_PER_REQUEST: usize = 3;
 
 /// The deputies, as a gateway knows them.
 #[derive(Debug, Default)]
@@ -22,17 +22,19 @@
 
 impl Standbys {
     /// Those that the hub tells, but for the gateway on `host` itself.
-    pub(super) fn told(told: &gateway::Standbys, host: &id::Host, locate: &Locate) -> Self {
-        let others = told.hosts.iter().filter(|other| *other != host);
+    pub(super) fn from_hub(standbys: &gateway::Standbys, host: &id::Host, locate: &Locate) -> Self {
+        let others = standbys.hosts.iter().filter(|other| *other != host);
         Self {
-            version: told.version,
+            version: standbys.version,
             addresses: others.filter_map(|other| locate(other)).collect(),
         }
     }
 
     /// Some of them, in any order.
-    pub(super) fn some(&self) -> Vec<SocketAddr> {
-        let some = self.addresses.sample(&mut rand::rng(), ASKED);
-        some.copied().collect()
+    pub(super) fn sample(&self) -> Vec<SocketAddr> {
+        let sample = self
+            .addresses
+            .sample(&mut rand::rng(), STANDBYS_PER_REQUEST);
+        sample.copied().collect()
     }
 }
--- a/crates/curlewlift/src/gateway/sync.rs
+++ b/crates/curlewlift/src/gateway/sync.rs
@@ -24,39 +24,39 @@
 use super::tables;
 
 /// How long an answer may take beyond the hub's own wait: a busy host's delay.
-const CALL: Duration = Duration::from_millis(350);
+const REPLY_MARGIN: Duration = Duration::from_millis(350);
 
 /// How long the hub waits before it says how long it does.
-const WAIT: Duration = Duration::from_millis(250);
+const MIN_POLL_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Between an answer and the next question.
-const PAUSE: Duration = Duration::from_millis(15);
+const POLL_INTERVAL: Duration = Duration::from_millis(15);
 
 /// After a control replica that does not lead, where it names one that does.
-const NEXT: Duration = Duration::from_millis(60);
+const REDIRECT_DELAY: Duration = Duration::from_millis(60);
 
 /// After how long the hub counts as lost, for the log.
-const LOST: Duration = Duration::from_millis(1_500);
+const HUB_LOST_AFTER: Duration = Duration::from_millis(1_500);
 
 /// Asks for as long as the process lives.
-pub(super) async fn keep(node: Rc<Node>, environment: Rc<Environment>) {
-    let began = node.now();
-    let mut slot = 0;
-    let mut known = None;
+pub(super) async fn poll_hub(node: Rc<Node>, environment: Rc<Environment>) {
+    let started_at = node.now();
+    let mut candidate = 0;
+    let mut logged_reachable = None;
     let mut search = LeaderSearch::default();
     loop {
-        let asked = once(&node, &environment, &mut slot).await;
-        let hears = hears(&node, began);
-        if hears.is_some() && hears != known {
-            known = hears;
-            tell_of_hub(&node, &asked);
+        let polled = poll_once(&node, &environment, &mut candidate).await;
+        let reachable = is_hub_reachable(&node, started_at);
+        if reachable.is_some() && reachable != logged_reachable {
+            logged_reachable = reachable;
+            log_hub_change(&node, &polled);
         }
-        let pause = if asked.is_ok() {
+        let pause = if polled.is_ok() {
             search.found();
-            PAUSE
+            POLL_INTERVAL
         } else {
             search.missed();
-            next(&node, search)
+            retry_delay(&node, search)
         };
         // A gateway that stops, or that has fetched another list, says so at once.
         let _ = tokio::time::timeout(pause, node.poll_wakeup.notified()).await;
@@ -64,25 +64,25 @@
 }
 
 /// The pause before the next replica is asked.
-fn next(node: &Node, search: LeaderSearch) -> Duration {
+fn retry_delay(node: &Node, search: LeaderSearch) -> Duration {
     if node.hub.borrow().leader.is_some() {
-        return NEXT;
+        return REDIRECT_DELAY;
     }
     let gateways = node.membership.borrow().gateways.len();
     search.pause(gateways, rand::rng().random())
 }
 
 /// Whether the hub is heard; none where that is not known yet, as the gateway has only begun.
-fn hears(node: &Node, began: clock::Instant) -> Option<bool> {
+fn is_hub_reachable(node: &Node, started_at: clock::Instant) -> Option<bool> {
     match node.since_hub_reply() {
-        Some(silence) => Some(silence <= LOST),
-        None => (node.now().since(began) > LOST).then_some(false),
+        Some(since_reply) => Some(since_reply <= HUB_LOST_AFTER),
+        None => (node.now().since(started_at) > HUB_LOST_AFTER).then_some(false),
     }
 }
 
 /// Writes that the hub is heard, or no more; what the last question came to says where it was sought.
-fn tell_of_hub(node: &Node, asked: &Result<(), String>) {
-    let kind = match asked {
+fn log_hub_change(node: &Node, polled: &Result<(), String>) {
+    let kind = match polled {
         Ok(()) => Kind::HubFound,
         Err(_) => Kind::HubLost,
     };
@@ -92,53 +92,64 @@
     Line::new(kind)
         .with("leader", leader.map(|leader| leader.to_string()))
         .with("known", known)
-        .with("why", asked.as_ref().err().cloned())
+        .with("why", polled.as_ref().err().cloned())
         .write();
 }
 
 /// One question; whether the leader answered it, else why not.
-async fn once(node: &Rc<Node>, environment: &Environment, slot: &mut usize) -> Result<(), String> {
-    let Some(address) = address(node, environment, *slot) else {
-        *slot += 1;
+async fn poll_once(
+    node: &Rc<Node>,
+    environment: &Environment,
+    candidate: &mut usize,
+) -> Result<(), String> {
+    let Some(address) = poll_address(node, environment, *candidate) else {
+        *candidate += 1;
         return Err("nobody is known whom to ask".to_owned());
     };
-    let asked = node.now();
-    let most = CALL + node.hub.borrow().poll_timeout.max(WAIT);
-    let question = question(node);
-    let (_, told) = node.quarantine.borrow().get_evidence().unacknowledged();
-    let told_limits = node.limits.borrow().get_last_number();
-    let call = RenewCall::Hub(HubCall::Ask(Box::new(question)));
-    let reply: Result<HubReply, Refusal> = node.rpc.call(address, Method::Renew, &call, most).await;
+    let sent_at = node.now();
+    let timeout = REPLY_MARGIN + node.hub.borrow().poll_timeout.max(MIN_POLL_TIMEOUT);
+    let poll = build_poll(node);
+    let (_, last_observation) = node.quarantine.borrow().get_evidence().unacknowledged();
+    let last_limit_report = node.limits.borrow().get_last_number();
+    let call = RenewCall::Hub(HubCall::Ask(Box::new(poll)));
+    let reply: Result<HubReply, Refusal> =
+        node.rpc.call(address, Method::Renew, &call, timeout).await;
     match reply {
         // What lay here while the host was suspended is not the hub's word of now.
-        Ok(_) if node.now().since(asked) > most => {
+        Ok(_) if node.now().since(sent_at) > timeout => {
             Err(format!("the answer of {address} came too late"))
         }
         Ok(HubReply::News(reply)) => {
-            node.quarantine.borrow_mut().acknowledge(reply.hub_id, told);
+            node.quarantine
+                .borrow_mut()
+                .acknowledge(reply.hub_id, last_observation);
             let mut limits = node.limits.borrow_mut();
-            let changes =
-                limits.apply_reply(reply.hub_id, told_limits, reply.limits.as_ref(), node.now());
+            let changes = limits.apply_reply(
+                reply.hub_id,
+                last_limit_report,
+                reply.limits.as_ref(),
+                node.now(),
+            );
             drop(limits);
             node.apply_limits(changes.into_iter());
-            take(node, environment, address, asked, *reply);
+            apply_reply(node, environment, address, sent_at, *reply);
             Ok(())
         }
         Ok(HubReply::Elsewhere { leader, control }) => {
             node.known_replicas.add(control);
             let why = format!("{address} does not lead");
-            let same = leader == node.hub.borrow().leader;
-            if same || leader.is_none() {
-                *slot += 1;
+            let is_same_leader = leader == node.hub.borrow().leader;
+            if is_same_leader || leader.is_none() {
+                *candidate += 1;
             }
-            node.hub.borrow_mut().leader = if same { None } else { leader };
+            node.hub.borrow_mut().leader = if is_same_leader { None } else { leader };
             Err(why)
         }
         Ok(_) => Err(format!("{address} gave another answer")),
         Err(why) => {
             log::debug!("no word from {address}: {why}");
             node.hub.borrow_mut().leader = None;
-            *slot += 1;
+            *candidate += 1;
             Err(why.get_detail().to_owned())
         }
     }
@@ -146,32 +157,36 @@
 
 /// Where to ask: at the leader, or in turn at each that may know it: the replica in this process, the
 /// hosts that are known to keep one, and those that the settings name, which may not.
-fn address(node: &Node, environment: &Environment, slot: usize) -> Option<SocketAddr> {
+fn poll_address(node: &Node, environment: &Environment, candidate: usize) -> Option<SocketAddr> {
     let hub = node.hub.borrow();
     let leader = hub.leader.as_ref();
     let leader = leader.and_then(|leader| (environment.locate)(leader));
-    leader.or_else(|| elsewhere(node, environment, slot))
+    leader.or_else(|| candidate_address(node, environment, candidate))
 }
 
 /// Where to ask in turn, whoever is said to lead.
-pub(super) fn elsewhere(node: &Node, environment: &Environment, slot: usize) -> Option<SocketAddr> {
+pub(super) fn candidate_address(
+    node: &Node,
+    environment: &Environment,
+    candidate: usize,
+) -> Option<SocketAddr> {
     let known = node.known_replicas.get();
     let known = known.iter().filter_map(|host| (environment.locate)(host));
-    let mut all: Vec<_> = environment.beside.into_iter().chain(known).collect();
+    let mut candidates: Vec<_> = environment.local_replica.into_iter().chain(known).collect();
     for seed in (environment.seeds)() {
-        if !all.contains(&seed) {
-            all.push(seed);
+        if !candidates.contains(&seed) {
+            candidates.push(seed);
         }
     }
-    all.get(slot % all.len().max(1)).copied()
+    candidates.get(candidate % candidates.len().max(1)).copied()
 }
 
-fn question(node: &Node) -> Poll {
+fn build_poll(node: &Node) -> Poll {
     let hub = node.hub.borrow();
-    let holding = node.server_lists.borrow();
+    let server_lists = node.server_lists.borrow();
     let quarantine = node.quarantine.borrow();
     let limits = node.limits.borrow();
-    let fetched = holding
+    let fetched_list = server_lists
         .for_hub(hub.server_list_version)
         .filter(|_| hub.fetches_list);
     Poll {
@@ -179,8 +194,8 @@
         gateway: node.gateway.clone(),
         ready: node.is_ready(),
         known_table: node.newest_table(),
-        wants_whole_list: holding.stores_whole(),
-        server_list_version: holding.get_version(),
+        wants_whole_list: server_lists.stores_whole(),
+        server_list_version: server_lists.get_version(),
         membership_version: node.membership.borrow().version,
         standbys_version: node.standbys.borrow().version,
         policy_version: node.policy.borrow().version,
@@ -191,20 +206,20 @@
         observations: quarantine.get_evidence().unacknowledged().0,
         limit_reports: limits.pending_reports(),
         limits_version: limits.get_table_version(),
-        fetched_list: fetched.cloned(),
+        fetched_list: fetched_list.cloned(),
     }
 }
 
-/// Takes up the answer to a question that was sent at `asked`.
-fn take(
+/// Takes up the answer to a question that was sent at `polled`.
+fn apply_reply(
     node: &Node,
     environment: &Environment,
     address: SocketAddr,
-    asked: clock::Instant,
+    sent_at: clock::Instant,
     reply: Reply,
 ) {
     if let Some(publication) = reply.table {
-        tables::adopt(node, environment, &publication);
+        tables::apply(node, environment, &publication);
     }
     {
         let mut hub = node.hub.borrow_mut();
@@ -217,8 +232,8 @@
         hub.fetches_list = reply.fetches_list;
         hub.server_list_version = reply.server_list_version;
     }
-    if let Some(news) = reply.quarantine {
-        node.quarantine.borrow_mut().apply_update(&news);
+    if let Some(update) = reply.quarantine {
+        node.quarantine.borrow_mut().apply_update(&update);
     }
     // Before the list: what is new on it may be of a version that gets nothing by this gateway's own choice.
     if let Some(policy) = reply.policy {
@@ -226,24 +241,27 @@
     }
     // The one that fetches the list has it first hand.
     if !reply.fetches_list {
-        node.update_server_list(|holding| {
-            holding.drop_fetched();
-            if let Some(listing) = reply.server_list {
-                holding.apply(listing);
+        node.update_server_list(|server_lists| {
+            server_lists.drop_fetched();
+            if let Some(update) = reply.server_list {
+                server_lists.apply(update);
             }
         });
     }
-    if let Some(news) = reply.membership {
-        node.apply_membership(news);
+    if let Some(update) = reply.membership {
+        node.apply_membership(update);
     }
     node.known_replicas.set(reply.control_hosts);
-    if let Some(told) = reply.standbys {
-        *node.standbys.borrow_mut() = Standbys::told(&told, &node.host, &environment.locate);
+    if let Some(standbys) = reply.standbys {
+        *node.standbys.borrow_mut() =
+            Standbys::from_hub(&standbys, &node.host, &environment.locate);
     }
-    node.retry_share.borrow_mut().set(reply.retry_share, asked);
+    node.retry_share
+        .borrow_mut()
+        .set(reply.retry_share, sent_at);
     node.local_limiter
         .borrow_mut()
-        .set_share(reply.admission_share, asked, node.now());
+        .set_share(reply.admission_share, sent_at, node.now());
     node.fetch_wakeup.notify_one();
     node.update_other_loads(&reply.other_loads);
 }
--- a/crates/curlewlift/src/platform/instances.rs
+++ b/crates/curlewlift/src/platform/instances.rs
@@ -88,8 +88,11 @@
     let answer = client.request(request).await.map_err(|why| lost(&why))?;
     if answer.status() != StatusCode::OK {
         let missed = lost(answer.status());
-        let again = again(answer.headers());
-        return Err(FetchError { again, ..missed });
+        let retry_after = again(answer.headers());
+        return Err(FetchError {
+            retry_after,
+            ..missed
+        });
     }
     let body = Limited::new(answer.into_body(), LARGEST).collect().await;
     let body = body.map_err(|why| lost(&why))?.to_bytes();
@@ -117,6 +120,6 @@
 fn lost(why: impl std::fmt::Display) -> FetchError {
     FetchError {
         why: why.to_string(),
-        again: None,
+        retry_after: None,
     }
 }
--- a/crates/curlewlift/src/platform/start.rs
+++ b/crates/curlewlift/src/platform/start.rs
@@ -120,24 +120,24 @@
     let known = Known::default();
     let gateway = Gateway {
         host: host(settings.ip)?,
-        known_as: gateway::Gateway {
+        advertised: gateway::Gateway {
             hall: settings.hall.as_str().into(),
             callers: listen.callers,
         },
-        callers,
+        caller_listener: callers,
         dialect: heads::DIALECT,
-        allowed: settings.retries(),
+        retry_allowance: settings.retries(),
         tolerance: settings.tolerance(),
-        grace: StopTiming {
-            held: Duration::from_secs_f64(keep * KEPT) + WORD,
-            grace: settings.stop_time(),
+        stop_timing: StopTiming {
+            address_lifetime: Duration::from_secs_f64(keep * KEPT) + WORD,
+            total: settings.stop_time(),
         },
-        beside: beside(&settings, &known, &clock)?,
+        local_replica: beside(&settings, &known, &clock)?,
         first_start: settings.first_start,
         list_rate: settings.platform.rate,
         regions: Regions::new(settings.halls.clone()),
-        meets: settings.replica(settings.ip),
-        known,
+        discovery_address: settings.replica(settings.ip),
+        known_replicas: known,
         clock,
     };
     gateway.start(move || {
@@ -215,7 +215,7 @@
         }),
         locate: locate(settings),
         decode: document::table,
-        beside: settings
+        local_replica: settings
             .data_dir
             .as_ref()
             .map(|_| settings.replica(settings.ip)),
