--- a/crates/curlewlift/src/gateway/hub_slots.rs
+++ b/crates/curlewlift/src/gateway/hub_slots.rs
@@ -1,4 +1,4 @@
-//! Places at backend servers that the hub gives, in one order over all gateways.
+//! Requests slots at backend servers from the hub, which queues the requests of all gateways in one order.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -31,54 +31,55 @@
 use super::node::Node;
 use super::service::Service;
 
-/// How long a report may take.
+/// Timeout of a report call.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the hub's word may take beyond the time that the request waits there: two ways between data
-/// halls, and a busy host's delay.
+/// Time that the hub's reply may take beyond the request's wait limit: a round trip between data halls,
+/// and the delay of a busy host.
 const DELIVERY_MARGIN: Duration = Duration::from_millis(40);
 
-/// How long a gateway chooses by itself after the hub gave no word in time.
+/// How long a gateway decides without the hub after a slot request to the hub failed or timed out.
 const HUB_DOUBT_TIME: Duration = Duration::from_millis(400);
 
-/// How long a call may take before its connection is given up; the request has gone on by then.
+/// Timeout of a call beyond the wait limit, after which its connection is given up; the request has
+/// long been decided without the reply by then.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a request wants a place for.
+/// What a request needs a slot for.
 #[derive(Clone, Copy)]
 pub(super) struct AttemptContext<'a> {
     /// The service.
     pub(super) service: &'a id::Service,
-    /// The rule that the request came under.
+    /// The rule that the request matched.
     pub(super) rule: &'a Arc<str>,
-    /// What the request is.
+    /// Identity of the request, the same for every retry by its caller.
     pub(super) identity: &'a Identity,
-    /// For how much longer it may take.
+    /// Time left until the request's deadline.
     pub(super) time_left: Duration,
-    /// Whether it was sent before, and this gateway has no further sending left.
+    /// Whether this is a retry that this gateway's own retry budget doesn't cover.
     pub(super) needs_retry: bool,
 }
 
-/// What the hub said.
+/// How the hub decided on a slot request.
 pub(super) enum HubDecision {
-    /// The request is to be sent where the hub's grant says.
+    /// The request is to be sent to the server of this grant.
     Granted(Grant),
-    /// There was no place in time.
+    /// No slot came free within the wait limit.
     NoSlot,
-    /// Its customer has used up its allowance; there is enough after this time.
+    /// The customer's quota is used up; it suffices again after this time.
     QuotaExceeded(Duration),
-    /// Servers ended under such a request.
+    /// Servers crashed under this request, and quarantine rejects it.
     Rejected(Rejection),
-    /// It was sent before, and no further sending is left.
+    /// The request is a retry, and the retry budget is used up.
     NoRetry,
-    /// A place at a server that has told this host that it wants no request, or a limit that the hub did not know of;
-    /// what the request counts is drawn.
+    /// The granted slot can't be used, as the server has told this host to send nothing, or has announced a limit that
+    /// the hub did not know of; the request's cost has been charged already.
     Unavailable(Server),
-    /// Nothing, or nothing that can be used: this gateway has to choose by itself.
+    /// No decision, or none that can be used: this gateway decides locally.
     Undecided,
 }
 
-/// Asks the hub for a place for at most `wait_limit`, and to draw what the request counts.
+/// Requests a slot from the hub, waiting for at most `wait_limit`; the hub also charges the request's cost.
 pub(super) async fn request_slot(
     node: &Node,
     context: AttemptContext<'_>,
@@ -101,7 +102,7 @@
     };
     match reply {
         Some(Ok(HubReply::Place(Some(grant)))) => {
-            // A host that was suspended finds a place that has been given to others since.
+            // After this host was suspended, the slot may have been granted to others meanwhile.
             let is_late = node.now().since(sent_at) > wait_limit + DELIVERY_MARGIN;
             node.accept_grant(context, grant, request.prompt, is_late)
         }
@@ -109,14 +110,14 @@
         Some(Ok(HubReply::Beyond(retry_after))) => HubDecision::QuotaExceeded(retry_after),
         Some(Ok(HubReply::Withheld(why))) => HubDecision::Rejected(why),
         Some(Ok(HubReply::NoRetry)) => HubDecision::NoRetry,
-        Some(Ok(_)) => node.doubt_hub("it does not lead"),
+        Some(Ok(_)) => node.doubt_hub("the replica that was asked does not lead"),
         Some(Err(why)) => node.doubt_hub(&why.to_string()),
-        None => node.doubt_hub("no word in time"),
+        None => node.doubt_hub("the hub did not reply in time"),
     }
 }
 
 impl Node {
-    /// Where the hub is asked for places; none where it is not heard or is doubted.
+    /// Address of the hub; none if its last reply is too old, or a slot request to it failed recently.
     fn hub_address(&self) -> Option<SocketAddr> {
         let now = self.now();
         let timeout = self.hub_timeout();
@@ -128,10 +129,10 @@
         hub.address
     }
 
-    /// Waits until the hub has not been heard for so long that it is not asked.
+    /// Waits until the hub's last reply is older than [`hub_timeout`](Self::hub_timeout).
     ///
-    /// A hub whose host has lost power resets nothing: waiting for its word for as long as a request is
-    /// held, gateways began nothing for 0.4 s, and most of their streams for up to 1 s.
+    /// A host that loses power resets no connection. Gateways that waited for the hub's reply for the
+    /// whole wait limit of a request started no request for 0.4 s, and most of their streams for up to 1 s.
     async fn wait_for_hub_timeout(&self) {
         while let Some(silence) = self.since_hub_reply()
             && silence < self.hub_timeout()
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Takes up a grant, but for one that has come too late.
+    /// Accepts a grant, unless it came too late or its server can't be used.
     fn accept_grant(
         &self,
         context: AttemptContext<'_>,
@@ -225,7 +226,7 @@
         HubDecision::Undecided
     }
 
-    /// Tells the hub what a server has said of itself to this host and still holds; false where that is nothing.
+    /// Reports to the hub the notice that a server has given this host and that is still active; false if there is none.
     pub(super) fn report_notice(&self, service: &id::Service, server: &Server) -> bool {
         let now = self.now();
         let incarnation = &server.incarnation;
@@ -240,6 +241,7 @@
         true
     }
 
+    /// Logs why the hub gave no decision, and stops asking it for [`HUB_DOUBT_TIME`].
     fn doubt_hub(&self, why: &str) -> HubDecision {
         let now = self.now();
         let mut hub = self.hub.borrow_mut();
@@ -251,7 +253,7 @@
         HubDecision::Undecided
     }
 
-    /// What is to be told of a sending that begins now, for a roll-out under way.
+    /// Tag of an attempt that begins now; none if no roll-out of the service is in progress.
     pub(super) fn rollout_tag(&self, context: AttemptContext<'_>) -> Option<RolloutTag> {
         let policy = self.policy.borrow();
         let target = policy.rollout_target(context.service)?;
@@ -261,7 +263,7 @@
         })
     }
 
-    /// Tells the hub how a sending ended.
+    /// Reports the outcome of an attempt to the hub.
     pub(super) fn report_end(
         &self,
         service: &id::Service,
@@ -279,13 +281,13 @@
     }
 }
 
-/// Reports what is in flight as soon as an answer begins or a sending ends; one report at a time.
+/// Reports the requests in flight as soon as a response begins or an attempt ends; one report at a time.
 pub(super) async fn send_reports(node: Rc<Node>) {
     loop {
         node.report_wakeup.notified().await;
         let attempt_ends = node.attempt_ends.take();
         let Some(address) = node.hub_address() else {
-            // The next question tells what is in flight.
+            // The next poll reports what is in flight.
             continue;
         };
         let report = Report {
@@ -302,7 +304,7 @@
             .call(address, Method::Renew, &call, REPORT_TIMEOUT)
             .await;
         if let Err(why) = result {
-            log::debug!("a report did not reach the hub: {why}");
+            log::debug!("report to the hub at {address} failed: {why}");
         }
     }
 }
--- a/crates/curlewlift/src/gateway/slot.rs
+++ b/crates/curlewlift/src/gateway/slot.rs
@@ -1,4 +1,4 @@
-//! A request's place at a backend server, and what its end says of both.
+//! A request's slot at a backend server, and what the outcome says about the request and the server.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -25,30 +25,30 @@
 use super::node::Node;
 use super::service::Service;
 
-/// A place at a backend server; given back when it is dropped.
+/// A slot at a backend server; released when dropped.
 pub(super) struct Slot {
     node: Rc<Node>,
     service: id::Service,
-    /// For the roll-out that was under way when it was given.
+    /// Set if a roll-out of the service was in progress when the slot was assigned.
     rollout_tag: Option<RolloutTag>,
     pub(super) server: Arc<Server>,
-    /// The hub's grant, which drew what the request counts; none where this gateway chose.
+    /// The hub's grant, which charged the request's cost; none if this gateway assigned the slot.
     grant: Option<Grant>,
-    /// What the request is.
+    /// Identity of the request.
     identity: Identity,
-    /// When it was given.
+    /// When the slot was assigned.
     granted_at: Instant,
-    /// Whether the server broke off under it.
+    /// Whether the server crashed under the request.
     crashed: bool,
-    /// Whether the server answered it to the end.
+    /// Whether the server sent its whole response.
     completed: bool,
-    /// The prompt that the server has not read yet.
+    /// The prompt's length until the response begins; none afterwards.
     unread_prompt: Option<Tokens>,
     outcome: AttemptOutcome,
 }
 
 impl Slot {
-    /// A place at `server` that this gateway chose.
+    /// A slot at `server` that this gateway assigned.
     pub(super) fn new(
         node: &Rc<Node>,
         context: AttemptContext<'_>,
@@ -70,42 +70,42 @@
         }
     }
 
-    /// The hub gave it.
+    /// Marks the slot as granted by the hub.
     pub(super) fn granted_by(mut self, grant: Grant) -> Self {
         self.grant = Some(grant);
         self
     }
 
-    /// Whether the hub gave it, and drew what the request counts.
+    /// Whether the hub granted the slot and charged the request's cost.
     pub(super) fn is_hub_granted(&self) -> bool {
         self.grant.is_some()
     }
 
-    /// Whether a further sending was drawn with it at the hub.
+    /// Whether the grant includes a retry from the hub's retry budget.
     pub(super) fn includes_retry(&self) -> bool {
         self.grant
             .as_ref()
             .is_some_and(|grant| grant.includes_retry)
     }
 
-    /// Which grant the hub gave it by.
+    /// Id of the hub's grant; the default id if this gateway assigned the slot.
     fn grant_id(&self) -> GrantId {
         let grant = self.grant.as_ref();
         grant.map_or(GrantId::default(), |grant| grant.id)
     }
 
-    /// The number of the permit that the request is sent by, where it needs one.
+    /// Number of the quarantine permit that the request is sent with, if it needs one.
     fn permit(&self) -> Option<u64> {
         self.grant.as_ref()?.permit
     }
 
-    /// The server broke off, and may have begun the request.
+    /// The connection broke, and the server may have begun the request.
     pub(super) fn set_crashed(&mut self) {
         self.outcome = AttemptOutcome::Broken;
         self.crashed = true;
     }
 
-    /// Takes note of what the end says of the request, for the hub.
+    /// Records what the outcome says about the request, for the hub's quarantine.
     fn report_request_outcome(&mut self) {
         let identity = self.identity.clone();
         let now = self.node.now();
@@ -130,7 +130,7 @@
         }
     }
 
-    /// The answer has begun: the server has read the prompt.
+    /// The response has begun, so the server has read the prompt.
     pub(super) fn record_first_byte(&mut self) {
         if let Some(prompt) = self.unread_prompt.take() {
             let incarnation = &self.server.incarnation;
@@ -139,18 +139,18 @@
         }
     }
 
-    /// How it ended, told when it is given back.
+    /// Sets the attempt's outcome, which is reported when the slot is released.
     pub(super) fn set_outcome(&mut self, outcome: AttemptOutcome) {
         self.outcome = outcome;
     }
 
-    /// The server answered to the end; what that says of the server is told when it is given back.
+    /// The server sent its whole response; `outcome` is reported when the slot is released.
     pub(super) fn set_completed(&mut self, outcome: AttemptOutcome) {
         self.outcome = outcome;
         self.completed = true;
     }
 
-    /// Something that is seen while the request runs.
+    /// Records an outcome that shows while the request still runs.
     pub(super) fn observe(&self, outcome: AttemptOutcome) {
         let now = self.node.now();
         let incarnation = &self.server.incarnation;
@@ -159,7 +159,7 @@
         });
     }
 
-    /// What the head of an answer said of the server itself: held to here, and told the hub.
+    /// Applies the notices in the head of a response here, and reports them to the hub.
     pub(super) fn record_notices(&self, notices: &[Notice]) {
         let now = self.node.now();
         for notice in notices {
@@ -176,7 +176,7 @@
         }
     }
 
-    /// What the head of an answer said of the server's limit.
+    /// Records what the head of a response announced about the server's rate limit.
     pub(super) fn record_limit(&self, announcement: &Announcement) {
         let now = self.node.now();
         let mut limits = self.node.limits.borrow_mut();
@@ -199,13 +199,13 @@
         }
     }
 
-    /// What is known here of the server's limit.
+    /// The server's rate limit as known here.
     pub(super) fn server_limit(&self) -> Announcement {
         let rate = self.node.limits.borrow().rate(&self.server);
         rate.map_or(Announcement::NoLimit, Announcement::Limited)
     }
 
-    /// Writes what is new of what the server said of itself.
+    /// Logs a server's notice; `update` is what it changed here.
     fn log_notice(&self, notice: &Notice, update: &Notice) {
         let kind = match notice {
             Notice::Draining => Kind::ServerLeaves,
@@ -214,7 +214,7 @@
         let line = Line::new(kind).with("server", &*self.server.incarnation);
         let line = match (notice, update) {
             (Notice::Backoff(requested), Notice::Backoff(applied)) => {
-                // What it costs: the time that its slots are not to be had from here.
+                // Capacity lost to the backoff: the time that the server's slots can't be used from here.
                 let slots = u64::from(self.server.slots);
                 let cost = millis(*applied).saturating_mul(slots);
                 metrics::counter!("curlewlift_rest_slot_ms").increment(cost);
@@ -227,8 +227,8 @@
         line.write();
     }
 
-    /// Whether the server has told this host that it wants no request, or a limit that this place was not drawn from, or
-    /// its data hall is evacuated.
+    /// Whether the request must not be sent: the server has told this host to send nothing, or has announced a limit
+    /// that this slot was not charged to, or its data hall is being evacuated.
     pub(super) fn is_unavailable(&self) -> bool {
         if self.node.policy.borrow().is_evacuated(&self.server.hall) {
             return true;
@@ -245,7 +245,7 @@
         self.node.with_service(&self.service, excludes) == Some(true)
     }
 
-    /// For how much longer this gateway leaves the server alone.
+    /// For how much longer this gateway avoids the server.
     pub(super) fn avoid_time(&self) -> Duration {
         let now = self.node.now();
         let incarnation = &self.server.incarnation;
@@ -255,7 +255,7 @@
         avoid_time.unwrap_or_default()
     }
 
-    /// What an answer told of the server's load.
+    /// Applies the server's load as its response stated it.
     pub(super) fn update_load(&self, in_flight: u32) {
         let incarnation = &self.server.incarnation;
         self.node.with_service(&self.service, |service| {
@@ -267,7 +267,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         self.record_first_byte();
-        // Before the end is told, so that one report tells both.
+        // Before the outcome is reported, so that one report contains both.
         self.report_request_outcome();
         let incarnation = &self.server.incarnation;
         let rollout_tag = self.rollout_tag.take();
@@ -276,7 +276,7 @@
     }
 }
 
-/// Adds to a line what a server said of its limit.
+/// Adds a server's limit announcement to a log line.
 pub(super) fn log_limit(line: Line, announcement: &Announcement) -> Line {
     match announcement {
         Announcement::NoLimit => line.with("limit", None::<f64>),
