--- a/crates/curlewlift/src/gateway/service.rs
+++ b/crates/curlewlift/src/gateway/service.rs
@@ -1,4 +1,4 @@
-//! One service of a gateway.
+//! State of one service at a gateway.
 
 use std::collections::HashMap;
 
@@ -11,18 +11,18 @@
 use rand::Rng;
 use tokio::sync::oneshot;
 
-/// A service's pool and budget, and who waits for a turn.
+/// A service's server pool and retry budget, and the requests that wait for a slot.
 pub(super) struct Service {
-    /// Its backend servers, and the requests in line for them.
+    /// The backend servers, and the requests queued for them.
     pub(super) pool: Pool,
-    /// What is left for sendings past the first.
+    /// What is left for retries.
     pub(super) budget: RetryBudget,
-    /// How each request in line is told of its turn.
+    /// Channels on which queued requests receive their assignments.
     pub(super) waiters: HashMap<Ticket, oneshot::Sender<Assignment>>,
 }
 
 impl Service {
-    /// A service without servers yet, with so many sendings past the first.
+    /// Creates a service without servers; `retry_allowance` bounds its retries.
     pub(super) fn new(retry_allowance: RetryAllowance) -> Self {
         let seed = rand::rng().next_u64();
         Self {
--- a/crates/curlewlift/src/gateway/services.rs
+++ b/crates/curlewlift/src/gateway/services.rs
@@ -1,4 +1,4 @@
-//! The services of a gateway: their backend servers, and whose turn it is at them.
+//! The services of a gateway: their backend servers, and the assignment of slots at them.
 
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
 
 /// # Servers
 impl Node {
-    /// Gives every service its servers.
+    /// Updates the pool of every service with its servers, and applies limits and warm-up rates.
     pub(super) fn update_pools(&self) {
         let now = self.now();
         let mut by_service = self.server_lists.borrow().get_subset().by_service();
@@ -52,7 +52,7 @@
         self.assign_all_slots();
     }
 
-    /// Servers have named limits, or name none any more.
+    /// Applies rate limits that servers have announced or withdrawn.
     pub(super) fn apply_limits(&self, changes: impl Iterator<Item = Change>) {
         let now = self.now();
         for Change { key, limit } in changes {
@@ -62,13 +62,13 @@
         }
     }
 
-    /// Whether all servers of a service have named limits.
+    /// Whether all servers of a service have announced limits.
     pub(super) fn is_limited(&self, name: &id::Service) -> bool {
         let is_limited = |service: &mut Service| service.pool.total_limit_rate().is_some();
         self.with_service(name, is_limited) == Some(true)
     }
 
-    /// Takes up what other gateways have in flight.
+    /// Applies what other gateways have in flight.
     pub(super) fn update_other_loads(&self, loads: &[Load]) {
         let mut services = self.services.borrow_mut();
         for service in services.values_mut() {
@@ -78,7 +78,7 @@
         self.assign_all_slots();
     }
 
-    /// What is in flight from here.
+    /// The requests that this gateway has in flight.
     pub(super) fn loads(&self) -> Vec<Load> {
         let services = self.services.borrow();
         let services = services.values();
@@ -86,9 +86,9 @@
     }
 }
 
-/// # Turns
+/// # Slots
 impl Node {
-    /// Puts a request in line; none where there is no such service.
+    /// Queues a request; none if the service is unknown.
     pub(super) fn enqueue(
         &self,
         name: &id::Service,
@@ -101,7 +101,7 @@
         let (sender, receiver) = oneshot::channel();
         service.waiters.insert(ticket, sender);
         if let Some(last) = displaced {
-            // Dropping the sender tells the waiter that it lost its place.
+            // Dropping the sender tells the waiter that its request was displaced.
             service.waiters.remove(&last);
         }
         drop(services);
@@ -109,7 +109,7 @@
         Some((ticket, receiver))
     }
 
-    /// Takes a request out of line.
+    /// Removes a request from the queue.
     pub(super) fn dequeue(&self, name: &id::Service, ticket: Ticket) {
         self.with_service(name, |service| {
             service.pool.cancel(ticket);
@@ -117,7 +117,7 @@
         });
     }
 
-    /// Takes note that a server has read a request's prompt, or will not.
+    /// Records that a server has read a request's prompt, or will not read it.
     pub(super) fn record_first_byte(&self, name: &id::Service, incarnation: &str, prompt: Tokens) {
         self.with_service(name, |service| {
             service.pool.record_first_byte(incarnation, prompt);
@@ -125,7 +125,7 @@
         self.report_wakeup.notify_one();
     }
 
-    /// Takes note of how a sending ended, and gives turns for the room that it made.
+    /// Records and reports the outcome of an attempt, and assigns the slot that it freed.
     pub(super) fn finish_attempt(
         &self,
         name: &id::Service,
@@ -141,7 +141,7 @@
         self.assign_slots(name);
     }
 
-    /// Does something with a service; none where there is no such service.
+    /// Runs `action` on a service; none if the service is unknown.
     pub(super) fn with_service<T>(
         &self,
         name: &id::Service,
@@ -150,7 +150,7 @@
         self.services.borrow_mut().get_mut(name).map(action)
     }
 
-    /// Gives turns at every service.
+    /// Assigns free slots at every service.
     pub(super) fn assign_all_slots(&self) {
         let names: Vec<_> = self.services.borrow().keys().cloned().collect();
         for name in names {
@@ -177,12 +177,12 @@
             }
         }
         for ticket in service.pool.remove_doomed(now) {
-            // Dropping the sender tells the waiter that its turn will not come.
+            // Dropping the sender tells the waiter that its request can't be served in time.
             service.waiters.remove(&ticket);
         }
     }
 
-    /// How many wait for a turn.
+    /// Number of requests queued at all services.
     pub(super) fn queue_len(&self) -> usize {
         let services = self.services.borrow();
         services
--- a/crates/curlewlift/src/gateway/slot_wait.rs
+++ b/crates/curlewlift/src/gateway/slot_wait.rs
@@ -1,4 +1,4 @@
-//! Waits for a request's turn at a backend server.
+//! Waits for a slot at a backend server.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -21,15 +21,15 @@
 use super::node::Node;
 use super::slot::Slot;
 
-/// Between two looks whether the hub is heard again, of a request that only it can let in.
+/// Interval at which a request that only the hub can admit checks whether the hub is reachable again.
 const HUB_CHECK_INTERVAL: Duration = Duration::from_millis(30);
 
-/// The part of the time in which an answer can be in time that such a request waits: sent away then, its
-/// caller may still be answered in time elsewhere. At hosts that are cut off 1 s of waiting made one request
-/// in thirty late (three days of 12 hosts, four in ten cut off).
+/// Such a request waits for the time in which it can still be sent, divided by this: when it is rejected
+/// then, its caller may still get a response in time elsewhere. With a wait of 1 s, one request in thirty
+/// at hosts that were cut off was late (12 hosts over three days, four in ten cut off).
 const HUB_WAIT_DIVISOR: u32 = 4;
 
-/// A place in line; left when it is dropped.
+/// A request's entry in the local queue; removed when dropped.
 struct QueueEntry {
     node: Rc<Node>,
     service: id::Service,
@@ -43,7 +43,7 @@
 impl Drop for QueueEntry {
     fn drop(&mut self) {
         self.node.dequeue(&self.service, self.ticket);
-        // A turn that came in the moment in which its request went away is given back.
+        // Releases a slot that was assigned at the moment the request went away.
         self.assignment.close();
         if let Ok(assignment) = self.assignment.try_recv() {
             let context = AttemptContext {
@@ -63,29 +63,29 @@
     }
 }
 
-/// Why no turn came.
+/// Why a request got no slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NoSlot {
-    /// There is no such service here, or no server of it.
+    /// The service is unknown here or has no server.
     NoServer,
-    /// Others go before it, and its turn would not come in time.
+    /// Other requests go first, and no slot would come free in time.
     Displaced,
-    /// Its time was up.
+    /// The wait limit has passed.
     TimeUp,
-    /// Its customer has used up its allowance, by the hub's word; there is enough after this time.
+    /// The hub says that the customer's quota is used up; it suffices again after this time.
     QuotaExceeded(Duration),
-    /// Its customer has used up what this gateway may let in without the hub's word.
+    /// The hub is not reachable, and the customer has used up what may be admitted without it.
     HubUnreachable,
-    /// All servers have named limits, from which only the hub draws, and it is not heard.
+    /// All servers have announced limits, which only the hub charges, and the hub is not reachable.
     Limited,
-    /// Servers ended under such a request.
+    /// Servers crashed under this request, and quarantine rejects it.
     Rejected(Rejection),
-    /// It was sent before, and no further sending is left.
+    /// The request is a retry, and the retry budget is used up.
     NoRetry,
 }
 
-/// Waits for a turn for at most `wait_limit`: at the hub, or here while it is not to be had; what the
-/// request counts is drawn there or here.
+/// Waits for a slot for at most `wait_limit`: at the hub, or in the local queue while the hub gives no
+/// decision. The request's cost is charged where the slot comes from.
 pub(super) async fn wait(
     node: &Rc<Node>,
     context: AttemptContext<'_>,
@@ -114,7 +114,7 @@
             }
             HubDecision::Undecided => {}
         }
-        // Others may be sending it as well, and only the hub adds that up.
+        // Other gateways may be sending the same request, and only the hub sees all of them.
         if !node.quarantine.borrow().may_send(context.identity) {
             return Err(NoSlot::Rejected(Rejection::Quarantined));
         }
@@ -140,7 +140,7 @@
     }
 }
 
-/// Waits for a turn by what this gateway knows itself.
+/// Waits in the local queue for a slot that this gateway assigns.
 async fn wait_in_queue(
     node: &Rc<Node>,
     context: AttemptContext<'_>,
