--- a/crates/curlewlift/src/gateway/mod.rs
+++ b/crates/curlewlift/src/gateway/mod.rs
@@ -1,8 +1,8 @@
-//! A gateway: an entry that passes requests on by a routing table.
+//! A gateway: an entry that forwards requests to backend servers by a routing table.
 //!
-//! It keeps nothing that must outlive it. What is agreed on (the table), summed up (what is in
-//! flight, what customers used) and found out (the backend servers, the other gateways) it gets
-//! from the hub beside the leading control replica, and it serves on without.
+//! It stores nothing that must outlive the process. It receives the committed table, the totals over
+//! all gateways (requests in flight, customers' use) and the lists of backend servers and gateways
+//! from the hub, which runs beside the leading control replica, and it continues to serve without the hub.
 
 mod admit;
 mod body;
--- a/crates/curlewlift/src/gateway/node.rs
+++ b/crates/curlewlift/src/gateway/node.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a gateway share.
+//! The state that the tasks of a gateway share.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -41,96 +41,96 @@
 use super::service::Service;
 use super::standbys::Standbys;
 
-/// How old the hub's last word may be for it to be asked, at the least.
+/// Minimum age that the hub's last reply may reach before the hub is no longer asked.
 const MIN_HUB_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How many gateways a caller's own data hall, or region, must have for it to be sent to those only: one that
-/// fails leaves another.
+/// How many gateways a caller's own data hall, or region, must have for the caller to be sent to those only: if one
+/// fails, another is left.
 const MIN_NEARBY_GATEWAYS: usize = 2;
 
 /// What a gateway knows of the hub.
 #[derive(Debug, Default)]
 pub(super) struct Hub {
-    /// The host that leads, by the last word.
+    /// The leading host, by the last reply.
     pub(super) leader: Option<id::Host>,
-    /// Where it was reached when it last answered.
+    /// Address from which the hub last replied.
     pub(super) address: Option<SocketAddr>,
-    /// When it last answered.
+    /// When the hub last replied to a poll.
     pub(super) last_reply_at: Option<clock::Instant>,
-    /// When it last gave no word on a place in time.
+    /// When a slot request to the hub last failed or timed out.
     pub(super) doubted_at: Option<clock::Instant>,
-    /// The last grant of a place that has come.
+    /// Id of the last slot grant received.
     pub(super) last_grant: GrantId,
-    /// How long this gateway's next question may wait there.
+    /// How long the hub may hold this gateway's next poll.
     pub(super) poll_timeout: Duration,
-    /// The number of its last answer.
+    /// Number of the hub's last reply.
     pub(super) last_reply: u64,
-    /// The number of the newest table that it told of.
+    /// Number of the newest table that the hub has announced.
     pub(super) newest_table: u64,
-    /// The version of the whole list that it held at its last word.
+    /// Version of the hub's whole server list at its last reply.
     pub(super) server_list_version: u64,
-    /// Whether this gateway fetches the list for all.
+    /// Whether this gateway fetches the platform's server list for all gateways.
     pub(super) fetches_list: bool,
 }
 
-/// What the tasks of a gateway share; one task at a time has it, and none holds a part over a wait.
+/// The state that the tasks of a gateway share. All tasks run on one thread, and none holds a borrow across an `await`.
 pub(crate) struct Node {
     /// The host that it runs on.
     pub(super) host: id::Host,
-    /// What callers and other gateways know it as.
+    /// The gateway as callers and other gateways know it.
     pub(super) gateway: gateway::Gateway,
-    /// How heads are read and written.
+    /// How request and response heads are read and written.
     pub(super) dialect: Dialect,
-    /// How many sendings past the first are allowed.
+    /// How many retries are allowed.
     pub(super) retry_allowance: RetryAllowance,
     pub(super) clock: Clock,
     /// Which region each data hall is in.
     pub(super) regions: Regions,
     /// Whether the whole deployment starts for the first time.
     pub(super) first_start: bool,
-    /// The way to the control replicas.
+    /// Client for calls to the control replicas.
     pub(super) rpc: rpc::Client,
-    /// The routing table in force here; none before the first one has come.
+    /// The routing table in effect here; none before the first one has arrived.
     pub(super) table: RefCell<Option<Rc<Table>>>,
-    /// What the table names as services.
+    /// State of the services that the table names.
     pub(super) services: RefCell<BTreeMap<id::Service, Service>>,
-    /// What it holds of the list of backend servers.
+    /// The whole list of backend servers, if stored, and the subset that this gateway uses.
     pub(super) server_lists: RefCell<ServerListCache>,
-    /// The versions of servers that it may send to by its own choice, by the last word of the hub.
+    /// The server versions that this gateway may use without the hub, by the hub's last reply.
     pub(super) policy: RefCell<Policy>,
-    /// The gateways that live, by the last word of the hub.
+    /// The live gateways, by the hub's last reply.
     pub(super) membership: RefCell<Membership>,
-    /// How long answers take to begin, by rule.
+    /// Times to the first byte of responses, by rule.
     pub(super) first_byte_times: RefCell<BTreeMap<Arc<str>, FirstByteTime>>,
-    /// What customers may still ask for where the hub gives no word.
+    /// Customers' quotas while the hub can't be reached.
     pub(super) local_limiter: RefCell<LocalLimiter>,
-    /// Who else may let their requests in then.
+    /// The other gateways that may admit requests then.
     pub(super) standbys: RefCell<Standbys>,
-    /// What it knows of requests under which servers end.
+    /// What is known of requests under which servers crash.
     pub(super) quarantine: RefCell<quarantine::LocalTracker>,
-    /// What it knows of limits that servers name.
+    /// What is known of rate limits that servers announce.
     pub(super) limits: RefCell<limit::LocalReports>,
-    /// The part of the sendings past the first that this gateway may do by itself.
+    /// The share of the retry budget that this gateway may use without the hub.
     pub(super) retry_share: RefCell<Share>,
-    /// The hosts that are known to keep a control replica.
+    /// The hosts known to run a control replica.
     pub(super) known_replicas: Known,
-    /// What is known of the hub.
+    /// What this gateway knows of the hub.
     pub(super) hub: RefCell<Hub>,
-    /// Since when it is told to stop.
+    /// When the planned stop began.
     pub(super) stopping: Cell<Option<clock::Instant>>,
-    /// Whether callers that still come are turned away.
+    /// Whether new requests are refused because the gateway stops.
     pub(super) rejects_callers: Cell<bool>,
-    /// Sendings that have ended and that the hub was not told of.
+    /// Ended attempts that have not been reported to the hub.
     pub(super) attempt_ends: RefCell<Vec<AttemptEnd>>,
-    /// Wakes the report to the hub where an answer begins or a sending has ended.
+    /// Wakes the report task when a response begins or an attempt has ended.
     pub(super) report_wakeup: Notify,
-    /// Requests that are open.
+    /// Number of open requests.
     pub(super) open_requests: Cell<usize>,
-    /// Requests that were open and have ended.
+    /// Number of requests that have ended.
     pub(super) finished_requests: Cell<u64>,
-    /// Wakes the question to the hub where there is something to tell it at once.
+    /// Wakes the polling task when the hub is to be notified at once.
     pub(super) poll_wakeup: Notify,
-    /// Wakes the fetching of a newer table.
+    /// Wakes the task that fetches a newer table.
     pub(super) fetch_wakeup: Notify,
 }
 
@@ -177,19 +177,19 @@
         }
     }
 
-    /// Goes by `clock`, and not by one of its own.
+    /// Uses `clock` in place of a new one.
     pub(super) fn clock(mut self, clock: Clock) -> Self {
         self.clock = clock;
         self
     }
 
-    /// Knows which region each data hall is in.
+    /// Sets which region each data hall is in.
     pub(super) fn regions(mut self, regions: Regions) -> Self {
         self.regions = regions;
         self
     }
 
-    /// Whether the whole deployment starts for the first time.
+    /// Sets whether the whole deployment starts for the first time.
     pub(super) fn first_start(mut self, first_start: bool) -> Self {
         self.first_start = first_start;
         self
@@ -199,21 +199,21 @@
         self.clock.now()
     }
 
-    /// The table in force here.
+    /// The table in effect here.
     pub(super) fn table(&self) -> Option<Rc<Table>> {
         self.table.borrow().clone()
     }
 
-    /// Whether callers may be sent here: it can serve, and is not stopping.
+    /// Whether callers may be sent here: the gateway has a table and a server list, and is not stopping.
     pub(crate) fn is_ready(&self) -> bool {
         self.stopping.get().is_none()
             && self.table.borrow().is_some()
             && self.server_lists.borrow().get_subset().version != 0
     }
 
-    /// The gateways that live, nearest ones for a caller in `hall` of `region`, by the last word of the hub.
+    /// The nearest live gateways for a caller in `hall` of `region`, by the hub's last reply.
     ///
-    /// A request that must stay in some regions may come by its caller's own, not by a third one.
+    /// A request that must stay in some regions may enter through its caller's own region, but through no third one.
     pub(crate) fn gateways(&self, hall: &str, region: &str) -> Vec<SocketAddr> {
         let membership = self.membership.borrow();
         let nearby = |matches: &dyn Fn(&str) -> bool| -> Vec<_> {
@@ -247,26 +247,27 @@
         all
     }
 
-    /// Whether there is a data hall of that name.
+    /// Whether a data hall of this name exists.
     pub(crate) fn has_hall(&self, hall: &str) -> bool {
         self.regions.get(hall).is_some()
     }
 
-    /// How old the hub's last word may be for it to be asked: twice the longest time between two.
+    /// How old the hub's last reply may be for the hub to be asked: twice the time that it may hold a poll, and no less
+    /// than [`MIN_HUB_TIMEOUT`].
     pub(super) fn hub_timeout(&self) -> Duration {
         MIN_HUB_TIMEOUT.max(self.hub.borrow().poll_timeout * 2)
     }
 
-    /// How long this gateway's hub has been silent; none where it was never heard.
+    /// Time since the hub's last reply; none if it has never replied.
     pub(super) fn since_hub_reply(&self) -> Option<Duration> {
         let last_reply_at = self.hub.borrow().last_reply_at;
         last_reply_at.map(|last_reply_at| self.now().since(last_reply_at))
     }
 }
 
-/// # What customers may still ask for
+/// # Quotas without the hub
 impl Node {
-    /// Whether a request is let in by the word of this gateway alone; if so it is counted.
+    /// Charges a request to this gateway's share of the customer's quota; false if the share is used up.
     pub(super) fn acquire_quota(&self, charge: &Charge) -> bool {
         let table = self.table();
         let mut policies = table.iter().flat_map(|table| table.customers());
@@ -277,20 +278,20 @@
         local_limiter.acquire(charge, &policy.quota, self.now())
     }
 
-    /// The number of the table in force here; 0 before the first one has come.
+    /// Number of the table in effect here; 0 before the first one has arrived.
     pub(super) fn table_version(&self) -> u64 {
         self.table().map_or(0, |table| table.get_version())
     }
 
-    /// The number of the newest table that it knows of.
+    /// Number of the newest table that this gateway knows of.
     pub(super) fn newest_table(&self) -> u64 {
         self.table_version().max(self.hub.borrow().newest_table)
     }
 }
 
-/// # How long answers take
+/// # Response times
 impl Node {
-    /// How long answers to requests of a rule take to begin, once they are sent.
+    /// Estimated time from sending a request of `rule` to the first byte of its response.
     pub(super) fn first_byte_estimate(&self, rule: &str) -> Duration {
         let first_byte_times = self.first_byte_times.borrow();
         first_byte_times
@@ -298,7 +299,7 @@
             .map_or(Duration::ZERO, FirstByteTime::estimate)
     }
 
-    /// Takes note that an answer to a request of `rule` began `first` after it was sent.
+    /// Records that the response to a request of `rule` began `first` after it was sent.
     pub(super) fn record_first_byte_time(&self, rule: &Arc<str>, first: Duration) {
         let mut first_byte_times = self.first_byte_times.borrow_mut();
         first_byte_times
@@ -307,7 +308,7 @@
             .add(first);
     }
 
-    /// Forgets the rules that a table does not have.
+    /// Drops the times of rules that `table` does not have.
     fn retain_first_byte_times(&self, table: &Table) {
         let rules = table.rules();
         let names: BTreeSet<_> = rules.map(|rule| &rule.name).collect();
@@ -316,9 +317,9 @@
     }
 }
 
-/// # What it takes up
+/// # Updates
 impl Node {
-    /// Puts a table in force that is newer than the one held.
+    /// Applies a table if it is newer than the current one.
     pub(super) fn apply_table(&self, table: Table) {
         let version = table.get_version();
         let former = self.table_version();
@@ -334,27 +335,27 @@
         self.update_pools();
     }
 
-    /// Takes up what is new of the gateways that live.
+    /// Applies an update of the live gateways.
     pub(super) fn apply_membership(&self, update: gateway::MembershipUpdate) {
         let mut membership = self.membership.borrow_mut();
         match membership.apply(update) {
             Some(after) => *membership = after,
-            // The news are about another roll: the whole one comes with the next answer.
+            // The update is based on another version; version 0 makes the next reply bring the whole membership.
             None => membership.version = 0,
         }
     }
 
-    /// Takes up which versions of servers it may send to by its own choice.
+    /// Applies which server versions may be used without the hub.
     pub(super) fn apply_policy(&self, policy: Policy) {
         *self.policy.borrow_mut() = policy;
         self.update_pools();
     }
 
-    /// Takes up a list of backend servers, as `take` does it.
-    pub(super) fn update_server_list(&self, take: impl FnOnce(&mut ServerListCache)) {
+    /// Changes the server lists with `change`, and updates the pools if the subset has a new version.
+    pub(super) fn update_server_list(&self, change: impl FnOnce(&mut ServerListCache)) {
         let mut server_lists = self.server_lists.borrow_mut();
         let former = server_lists.get_subset().version;
-        take(&mut server_lists);
+        change(&mut server_lists);
         let subset = server_lists.get_subset();
         if subset.version == former {
             return;
@@ -371,7 +372,7 @@
     }
 }
 
-/// Each version that runs somewhere, with the number of its servers.
+/// Each server version in use, with the number of its servers, for the log.
 fn versions(servers: &[Server]) -> Vec<String> {
     let mut counts = BTreeMap::new();
     for server in servers {
