--- a/crates/curlewlift/src/gateway/sync.rs
+++ b/crates/curlewlift/src/gateway/sync.rs
@@ -1,4 +1,4 @@
-//! Asks the hub, over and over: what is new, and what is left.
+//! Polls the hub for updates and for this gateway's shares of quotas and retries.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -23,22 +23,22 @@
 use super::standbys::Standbys;
 use super::tables;
 
-/// How long an answer may take beyond the hub's own wait: a busy host's delay.
+/// Time that a reply may take beyond the time that the hub holds the poll: the delay of a busy host.
 const REPLY_MARGIN: Duration = Duration::from_millis(350);
 
-/// How long the hub waits before it says how long it does.
+/// Assumed time that the hub holds a poll, until its first reply states the actual one, and the minimum of both.
 const MIN_POLL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Between an answer and the next question.
+/// Pause between a reply and the next poll.
 const POLL_INTERVAL: Duration = Duration::from_millis(15);
 
-/// After a control replica that does not lead, where it names one that does.
+/// Pause after a poll to a replica that does not lead, if it named the leader.
 const REDIRECT_DELAY: Duration = Duration::from_millis(60);
 
-/// After how long the hub counts as lost, for the log.
+/// Time since the last reply after which the log states that the hub is lost.
 const HUB_LOST_AFTER: Duration = Duration::from_millis(1_500);
 
-/// Asks for as long as the process lives.
+/// Polls the hub for as long as the process lives.
 pub(super) async fn poll_hub(node: Rc<Node>, environment: Rc<Environment>) {
     let started_at = node.now();
     let mut candidate = 0;
@@ -58,12 +58,12 @@
             search.missed();
             retry_delay(&node, search)
         };
-        // A gateway that stops, or that has fetched another list, says so at once.
+        // A gateway that stops, or that has fetched a new list, notifies the hub at once.
         let _ = tokio::time::timeout(pause, node.poll_wakeup.notified()).await;
     }
 }
 
-/// The pause before the next replica is asked.
+/// Pause before the next replica is polled.
 fn retry_delay(node: &Node, search: LeaderSearch) -> Duration {
     if node.hub.borrow().leader.is_some() {
         return REDIRECT_DELAY;
@@ -72,7 +72,7 @@
     search.pause(gateways, rand::rng().random())
 }
 
-/// Whether the hub is heard; none where that is not known yet, as the gateway has only begun.
+/// Whether the hub is reachable; none if that is not known yet because the gateway has just started.
 fn is_hub_reachable(node: &Node, started_at: clock::Instant) -> Option<bool> {
     match node.since_hub_reply() {
         Some(since_reply) => Some(since_reply <= HUB_LOST_AFTER),
@@ -80,7 +80,7 @@
     }
 }
 
-/// Writes that the hub is heard, or no more; what the last question came to says where it was sought.
+/// Logs that the hub was found or lost, with the outcome of the last poll and the replicas known.
 fn log_hub_change(node: &Node, polled: &Result<(), String>) {
     let kind = match polled {
         Ok(()) => Kind::HubFound,
@@ -96,7 +96,7 @@
         .write();
 }
 
-/// One question; whether the leader answered it, else why not.
+/// Polls once; an error says why the leader did not reply.
 async fn poll_once(
     node: &Rc<Node>,
     environment: &Environment,
@@ -104,7 +104,7 @@
 ) -> Result<(), String> {
     let Some(address) = poll_address(node, environment, *candidate) else {
         *candidate += 1;
-        return Err("nobody is known whom to ask".to_owned());
+        return Err("no control replica is known to poll".to_owned());
     };
     let sent_at = node.now();
     let timeout = REPLY_MARGIN + node.hub.borrow().poll_timeout.max(MIN_POLL_TIMEOUT);
@@ -115,9 +115,9 @@
     let reply: Result<HubReply, Refusal> =
         node.rpc.call(address, Method::Renew, &call, timeout).await;
     match reply {
-        // What lay here while the host was suspended is not the hub's word of now.
+        // A reply that arrived while this host was suspended is out of date.
         Ok(_) if node.now().since(sent_at) > timeout => {
-            Err(format!("the answer of {address} came too late"))
+            Err(format!("the reply from {address} came too late"))
         }
         Ok(HubReply::News(reply)) => {
             node.quarantine
@@ -145,9 +145,9 @@
             node.hub.borrow_mut().leader = if is_same_leader { None } else { leader };
             Err(why)
         }
-        Ok(_) => Err(format!("{address} gave another answer")),
+        Ok(_) => Err(format!("{address} sent an unexpected reply")),
         Err(why) => {
-            log::debug!("no word from {address}: {why}");
+            log::debug!("poll of {address} failed: {why}");
             node.hub.borrow_mut().leader = None;
             *candidate += 1;
             Err(why.get_detail().to_owned())
@@ -155,8 +155,7 @@
     }
 }
 
-/// Where to ask: at the leader, or in turn at each that may know it: the replica in this process, the
-/// hosts that are known to keep one, and those that the settings name, which may not.
+/// Address to poll: the leader's if it is known, else the next candidate's.
 fn poll_address(node: &Node, environment: &Environment, candidate: usize) -> Option<SocketAddr> {
     let hub = node.hub.borrow();
     let leader = hub.leader.as_ref();
@@ -164,7 +163,8 @@
     leader.or_else(|| candidate_address(node, environment, candidate))
 }
 
-/// Where to ask in turn, whoever is said to lead.
+/// Address of a replica or host that may know the leader, by a running number: the replica in this process, the
+/// hosts known to run one, and the hosts that the settings name, which may run none.
 pub(super) fn candidate_address(
     node: &Node,
     environment: &Environment,
@@ -210,7 +210,7 @@
     }
 }
 
-/// Takes up the answer to a question that was sent at `polled`.
+/// Applies the reply to a poll that was sent at `sent_at`.
 fn apply_reply(
     node: &Node,
     environment: &Environment,
@@ -235,11 +235,11 @@
     if let Some(update) = reply.quarantine {
         node.quarantine.borrow_mut().apply_update(&update);
     }
-    // Before the list: what is new on it may be of a version that gets nothing by this gateway's own choice.
+    // Before the list: a new server on it may have a version that this gateway must not use without the hub.
     if let Some(policy) = reply.policy {
         node.apply_policy(policy);
     }
-    // The one that fetches the list has it first hand.
+    // The gateway that fetches the list for all already has it.
     if !reply.fetches_list {
         node.update_server_list(|server_lists| {
             server_lists.drop_fetched();
