--- a/crates/curlewlift/src/gateway/daemon.rs
+++ b/crates/curlewlift/src/gateway/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts a gateway and drives it.
+//! Starts a gateway and runs its tasks.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -42,38 +42,39 @@
 use super::sync;
 use super::tables;
 
-/// Between two looks at those who wait for a turn: a server that was left alone is tried again.
+/// Interval at which queued requests are checked for slots that free up by the passing of time, as when a server's
+/// backoff ends.
 const QUEUE_SCAN_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A gateway, to be started.
 pub(crate) struct Gateway {
     /// The host that it runs on.
     pub(crate) host: id::Host,
-    /// What other gateways and callers know it as.
+    /// The gateway as other gateways and callers know it.
     pub(crate) advertised: gateway::Gateway,
-    /// Where callers reach it.
+    /// Listener for callers' requests.
     pub(crate) caller_listener: TcpListener,
-    /// How heads are read and written.
+    /// How request and response heads are read and written.
     pub(crate) dialect: Dialect,
-    /// How many sendings past the first are allowed.
+    /// How many retries are allowed.
     pub(crate) retry_allowance: RetryAllowance,
-    /// How much more than an allowance may be let in.
+    /// By how much a customer's quota may be exceeded.
     pub(crate) tolerance: Tolerance,
-    /// How long a planned stop takes.
+    /// Durations of a planned stop.
     pub(crate) stop_timing: StopTiming,
-    /// The control replica beside it, where the host has one.
+    /// The control replica in the same process, if the host runs one.
     pub(crate) local_replica: Option<LocalReplica>,
     /// Whether the whole deployment starts for the first time.
     pub(crate) first_start: bool,
-    /// How many calls a second the platform's list takes from all gateways together; 0 where that is not known.
+    /// How many calls a second the platform's server list allows from all gateways together; 0 if not known.
     pub(crate) list_rate: f64,
     /// Which region each data hall is in.
     pub(crate) regions: Regions,
-    /// Where it tells others of control, where it has none.
+    /// Address where it answers which hosts run control replicas, if it runs none itself.
     pub(crate) discovery_address: SocketAddr,
-    /// The hosts that are known to keep a control replica.
+    /// The hosts known to run a control replica.
     pub(crate) known_replicas: Known,
-    /// What its decisions go by.
+    /// Clock for its decisions.
     pub(crate) clock: Clock,
 }
 
@@ -85,17 +86,17 @@
     }
 }
 
-/// Starts what runs beside a gateway's own tasks: what is served on other addresses.
+/// Starts the services on other addresses than the callers', once the gateway's own tasks run.
 pub(crate) type StartListeners =
     Box<dyn FnOnce(&Rc<Node>, &Rc<Environment>) -> Result<(), Refusal>>;
 
 impl Gateway {
-    /// Starts it on a thread of its own, with what `set_up` makes there.
+    /// Starts the gateway on its own thread; `set_up` runs there and makes what is not `Send`.
     ///
     /// # Errors
     ///
-    /// [`Code::Internal`](curlewlift_core::code::Code::Internal) where a listener or thread cannot
-    /// be had.
+    /// [`Code::Internal`](curlewlift_core::code::Code::Internal) if a listener or the thread
+    /// cannot be created.
     pub(crate) fn start<M>(self, set_up: M) -> Result<Process, Refusal>
     where
         M: FnOnce() -> (Environment, Fetch, StartListeners) + Send + 'static,
@@ -168,7 +169,7 @@
     }
 }
 
-/// Answers callers within the limits of the table in force.
+/// Serves callers within the limits of the table in effect.
 async fn serve_callers(node: Rc<Node>, listener: tokio::net::TcpListener) {
     let limits_node = Rc::clone(&node);
     let limits = move || {
@@ -181,7 +182,7 @@
     .await;
 }
 
-/// Gives turns that only the passing of time has made possible.
+/// Assigns slots that have become available only by the passing of time.
 async fn scan_queues(node: Rc<Node>) {
     loop {
         tokio::time::sleep(QUEUE_SCAN_INTERVAL).await;
