--- a/crates/curlewlift/src/gateway/local_quota.rs
+++ b/crates/curlewlift/src/gateway/local_quota.rs
@@ -1,4 +1,4 @@
-//! What a request counts is drawn here or at a deputy while the hub gives no word.
+//! Charges requests to customers' quotas here or at a standby while the hub can't be reached.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,14 +14,14 @@
 
 use super::node::Node;
 
-/// How long a deputy may take: two ways between data halls, and a busy host's delay.
+/// Timeout of a call to a standby: a round trip between data halls, and the delay of a busy host.
 const CALL_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// Whether a request is let in without the hub's word: by this gateway, or by a deputy that holds a part of
-/// what all may let in; if so it is counted there.
+/// Charges a request to the share of this gateway, or else of a standby; whether one of them sufficed.
 ///
-/// Load: no leader for a second, and a customer's requests at 200 gateways. A two-hundredth of what may be
-/// let in is less than one request counts; an eighth is some.
+/// Load pattern: there is no leader for a second, and a customer's requests arrive at 200 gateways. One
+/// two-hundredth of what may be admitted is less than the cost of one request; an eighth, a standby's
+/// share, is enough for some.
 pub(super) async fn acquire(node: &Rc<Node>, charge: &Charge) -> bool {
     if node.acquire_quota(charge) {
         return true;
@@ -45,7 +45,7 @@
         Ok(HubReply::Drawn(acquired)) => acquired,
         Ok(_) => false,
         Err(why) => {
-            log::debug!("the deputy at {address} does not answer: {why}");
+            log::debug!("call to standby {address} failed: {why}");
             false
         }
     }
--- a/crates/curlewlift/src/gateway/standbys.rs
+++ b/crates/curlewlift/src/gateway/standbys.rs
@@ -1,4 +1,4 @@
-//! The gateways that let requests of all in while the hub gives no word.
+//! The gateways that admit requests on behalf of all gateways while the hub can't be reached.
 
 use std::net::SocketAddr;
 
@@ -8,20 +8,20 @@
 
 use crate::control::Locate;
 
-/// How many deputies are asked for one request: some have gone, some have let in what they may.
+/// How many standbys are asked for one request: some may be down, others may have used up their share.
 const STANDBYS_PER_REQUEST: usize = 3;
 
-/// The deputies, as a gateway knows them.
+/// The standbys, as a gateway knows them.
 #[derive(Debug, Default)]
 pub(super) struct Standbys {
-    /// The version that the hub told.
+    /// Version of the list that the hub sent.
     pub(super) version: u64,
-    /// Where the others are reached.
+    /// Addresses of the other standbys.
     addresses: Vec<SocketAddr>,
 }
 
 impl Standbys {
-    /// Those that the hub tells, but for the gateway on `host` itself.
+    /// The standbys that the hub names, without the gateway on `host` itself.
     pub(super) fn from_hub(standbys: &gateway::Standbys, host: &id::Host, locate: &Locate) -> Self {
         let others = standbys.hosts.iter().filter(|other| *other != host);
         Self {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Some of them, in any order.
+    /// A random sample of the addresses.
     pub(super) fn sample(&self) -> Vec<SocketAddr> {
         let sample = self
             .addresses
