--- a/crates/curlewlift/src/gateway/environment.rs
+++ b/crates/curlewlift/src/gateway/environment.rs
@@ -1,18 +1,18 @@
-//! What a gateway finds around it.
+//! The environment that a gateway runs in.
 
 use std::net::SocketAddr;
 
 use crate::control::Decode;
 use crate::control::Locate;
 
-/// What a gateway finds around it.
+/// How a gateway finds control replicas and decodes routing tables.
 pub(crate) struct Environment {
-    /// Where control replicas may be found; read anew each time.
+    /// Addresses where control replicas may be found; read again on each call.
     pub(crate) seeds: Box<dyn Fn() -> Vec<SocketAddr>>,
-    /// Where the control replica on a host is reached.
+    /// Finds the address of the control replica on a host.
     pub(crate) locate: Locate,
-    /// Reads a routing table.
+    /// Decodes a routing table.
     pub(crate) decode: Decode,
-    /// Where the control replica in this process is reached, where there is one.
+    /// Address of the control replica in this process, if there is one.
     pub(crate) local_replica: Option<SocketAddr>,
 }
--- a/crates/curlewlift/src/gateway/local_replica.rs
+++ b/crates/curlewlift/src/gateway/local_replica.rs
@@ -1,4 +1,4 @@
-//! The control replica that runs beside a gateway, in the same process.
+//! The control replica that runs in the same process as a gateway.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,27 +14,27 @@
 use crate::process::Clock;
 use crate::process::Process;
 
-/// Between two looks whether the control replica has ended, and before it is started anew.
+/// Interval at which the control replica is checked for its end, and the pause before a restart.
 const RESTART_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The control replica beside a gateway, to be started.
+/// Settings of the control replica in a gateway's process.
 #[derive(Clone)]
 pub(crate) struct LocalReplica {
-    /// Where it is reached.
+    /// Address where it is reached.
     pub(crate) rpc: SocketAddr,
     /// The folder of its files.
     pub(crate) data: PathBuf,
-    /// Whether it founds the log where the folder is empty.
+    /// Whether it creates a new log if the folder is empty.
     pub(crate) found: bool,
     /// The other replicas that are known at the start.
     pub(crate) peers: BTreeMap<id::Host, SocketAddr>,
-    /// What it goes by, as the gateway does.
+    /// Clock for its decisions, the same as the gateway's.
     pub(crate) clock: Clock,
     /// What it needs to serve gateways.
     pub(crate) gateways: Gateways,
 }
 
-/// A control replica that ends with the gateway beside which it runs.
+/// A running control replica; killed when dropped, as the gateway ends.
 struct Replica(Option<Process>);
 
 impl Replica {
@@ -51,13 +51,13 @@
     }
 }
 
-/// Keeps a control replica running: one that its disk has failed begins anew with what the disk
-/// holds, and the gateway goes on meanwhile.
+/// Runs a control replica, and restarts it when it ends: after a disk failure it continues with what the
+/// disk stores. The gateway serves on meanwhile.
 pub(super) async fn supervise(host: id::Host, mut settings: LocalReplica) {
     loop {
         match start(&host, &settings) {
             Ok(process) => {
-                // A folder that is lost while it runs must not found a second log.
+                // If the folder is lost while the replica runs, a restart must not create a second log.
                 settings.found = false;
                 let mut replica = Replica(Some(process));
                 while !replica.is_ended() {
--- a/crates/curlewlift/src/gateway/stop.rs
+++ b/crates/curlewlift/src/gateway/stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop: callers are sent elsewhere, what is open is finished.
+//! The planned stop: callers are sent to other gateways, and open requests are finished.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,31 +8,32 @@
 use super::log::Line;
 use super::node::Node;
 
-/// Between two looks whether all is finished.
+/// Interval at which the number of open requests is checked.
 const OPEN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Before the end of the grace: what is still open then is cut by the process's own end, not by
-/// the platform's.
+/// How long before the platform kills the process the gateway ends by itself, cutting the requests that
+/// are still open.
 const CUT_MARGIN: Duration = Duration::from_millis(400);
 
-/// When a caller that comes late is to come back: at once, elsewhere.
+/// Delay after which a late caller is to retry: almost at once, at another gateway.
 const RETRY_ELSEWHERE_AFTER: Duration = Duration::from_millis(50);
 
-/// How long a stop takes.
+/// Durations of a planned stop.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StopTiming {
-    /// How long callers may still hold this gateway's address.
+    /// How long callers may still use this gateway's address from an earlier address response.
     pub(crate) address_lifetime: Duration,
-    /// After how long the platform ends the process.
+    /// Time after which the platform kills the process.
     pub(crate) total: Duration,
 }
 
-/// Whether a request is turned away, and after how long it may come back.
+/// After how long a request that is refused because of the stop may be retried; none if it is served.
 pub(super) fn rejects_caller(node: &Node) -> Option<Duration> {
     node.rejects_callers.get().then_some(RETRY_ELSEWHERE_AFTER)
 }
 
-/// Sends callers elsewhere, waits until nobody holds the address any more, and finishes.
+/// Stops being ready, waits until callers no longer use the address, then refuses new requests and
+/// finishes the open ones.
 pub(super) async fn run(node: &Rc<Node>, timing: StopTiming) {
     let started_at = node.now();
     node.stopping.set(Some(started_at));
