--- a/crates/curlewlift/src/gateway/lists.rs
+++ b/crates/curlewlift/src/gateway/lists.rs
@@ -1,5 +1,5 @@
-//! Fetches the platform's list of backend servers: one gateway for all, and each for itself while
-//! it hears no hub any more.
+//! Fetches the platform's list of backend servers: one gateway fetches it for all, and each gateway for
+//! itself once it can't reach the hub any more.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -15,36 +15,37 @@
 use super::log::millis;
 use super::node::Node;
 
-/// Why there is no list.
+/// Why a fetch of the list failed.
 #[derive(Debug)]
 pub(crate) struct FetchError {
-    /// What happened.
+    /// What failed.
     pub(crate) why: String,
-    /// For how long the platform wants no further call, where it says so.
+    /// How long the platform asks to wait before the next call, if it says so.
     pub(crate) retry_after: Option<Duration>,
 }
 
-/// Fetches the list, with a pause between two calls.
+/// Fetches the list page by page, with the given pause between two calls.
 pub(crate) type Fetch =
     Rc<dyn Fn(Duration) -> Pin<Box<dyn Future<Output = Result<ServerList, FetchError>>>>>;
 
-/// Between two fetches for all: a sixth of the time in which a leaving server must be left alone.
+/// Interval of fetches for all gateways: a sixth of the time within which a draining server must get no more requests.
 const SHARED_FETCH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Between two fetches of a gateway that hears no hub.
+/// Interval of fetches by a gateway that can't reach the hub.
 const OWN_FETCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The longest pause that the platform may ask for: two thirds of the time in which a leaving server must be left
-/// alone.
+/// Maximum pause that the platform can ask for: two thirds of the time within which a draining server must get no
+/// more requests.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Between two looks whether a fetch is due.
+/// Interval at which a gateway checks whether a fetch is due.
 const DUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long after the time for which the hub's last word holds a gateway fetches for itself.
+/// How long after [`Node::hub_timeout`] a gateway begins to fetch for itself.
 const HUB_LOSS_MARGIN: Duration = Duration::from_millis(300);
 
-/// Fetches for as long as the process lives; `has_replica` a replica also before the hub is heard.
+/// Fetches the list whenever that is due, for as long as the process lives; with `has_replica` also before the hub's
+/// first reply. `rate` is the number of calls a second that the platform allows from all gateways together.
 pub(super) async fn fetch_lists(node: Rc<Node>, fetch: Fetch, has_replica: bool, rate: f64) {
     let mut platform_reachable = true;
     loop {
@@ -57,7 +58,7 @@
         } else {
             gateway::call_interval(node.membership.borrow().gateways.len(), rate)
         };
-        // Those that hear no hub any more do not all begin at the same moment.
+        // Gateways that lose the hub at the same time must not all start to fetch at the same moment.
         tokio::time::sleep(call_interval.mul_f64(rand::rng().random())).await;
         let retry_after = match fetch(call_interval).await {
             Ok(list) => {
@@ -65,7 +66,7 @@
                     Line::new(Kind::PlatformFound).write();
                 }
                 platform_reachable = true;
-                // Its first pages may be older than what the hub has told since.
+                // If the hub is reachable again, its list may be newer than the first pages of this one.
                 if due_interval(&node, has_replica).is_some() {
                     node.update_server_list(|server_lists| server_lists.set_whole(list));
                     node.poll_wakeup.notify_one();
@@ -89,10 +90,10 @@
     }
 }
 
-/// The pause after the next fetch; none where none is due.
+/// Interval to wait after the next fetch; none if no fetch is due.
 ///
-/// A gateway that has never heard the hub has no routing table either. Were it to fetch, 300 that start at
-/// the same moment would ask the platform for 18,000 pages of a list of 3,000 servers.
+/// A gateway that has never reached the hub has no routing table either and doesn't fetch: 300 gateways that
+/// started at the same moment would request 18,000 pages of a list of 3,000 servers from the platform.
 fn due_interval(node: &Node, has_replica: bool) -> Option<Duration> {
     let Some(since_reply) = node.since_hub_reply() else {
         return has_replica.then_some(OWN_FETCH_INTERVAL);
--- a/crates/curlewlift/src/gateway/tables.rs
+++ b/crates/curlewlift/src/gateway/tables.rs
@@ -1,4 +1,4 @@
-//! Fetches a routing table that is too large to come along with an answer, piece by piece.
+//! Fetches a routing table in chunks when it is too large for a poll's reply.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,19 +16,20 @@
 use super::environment::Environment;
 use super::node::Node;
 
-/// How long a piece may take: the hub's own wait, and the pieces of others before it on a link of
-/// 1 Mbit/s.
+/// Timeout of a call for one chunk: the time that the hub holds the call, and the chunks of other gateways
+/// sent before it over a link of 1 Mbit/s.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Before the next attempt where none came.
+/// Pause after a call that returned no chunk.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// Fetches whenever a newer table is known of than the one held, for as long as the process lives.
+/// Fetches the newest table whenever it is newer than the current one, for as long as the process lives.
 ///
-/// What has come stays when a call fails or another leads: a slow link makes it late, not endless.
+/// Received chunks are retained when a call fails or the leader changes, so that a slow link delays a table but
+/// does not make the download start over.
 pub(super) async fn fetch_tables(node: Rc<Node>, environment: Rc<Environment>) {
     let mut download = Download::default();
-    // A table that cannot be read is not fetched over and over.
+    // A table that can't be decoded is not fetched again.
     let mut last_tried = 0;
     loop {
         node.fetch_wakeup.notified().await;
@@ -45,25 +46,25 @@
     }
 }
 
-/// Puts a table in force that has come whole.
+/// Decodes and applies a completely received table.
 pub(super) fn apply(node: &Node, environment: &Environment, publication: &Publication) {
     match (environment.decode)(publication) {
         Ok(table) => node.apply_table(table),
-        Err(why) => log::error!("table {} cannot be read: {why}", publication.number),
+        Err(why) => log::error!("table {} cannot be decoded: {why}", publication.number),
     }
 }
 
-/// What asking for a piece came to.
+/// Result of a call for a chunk.
 enum Progress {
-    /// None came.
+    /// No chunk arrived.
     None,
-    /// One came, and others follow.
+    /// A chunk arrived, and others follow.
     Chunk,
-    /// The last one came.
+    /// The last chunk arrived.
     Complete(Publication),
 }
 
-/// What has come of a table.
+/// The received part of a table.
 #[derive(Default)]
 struct Download {
     number: u64,
@@ -71,7 +72,7 @@
 }
 
 impl Download {
-    /// Asks for the next piece.
+    /// Fetches the next chunk.
     async fn fetch_chunk(&mut self, node: &Node) -> Progress {
         let Some(chunk) = self.request_chunk(node).await else {
             return Progress::None;
@@ -88,7 +89,7 @@
         if self.text.len() < chunk.total_len {
             return Progress::Chunk;
         }
-        // Says that it has the whole: it is the next one's turn.
+        // Reports that the table is complete, so that the hub can serve the next gateway.
         let _ = self.request_chunk(node).await;
         let text = std::mem::take(&mut self.text);
         Progress::Complete(Publication {
@@ -112,7 +113,7 @@
             Ok(HubReply::Piece(chunk)) => chunk,
             Ok(_) => None,
             Err(why) => {
-                log::debug!("no piece of a table from {address}: {why}");
+                log::debug!("fetching a table chunk from {address} failed: {why}");
                 None
             }
         }
