--- a/crates/curlewlift/src/gateway/discovery.rs
+++ b/crates/curlewlift/src/gateway/discovery.rs
@@ -1,8 +1,8 @@
-//! Hosts without a replica tell others where control is, and let requests in as deputies; hosts with one
-//! tell them.
+//! Discovery of the control replicas. Hosts without a replica answer where replicas may be found, and admit
+//! requests as standbys; hosts with a replica announce themselves to the hosts that the settings name.
 //!
-//! The settings name some hosts to begin with, and any host may be among them. After a restart of all
-//! only the hosts with a disk know of each other.
+//! Any host may be among those that the settings name. After a restart of all hosts, only the hosts with a
+//! disk know of each other.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -24,13 +24,13 @@
 use super::environment::Environment;
 use super::node::Node;
 
-/// Between two times that a host with a replica says so to the hosts that the settings name.
+/// Interval at which a host with a replica announces itself to the hosts that the settings name.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long one of them may take to answer.
+/// Timeout of an announcement.
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Answers where control may be found, at `address`, on a host without a replica.
+/// Answers calls at `address`, on a host without a replica, on where the control replicas are.
 pub(super) fn serve(node: &Rc<Node>, address: SocketAddr) -> Result<(), Refusal> {
     let listener = process::listener(process::bind(address)?)?;
     let timeline = node.rpc.get_timeline().clone();
@@ -47,7 +47,7 @@
 
 fn answer(node: &Node, method: Method, body: &[u8]) -> Result<Vec<u8>, Refusal> {
     if method != Method::Renew {
-        let why = "this host keeps no control replica";
+        let why = "this host runs no control replica";
         return Err(Refusal::new(Code::WrongMethod, why));
     }
     let reply = match rpc::decode(body)? {
@@ -61,14 +61,14 @@
             control: node.known_replicas.get(),
         },
         RenewCall::Replica { .. } | RenewCall::Entry(_) => {
-            let why = "this host keeps no control replica";
+            let why = "this host runs no control replica";
             return Err(Refusal::new(Code::NotLeader, why));
         }
     };
     Ok(rpc::encode(&reply))
 }
 
-/// Says over and over, from a host with a replica, which hosts keep one.
+/// Announces periodically, from a host with a replica, which hosts run one.
 pub(super) async fn announce_replicas(node: Rc<Node>, environment: Rc<Environment>) {
     loop {
         tokio::time::sleep(ANNOUNCE_INTERVAL).await;
@@ -97,6 +97,6 @@
     match reply {
         Ok(HubReply::Elsewhere { control, .. }) => node.known_replicas.add(control),
         Ok(_) => {}
-        Err(why) => log::debug!("{seed} was not told where control is: {why}"),
+        Err(why) => log::debug!("announcing the control replicas to {seed} failed: {why}"),
     }
 }
--- a/crates/curlewlift/src/gateway/leader_calls.rs
+++ b/crates/curlewlift/src/gateway/leader_calls.rs
@@ -1,4 +1,4 @@
-//! What operators want of the leader: a routing table put in force, or read.
+//! Operators' requests that are forwarded to the leader: routing tables, roll-outs, evacuations.
 
 use std::time::Duration;
 
@@ -21,17 +21,17 @@
 use super::node::Node;
 use super::sync;
 
-/// How long a routing table may take to be put in force, or read.
+/// Timeout of a request to the leader, over all attempts.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How often another control replica is asked where the first does not lead.
+/// Maximum number of control replicas to try until one leads.
 const MAX_CALLS: usize = 4;
 
-/// Puts a routing table in force.
+/// Publishes a routing table.
 ///
 /// # Errors
 ///
-/// The leader's refusal; [`Code::Unreachable`] where what became of it is not known.
+/// The leader's refusal; [`Code::Unreachable`] if the outcome is unknown.
 pub(crate) async fn publish(
     node: &Node,
     environment: &Environment,
@@ -43,11 +43,11 @@
     }
 }
 
-/// The routing table in force, surely the newest.
+/// Reads the newest routing table from the leader.
 ///
 /// # Errors
 ///
-/// [`Code::Unreachable`] where nobody can be sure.
+/// [`Code::Unreachable`] if no replica is certain to lead.
 pub(crate) async fn read(node: &Node, environment: &Environment) -> Result<Publication, Refusal> {
     match call_leader(node, environment, HubCall::Read).await? {
         HubReply::Table(publication) => Ok(publication),
@@ -55,11 +55,11 @@
     }
 }
 
-/// Gives an order to move a service to another version.
+/// Orders a roll-out of a service to another version.
 ///
 /// # Errors
 ///
-/// The leader's refusal; [`Code::Unreachable`] where what became of it is not known.
+/// The leader's refusal; [`Code::Unreachable`] if the outcome is unknown.
 pub(crate) async fn roll_out(
     node: &Node,
     environment: &Environment,
@@ -71,11 +71,11 @@
     }
 }
 
-/// Gives an order to evacuate a data hall, or to end that.
+/// Orders the start or end of a data hall's evacuation.
 ///
 /// # Errors
 ///
-/// The leader's refusal; [`Code::Unreachable`] where what became of it is not known.
+/// The leader's refusal; [`Code::Unreachable`] if the outcome is unknown.
 pub(crate) async fn evacuate(
     node: &Node,
     environment: &Environment,
@@ -87,11 +87,11 @@
     }
 }
 
-/// The target of the last roll-out of a service, and how far it has come, surely; none where none was ordered.
+/// Reads the target and phase of a service's last roll-out from the leader; none if none was ordered.
 ///
 /// # Errors
 ///
-/// [`Code::Unreachable`] where nobody can be sure.
+/// [`Code::Unreachable`] if no replica is certain to lead.
 pub(crate) async fn rollout_of(
     node: &Node,
     environment: &Environment,
@@ -103,7 +103,7 @@
     }
 }
 
-/// Asks the leader, where it can be found within a few steps.
+/// Calls the leader, following the replicas' hints for at most [`MAX_CALLS`] calls.
 async fn call_leader(
     node: &Node,
     environment: &Environment,
@@ -132,7 +132,7 @@
                 named_leader = leader;
             }
             Ok(reply) => return Ok(reply),
-            // Who is not there refuses at once; all orders may be given again.
+            // A host that runs no process refuses at once, and every order is safe to repeat.
             Err(why) => last_refusal = why,
         }
     }
@@ -140,5 +140,5 @@
 }
 
 fn no_leader() -> Refusal {
-    Refusal::new(Code::Unreachable, "no control replica surely leads")
+    Refusal::new(Code::Unreachable, "no control replica is certain to lead")
 }
--- a/crates/curlewlift/src/gateway/log.rs
+++ b/crates/curlewlift/src/gateway/log.rs
@@ -1,4 +1,4 @@
-//! One line of JSON for each decision that touches a request or changes what this process believes.
+//! Writes one line of JSON for each decision that affects a request or changes what this process knows of others.
 
 use std::time::Duration;
 
@@ -7,19 +7,19 @@
 use serde_json::Map;
 use serde_json::Value;
 
-/// The target by which the log knows lines that are JSON already.
+/// The log target of lines that are JSON already.
 pub(crate) const TARGET: &str = "decision";
 
-/// A line about `kind`.
+/// Begins a log line about `kind`.
 pub(crate) fn note(kind: Kind) -> Line {
     Line::new(kind)
 }
 
-/// A line that is being written.
+/// A log line under construction.
 pub(crate) struct Line(Map<String, Value>);
 
 impl Line {
-    /// A line about `kind`.
+    /// Begins a log line about `kind`.
     pub(crate) fn new(kind: Kind) -> Self {
         let mut fields = Map::new();
         fields.insert("event".to_owned(), kind.number().into());
@@ -33,7 +33,7 @@
         self
     }
 
-    /// Adds the request's name.
+    /// Adds the request's id.
     pub(crate) fn request(self, id: Option<&HeaderValue>) -> Self {
         let id = id.and_then(|id| id.to_str().ok()).unwrap_or_default();
         self.with("request", id)
@@ -44,13 +44,13 @@
         self.with("after_ms", millis(age))
     }
 
-    /// Writes it.
+    /// Writes the line to the log.
     pub(crate) fn write(self) {
         ::log::info!(target: TARGET, "{}", Value::Object(self.0));
     }
 }
 
-/// Milliseconds for a log line.
+/// A duration in milliseconds, for a log line.
 pub(super) fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/curlewlift/src/gateway/node.rs
+++ b/crates/curlewlift/src/gateway/node.rs
@@ -41,7 +41,7 @@
 use super::service::Service;
 use super::standbys::Standbys;
 
-/// Minimum age that the hub's last reply may reach before the hub is no longer asked.
+/// Lower bound of [`Node::hub_timeout`]: a hub that replied this recently is always asked.
 const MIN_HUB_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How many gateways a caller's own data hall, or region, must have for the caller to be sent to those only: if one
--- a/crates/curlewlift/src/gateway/serve.rs
+++ b/crates/curlewlift/src/gateway/serve.rs
@@ -1,4 +1,4 @@
-//! Takes connections and answers their requests.
+//! Accepts connections and serves their requests.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -17,20 +17,20 @@
 
 use super::body::Answer;
 
-/// The most headers in one head.
+/// Maximum number of headers in one request head.
 const MAX_HEADERS: usize = 128;
 
-/// The least that a connection's buffer holds for a head, and beside the largest one, in bytes: the
-/// HTTP library takes no smaller buffer.
+/// Minimum size of a connection's buffer for a head, and its room beyond the largest head, in bytes: the
+/// HTTP library accepts no smaller buffer.
 const MIN_BUFFER_BYTES: usize = 8 << 10;
 
-/// The most that a head may take, in bytes, whatever a table allows.
+/// Maximum size of a head in bytes, whatever a table allows.
 const MAX_HEAD_BYTES: usize = 1 << 20;
 
-/// Between two attempts to take a connection after one failed, for descriptors to come free.
+/// Pause after a failed accept, for file descriptors to become free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Answers requests on `listener` with `answer` until it is dropped.
+/// Serves requests on `listener` with `answer` until the future is dropped.
 pub(crate) async fn serve<L, F, A>(listener: TcpListener, limits: L, answer: F)
 where
     L: Fn() -> Limits,
@@ -45,7 +45,7 @@
                 tokio::task::spawn_local(connection(stream, limits(), answer));
             }
             Err(why) => {
-                log::warn!("a connection cannot be taken: {why}");
+                log::warn!("accepting a connection failed: {why}");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -62,7 +62,7 @@
         let answer = answer(request);
         async move { Ok::<_, Infallible>(answer.await) }
     });
-    // A head's time begins when the connection rests, so it must allow for that.
+    // The timeout for a head also runs while the connection is idle, so it includes the idle time.
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_time + limits.header_time)
@@ -72,6 +72,6 @@
         )
         .serve_connection(TokioIo::new(stream), service);
     if let Err(why) = connection.await {
-        log::debug!("a caller's connection has ended: {why}");
+        log::debug!("a caller's connection failed: {why}");
     }
 }
--- a/crates/curlewlift/src/gateway/sync.rs
+++ b/crates/curlewlift/src/gateway/sync.rs
@@ -26,7 +26,7 @@
 /// Time that a reply may take beyond the time that the hub holds the poll: the delay of a busy host.
 const REPLY_MARGIN: Duration = Duration::from_millis(350);
 
-/// Assumed time that the hub holds a poll, until its first reply states the actual one, and the minimum of both.
+/// Minimum time that the hub is expected to hold a poll, also before its first reply states the actual time.
 const MIN_POLL_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Pause between a reply and the next poll.
