--- a/crates/curlewlift/tests/module_order.rs
+++ b/crates/curlewlift/tests/module_order.rs
@@ -1,43 +1,43 @@
-//! The files of a gateway need each other in one direction only: sixteen of them once made a circle, in which
-//! none could be read or changed without the others.
+//! The modules of a gateway must not import each other in a cycle. Sixteen modules that did could not be read or
+//! changed without each other.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// What each file of a folder needs of the others there.
-fn needs(folder: &Path) -> BTreeMap<String, BTreeSet<String>> {
-    let files = std::fs::read_dir(folder).expect("a folder");
-    let files = files.map(|file| file.expect("a file").path());
-    let files = files.filter(|path| path.extension().is_some_and(|end| end == "rs"));
-    let needs = files.map(|path| {
-        let text = std::fs::read_to_string(&path).expect("a source");
+/// The modules that each module of a folder imports from the same folder.
+fn sibling_imports(folder: &Path) -> BTreeMap<String, BTreeSet<String>> {
+    let files = std::fs::read_dir(folder).expect("readable folder");
+    let files = files.map(|file| file.expect("folder entry").path());
+    let files = files.filter(|path| path.extension().is_some_and(|extension| extension == "rs"));
+    let imports = files.map(|path| {
+        let text = std::fs::read_to_string(&path).expect("readable source file");
         let uses = text
             .lines()
             .filter_map(|line| line.strip_prefix("use super::"));
         let names = uses.filter_map(|name| name.split([':', ';']).next());
-        let stem = path.file_stem().expect("a name").to_string_lossy();
+        let stem = path.file_stem().expect("file name").to_string_lossy();
         (stem.into_owned(), names.map(ToOwned::to_owned).collect())
     });
-    needs.filter(|(name, _)| name != "mod").collect()
+    imports.filter(|(name, _)| name != "mod").collect()
 }
 
 #[test]
-fn one_direction() {
+fn no_import_cycle() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/gateway");
-    let mut left = needs(&folder);
-    assert!(left.len() > 20, "they are found");
+    let mut remaining = sibling_imports(&folder);
+    assert!(remaining.len() > 20, "the modules are found");
     loop {
-        let names: BTreeSet<_> = left.keys().cloned().collect();
-        let before = left.len();
-        left.retain(|name, needs| {
-            needs
+        let names: BTreeSet<_> = remaining.keys().cloned().collect();
+        let before = remaining.len();
+        remaining.retain(|name, imports| {
+            imports
                 .iter()
-                .any(|need| need != name && names.contains(need))
+                .any(|import| import != name && names.contains(import))
         });
-        if left.len() == before {
+        if remaining.len() == before {
             break;
         }
     }
-    assert!(left.is_empty(), "a circle: {:?}", left.keys());
+    assert!(remaining.is_empty(), "import cycle: {:?}", remaining.keys());
 }
--- a/crates/curlewlift/tests/platform_limits.rs
+++ b/crates/curlewlift/tests/platform_limits.rs
@@ -1,14 +1,14 @@
-//! Backend servers that name how many requests a second they take from all hosts together, through real gateways.
+//! Backend servers that announce how many requests a second they accept from all hosts together, with real gateways.
 //!
-//! Two of nine servers named about three a second, and got 28 and 29 within 4 s from hosts that had passed on such
-//! answers; half as much again as was named, and five, may come. Nobody read the figure: places were given by slots and
-//! pace, and these two were among the fastest. It bounds the sum over all hosts, so no host can keep to it alone; the
-//! hub, which gives the places of all, draws each from what the server takes now, and a host sends nothing there
-//! without such a place.
+//! Guards against slots that are granted by free capacity and latency alone, while the announced limit is ignored: two
+//! of nine servers that announced about 3 requests a second received 28 and 29 within 4 s, where 1.5 times the limit
+//! and 5 more are allowed. The limit bounds the sum over all hosts, so no host can enforce it alone. The hub, which
+//! grants the slots for all hosts, charges each grant to the server's limit, and a host sends such a server nothing
+//! without a grant.
 //!
-//! What settled it are the lines on sendings of twelve hosts: all 834 places had come from the hub (`"by":"hub"`), by a
-//! word 55 ms old at the most (`"hub_ms"`), and one of the two servers got as many after it had named its limit as
-//! before: 12, 5, 11, 6 in the seconds after, 10, 9, 8, 9 in those before.
+//! In the logs of twelve hosts all 834 slots were granted by the hub (`"by":"hub"`), whose last reply was at most 55 ms
+//! old (`"hub_ms"`), and one of the two servers received as many requests after its announcement as before: 12, 5, 11
+//! and 6 in the seconds after, 10, 9, 8 and 9 in the seconds before.
 
 mod platform;
 
@@ -21,79 +21,96 @@
 /// The span in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// How many times what a server names may come within [`WINDOW`], and how many more: half as much again.
-const ALLOWED: (usize, usize) = (6, 5);
+/// How many requests may come within [`WINDOW`]: the limit per second times the first number, which is 1.5 times the
+/// limit, plus the second.
+const ALLOWED_IN_WINDOW: (usize, usize) = (6, 5);
 
-/// How many requests a second servers name.
-const NAMED: usize = 2;
+/// The limit that servers announce, in requests a second.
+const LIMIT_PER_S: usize = 2;
 
-/// These engines name a limit.
-fn name(engines: &[Engine], rate: usize) {
+/// Makes these engines announce a limit.
+fn announce_limit(engines: &[Engine], rate: usize) {
     let limit = rate.to_string();
     for engine in engines {
         engine.name_limit(Some(&limit));
     }
 }
 
-/// No more came to an engine than it may get.
-fn is_kept(engine: &Engine, rate: usize) {
-    let most = engine.most_of_told(WINDOW);
-    let (times, more) = ALLOWED;
-    assert!(most <= rate * times + more, "{}: {most}", engine.id);
+/// Asserts that an engine received no more requests than its limit allows.
+fn assert_within_limit(engine: &Engine, rate: usize) {
+    let received = engine.most_of_told(WINDOW);
+    let (factor, extra) = ALLOWED_IN_WINDOW;
+    assert!(
+        received <= rate * factor + extra,
+        "{}: {received}",
+        engine.id
+    );
 }
 
-/// Two of three servers name a limit, and the third serves all.
+/// Two of three servers announce a limit, and the third serves the remaining requests.
 #[test]
-fn kept() {
+fn two_limited() {
     let world = Trio::start("limit_kept");
-    name(&world.engines[..2], NAMED);
+    announce_limit(&world.engines[..2], LIMIT_PER_S);
     for answer in world.press(&[0, 1, 2], Duration::from_secs(7)) {
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
     for engine in &world.engines[..2] {
-        assert!(engine.named_to() > 0, "{}: nobody was told", engine.id);
-        is_kept(engine, NAMED);
+        assert!(
+            engine.named_to() > 0,
+            "{}: no host received the limit",
+            engine.id
+        );
+        assert_within_limit(engine, LIMIT_PER_S);
     }
 }
 
-/// All of them name one: what they take is served, and others are told so, truly, and when to come back.
+/// All servers announce a limit: as many requests as they accept are served, and the others are refused with the time
+/// of a retry.
 #[test]
 fn all_limited() {
     let world = Trio::start("all_limited");
-    name(&world.engines, NAMED);
+    announce_limit(&world.engines, LIMIT_PER_S);
     let answers = world.press(&[0, 1, 2], Duration::from_secs(7));
     for engine in &world.engines {
-        is_kept(engine, NAMED);
+        assert_within_limit(engine, LIMIT_PER_S);
     }
     let served = answers.iter().filter(|answer| answer.status == 200);
-    let takes = NAMED * world.engines.len();
-    assert!(served.count() > 5 * takes, "all that they take in 5 of 7 s");
+    let total_limit = LIMIT_PER_S * world.engines.len();
+    assert!(
+        served.count() > 5 * total_limit,
+        "at least the limit of 5 of the 7 s is served"
+    );
     for answer in answers.iter().filter(|answer| answer.status != 200) {
         assert_eq!(answer.status, 503, "{}", answer.body);
         assert!(answer.header("retry-after").is_some(), "{}", answer.head);
     }
 }
 
-/// It holds as well at a host that hears no hub.
+/// A host that can't reach the hub observes the limits as well.
 #[test]
-fn no_hub() {
+fn limited_without_hub() {
     let mut world = Trio::start("no_hub_limit");
-    name(&world.engines, NAMED);
+    announce_limit(&world.engines, LIMIT_PER_S);
     world.press(&[2], Duration::from_secs(1));
     world.hosts.kill(0);
     world.hosts.kill(1);
     world.press(&[2], Duration::from_secs(6));
     for engine in &world.engines {
-        assert!(engine.named_to() > 0, "{}: nobody was told", engine.id);
-        is_kept(engine, NAMED);
+        assert!(
+            engine.named_to() > 0,
+            "{}: no host received the limit",
+            engine.id
+        );
+        assert_within_limit(engine, LIMIT_PER_S);
     }
 }
 
-/// Once they name none any more all hosts use them as before.
+/// Once the servers withdraw their limits, all hosts use them as before.
 #[test]
-fn lifted() {
+fn limits_withdrawn() {
     let world = Trio::start("limit_lifted");
-    name(&world.engines, 1);
+    announce_limit(&world.engines, 1);
     let answers = world.press(&[0, 1, 2], Duration::from_secs(2));
     assert!(answers.iter().any(|answer| answer.status != 200));
     for engine in &world.engines {
@@ -103,15 +120,15 @@
         let answers = world.press(&[0, 1, 2], Duration::from_millis(200));
         answers.iter().all(|answer| answer.status == 200)
     };
-    wait("all is served", all_served);
+    wait("all requests are served", all_served);
 }
 
-/// A limit that makes no sense takes no server away, and the least one for 5 s only.
+/// An invalid limit excludes no server, and the lowest limit excludes one for 5 s only.
 #[test]
-fn odd_limits() {
+fn invalid_limits() {
     let world = Trio::start("odd_limits");
-    for odd in ["few", "-3", "NaN", "inf", "1e9", "", "0"] {
-        world.engines[0].name_limit(Some(odd));
+    for limit in ["few", "-3", "NaN", "inf", "1e9", "", "0"] {
+        world.engines[0].name_limit(Some(limit));
         world.until(0, &world.engines[0], |_| true);
         world.until(0, &world.engines[0], |_| true);
     }
--- a/crates/curlewlift/tests/platform_places.rs
+++ b/crates/curlewlift/tests/platform_slots.rs
@@ -1,4 +1,4 @@
-//! Places at engines: given by the hub, chosen by each gateway where no hub is to be had.
+//! Slots at engines are granted by the hub, and assigned by each gateway itself when no hub is available.
 
 mod platform;
 
@@ -10,12 +10,12 @@
 use platform::folder;
 use platform::wait;
 
-fn get(hosts: &Hosts, place: usize, round: usize) -> Answer {
+fn get(hosts: &Hosts, host: usize, round: usize) -> Answer {
     let head = format!(
-        "GET /safe/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: {place}-{round}\r\n\
+        "GET /safe/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: {host}-{round}\r\n\
          X-Deadline-Ms: 5000\r\nAuthorization: Bearer key-ann"
     );
-    ask(hosts.callers(place), &head, "")
+    ask(hosts.callers(host), &head, "")
 }
 
 #[test]
@@ -24,19 +24,19 @@
     let listed: Vec<_> = engines.iter().map(|engine| (engine, "chat")).collect();
     let mut hosts = Hosts::start(folder("served_without_hub"), &listed);
     hosts.configure(&document(7).to_string());
-    for place in 0..3 {
-        assert_eq!(get(&hosts, place, 0).status, 200, "{place}");
+    for host in 0..3 {
+        assert_eq!(get(&hosts, host, 0).status, 200, "{host}");
     }
-    // What is left is no majority: nobody leads, before it knows that and after.
+    // The last host is no majority, so nobody leads. It serves before it notices that, and after.
     hosts.kill(0);
     hosts.kill(1);
     for round in 1..30 {
         let answer = get(&hosts, 2, round);
         assert_eq!(answer.status, 200, "{round}: {}", answer.body);
     }
-    let read = "GET /api/config/get HTTP/1.1\r\nHost: x";
-    wait("nobody leads", || {
-        ask(hosts.control(2), read, "").status == 503
+    let read_table = "GET /api/config/get HTTP/1.1\r\nHost: x";
+    wait("the last host refuses a read for lack of a leader", || {
+        ask(hosts.control(2), read_table, "").status == 503
     });
     for round in 30..60 {
         assert_eq!(get(&hosts, 2, round).status, 200, "{round}");
