--- a/crates/curlewlift/src/gateway/lists.rs
+++ b/crates/curlewlift/src/gateway/lists.rs
@@ -28,13 +28,13 @@
 pub(crate) type Fetch =
     Rc<dyn Fn(Duration) -> Pin<Box<dyn Future<Output = Result<ServerList, FetchError>>>>>;
 
-/// Interval of fetches for all gateways: a sixth of the time within which a draining server must get no more requests.
+/// Interval of fetches for all gateways: a sixth of the time after which a draining server must get no more requests.
 const SHARED_FETCH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Interval of fetches by a gateway that can't reach the hub.
 const OWN_FETCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Maximum pause that the platform can ask for: two thirds of the time within which a draining server must get no
+/// Maximum pause that the platform can ask for: two thirds of the time after which a draining server must get no
 /// more requests.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
--- a/crates/curlewlift/src/gateway/node.rs
+++ b/crates/curlewlift/src/gateway/node.rs
@@ -117,7 +117,7 @@
     /// What this gateway knows of the hub.
     pub(super) hub: RefCell<Hub>,
     /// When the planned stop began.
-    pub(super) stopping: Cell<Option<clock::Instant>>,
+    pub(super) stopping_since: Cell<Option<clock::Instant>>,
     /// Whether new requests are refused because the gateway stops.
     pub(super) rejects_callers: Cell<bool>,
     /// Ended attempts that have not been reported to the hub.
@@ -166,7 +166,7 @@
             retry_share: RefCell::default(),
             known_replicas,
             hub: RefCell::default(),
-            stopping: Cell::new(None),
+            stopping_since: Cell::new(None),
             rejects_callers: Cell::new(false),
             attempt_ends: RefCell::default(),
             report_wakeup: Notify::new(),
@@ -206,7 +206,7 @@
 
     /// Whether callers may be sent here: the gateway has a table and a server list, and is not stopping.
     pub(crate) fn is_ready(&self) -> bool {
-        self.stopping.get().is_none()
+        self.stopping_since.get().is_none()
             && self.table.borrow().is_some()
             && self.server_lists.borrow().get_subset().version != 0
     }
--- a/crates/curlewlift/src/gateway/open.rs
+++ b/crates/curlewlift/src/gateway/open.rs
@@ -36,7 +36,7 @@
     let open = Open::new(&node);
     let stopping = Rc::clone(&node);
     let mut answer = request::answer(node, request).await;
-    if stopping.stopping.get().is_some() {
+    if stopping.stopping_since.get().is_some() {
         let close = HeaderValue::from_static("close");
         answer.headers_mut().insert(header::CONNECTION, close);
     }
--- a/crates/curlewlift/src/gateway/slot.rs
+++ b/crates/curlewlift/src/gateway/slot.rs
@@ -163,12 +163,12 @@
     pub(super) fn record_notices(&self, notices: &[Notice]) {
         let now = self.node.now();
         for notice in notices {
-            let take = |service: &mut Service| {
+            let record = |service: &mut Service| {
                 service
                     .pool
                     .record_notice(&self.server, notice.clone(), now)
             };
-            let Some(Some(update)) = self.node.with_service(&self.service, take) else {
+            let Some(Some(update)) = self.node.with_service(&self.service, record) else {
                 continue;
             };
             self.log_notice(notice, &update);
--- a/crates/curlewlift/src/gateway/stop.rs
+++ b/crates/curlewlift/src/gateway/stop.rs
@@ -36,7 +36,7 @@
 /// finishes the open ones.
 pub(super) async fn run(node: &Rc<Node>, timing: StopTiming) {
     let started_at = node.now();
-    node.stopping.set(Some(started_at));
+    node.stopping_since.set(Some(started_at));
     node.poll_wakeup.notify_one();
     Line::new(Kind::Stopping)
         .with("open", node.open_requests.get())
