--- a/crates/curlewlift/src/gateway/hub_slots.rs
+++ b/crates/curlewlift/src/gateway/hub_slots.rs
@@ -226,7 +226,7 @@
         HubDecision::Undecided
     }
 
-    /// Reports to the hub the notice that a server has given this host and that is still active; false if there is none.
+    /// Reports to the hub a server's notice to this host that is still active; false if there is none.
     pub(super) fn report_notice(&self, service: &id::Service, server: &Server) -> bool {
         let now = self.now();
         let incarnation = &server.incarnation;
--- a/crates/curlewlift/src/gateway/request.rs
+++ b/crates/curlewlift/src/gateway/request.rs
@@ -27,7 +27,7 @@
         Err(why) => return refused(Line::new(Kind::Refused), &why.into()),
     };
     let line = Line::new(Kind::Refused).request(call.id.as_ref());
-    if let Some(again) = stop::rejects_caller(&node) {
+    if let Some(again) = stop::refusal_delay(&node) {
         let refusal = Refused::new(Code::Leaving, "this gateway is stopping").again(again);
         return refused(line, &refusal);
     }
--- a/crates/curlewlift/src/gateway/stop.rs
+++ b/crates/curlewlift/src/gateway/stop.rs
@@ -28,7 +28,7 @@
 }
 
 /// After how long a request that is refused because of the stop may be retried; none if it is served.
-pub(super) fn rejects_caller(node: &Node) -> Option<Duration> {
+pub(super) fn refusal_delay(node: &Node) -> Option<Duration> {
     node.rejects_callers.get().then_some(RETRY_ELSEWHERE_AFTER)
 }
 
