--- a/crates/curlewlift/src/control/evacuations.rs
+++ b/crates/curlewlift/src/control/evacuations.rs
@@ -29,7 +29,7 @@
     let line = Line::new(Kind::EvacuationOrdered)
         .detail(format_args!("hall={hall} action={action} code={code}"));
     state.borrow().timeline.note(line);
-    answer.map(|()| HubReply::Ordered)
+    answer.map(|()| HubReply::OrderAccepted)
 }
 
 async fn agree(state: &Shared, order: Order) -> Result<(), Refusal> {
--- a/crates/curlewlift/src/control/handout.rs
+++ b/crates/curlewlift/src/control/handout.rs
@@ -30,7 +30,7 @@
             return Ok(elsewhere);
         }
         if let Some(piece) = state.borrow_mut().cut(host, number, from)? {
-            return Ok(HubReply::Piece(Some(piece)));
+            return Ok(HubReply::Chunk(Some(piece)));
         }
         // Whoever has waited longest is woken for each turn that is free.
         let turn = Rc::clone(&state.borrow().turn);
@@ -38,7 +38,7 @@
             .await
             .is_err()
         {
-            return Ok(HubReply::Piece(None));
+            return Ok(HubReply::Chunk(None));
         }
     }
 }
--- a/crates/curlewlift/src/control/hub.rs
+++ b/crates/curlewlift/src/control/hub.rs
@@ -31,23 +31,23 @@
 
 pub(super) async fn answer(state: &Shared, call: HubCall) -> Result<HubReply, Refusal> {
     // Whoever leads, all may hear of hosts that keep a replica.
-    let of_leader = !matches!(call, HubCall::Introduce(_) | HubCall::Draw(_));
+    let of_leader = !matches!(call, HubCall::Introduce(_) | HubCall::ChargeQuota(_));
     if of_leader && let Some(elsewhere) = elsewhere(&state.borrow()) {
         return Ok(elsewhere);
     }
     match call {
-        HubCall::Ask(question) => ask(state, *question).await,
-        HubCall::Want(want) => super::places::want(state, *want).await,
-        HubCall::Tell(report) => super::places::tell(state, &report),
-        HubCall::Piece { host, number, from } => {
+        HubCall::Poll(question) => ask(state, *question).await,
+        HubCall::RequestSlot(want) => super::places::want(state, *want).await,
+        HubCall::Report(report) => super::places::tell(state, &report),
+        HubCall::FetchChunk { host, number, from } => {
             super::handout::piece(state, &host, number, from).await
         }
         HubCall::Publish(publication) => publish(state, publication).await,
         // Of many gateways those beside a replica are no deputies.
-        HubCall::Draw(_) => Ok(HubReply::Drawn(false)),
-        HubCall::Read => read(state).await,
-        HubCall::Rollout(order) => super::rollouts::order(state, order).await,
-        HubCall::RolloutOf(service) => super::rollouts::read(state, &service).await,
+        HubCall::ChargeQuota(_) => Ok(HubReply::QuotaCharged(false)),
+        HubCall::ReadTable => read(state).await,
+        HubCall::StartRollout(order) => super::rollouts::order(state, order).await,
+        HubCall::ReadRollout(service) => super::rollouts::read(state, &service).await,
         HubCall::Evacuate(order) => super::evacuations::order(state, order).await,
         HubCall::Introduce(hosts) => Ok(meet(&state.borrow(), hosts)),
     }
@@ -114,7 +114,7 @@
     }
     let leader = state.replica.get_leader();
     let other = leader.filter(|leader| *leader != state.replica.get_host());
-    Some(HubReply::Elsewhere {
+    Some(HubReply::NotLeader {
         leader: other.cloned(),
         control: members(state),
     })
@@ -131,7 +131,7 @@
     if let Some(gateways) = &state.gateways {
         gateways.known.add(hosts);
     }
-    HubReply::Told
+    HubReply::Acknowledged
 }
 
 async fn ask(state: &Shared, question: Poll) -> Result<HubReply, Refusal> {
@@ -173,7 +173,7 @@
     reply.control_hosts = control;
     reply.fetches_list = hub.fetcher(&host, now).as_ref() == Some(&question.host);
     reply.leader = Some(host);
-    Ok(HubReply::News(Box::new(reply)))
+    Ok(HubReply::Update(Box::new(reply)))
 }
 
 /// Takes note of a question; true where it can be answered at once.
--- a/crates/curlewlift/src/control/places.rs
+++ b/crates/curlewlift/src/control/places.rs
@@ -65,7 +65,7 @@
     if let Some(elsewhere) = hub::elsewhere(&state.borrow()) {
         return Ok(elsewhere);
     }
-    Ok(HubReply::Place(place.ok().and_then(Result::ok)))
+    Ok(HubReply::Slot(place.ok().and_then(Result::ok)))
 }
 
 /// Waits until the hub has a list of servers.
@@ -91,11 +91,11 @@
     }
     let (ticket, last) = match hub.request_slot(want, now) {
         SlotDecision::Queued(ticket, last) => (ticket, last),
-        SlotDecision::NoServers => return Ok(Lined::Answered(HubReply::Place(None))),
-        SlotDecision::Rejected(why) => return Ok(Lined::Answered(HubReply::Withheld(why))),
+        SlotDecision::NoServers => return Ok(Lined::Answered(HubReply::Slot(None))),
+        SlotDecision::Rejected(why) => return Ok(Lined::Answered(HubReply::Rejected(why))),
         SlotDecision::NoRetry => return Ok(Lined::Answered(HubReply::NoRetry)),
         SlotDecision::QuotaExceeded(filled) => {
-            return Ok(Lined::Answered(HubReply::Beyond(filled)));
+            return Ok(Lined::Answered(HubReply::QuotaExceeded(filled)));
         }
     };
     let (sender, place) = oneshot::channel();
@@ -116,7 +116,7 @@
     let hub = state.hub.as_mut().ok_or_else(hub::begun)?;
     hub.report(report, now);
     state.serve();
-    Ok(HubReply::Told)
+    Ok(HubReply::Acknowledged)
 }
 
 impl State {
--- a/crates/curlewlift/src/control/rollouts.rs
+++ b/crates/curlewlift/src/control/rollouts.rs
@@ -36,7 +36,7 @@
         .map_or(0, |why| why.get_code().number());
     let line = Line::new(Kind::RolloutOrdered).detail(format_args!("{detail} code={code}"));
     state.borrow().timeline.note(line);
-    answer.map(|()| HubReply::Ordered)
+    answer.map(|()| HubReply::OrderAccepted)
 }
 
 async fn agree(state: &Shared, order: Order) -> Result<(), Refusal> {
--- a/crates/curlewlift/src/entry/answers.rs
+++ b/crates/curlewlift/src/entry/answers.rs
@@ -12,12 +12,12 @@
 use futures::FutureExt;
 
 use crate::rpc;
-use crate::rpc::AskCall;
-use crate::rpc::Asked;
 use crate::rpc::ClaimCall;
 use crate::rpc::ClaimReply;
 use crate::rpc::Handler;
 use crate::rpc::Method;
+use crate::rpc::QueueCall;
+use crate::rpc::ServerGrant;
 
 use super::node::Node;
 use super::node::lock;
@@ -63,20 +63,20 @@
             }
             ClaimReply::Claimed(answer)
         }
-        ClaimCall::End {
+        ClaimCall::RecordEnd {
             key,
             ticket,
             holder,
-            fate,
+            status,
         } => {
-            lock(&node.table).record_end(key, ticket, &holder, fate);
-            ClaimReply::Done
+            lock(&node.table).record_end(key, ticket, &holder, status);
+            ClaimReply::EndRecorded
         }
-        ClaimCall::Copy { shard, view } => {
-            ClaimReply::Copy(lock(&node.table).copy_shard(shard, view))
+        ClaimCall::CopyShard { shard, view } => {
+            ClaimReply::ShardCopy(lock(&node.table).copy_shard(shard, view))
         }
-        ClaimCall::Look { key } => ClaimReply::Looked(lock(&node.table).get(key).cloned()),
-        ClaimCall::Fetch { key, body, from } => {
+        ClaimCall::Lookup { key } => ClaimReply::Found(lock(&node.table).get(key).cloned()),
+        ClaimCall::FetchResponse { key, body, from } => {
             let kept = lock(&node.store).get(key).cloned();
             if kept
                 .as_ref()
@@ -87,15 +87,15 @@
             }
             let from = usize::try_from(from).unwrap_or(usize::MAX);
             match kept {
-                Some(kept) => ClaimReply::Piece(Some(kept.piece(from, WAIT).await)),
-                None => ClaimReply::Piece(None),
+                Some(kept) => ClaimReply::ResponseChunk(Some(kept.piece(from, WAIT).await)),
+                None => ClaimReply::ResponseChunk(None),
             }
         }
     })
 }
 
-async fn ask(node: &Arc<Node>, call: AskCall) -> Result<Vec<u8>, Refusal> {
-    let AskCall::Ask { view, .. } = &call else {
+async fn ask(node: &Arc<Node>, call: QueueCall) -> Result<Vec<u8>, Refusal> {
+    let QueueCall::Enqueue { view, .. } = &call else {
         schedule::take(node, call);
         return Ok(rpc::encode(&()));
     };
@@ -107,5 +107,5 @@
     let wait = owner::ask(node, call)?;
     let gone = || Refusal::new(Code::WrongView, "the queue has gone");
     let server = wait.await.map_err(|_| gone())??;
-    Ok(rpc::encode(&Asked { server }))
+    Ok(rpc::encode(&ServerGrant { server }))
 }
--- a/crates/curlewlift/src/entry/claims.rs
+++ b/crates/curlewlift/src/entry/claims.rs
@@ -163,26 +163,26 @@
 }
 
 /// Tells the replicas what became of a request.
-pub(super) async fn end(node: &Arc<Node>, request: &Request, fate: Status) {
+pub(super) async fn end(node: &Arc<Node>, request: &Request, status: Status) {
     let roster = Arc::clone(lock(&node.holder).get_roster());
     let replicas = roster.replicas(request.key.shard(SHARD_COUNT));
     let tell = replicas
         .into_iter()
-        .map(|member| tell(node, member, request, fate));
+        .map(|member| tell(node, member, request, status));
     join_all(tell).await;
 }
 
-async fn tell(node: &Arc<Node>, member: &Member, request: &Request, fate: Status) {
+async fn tell(node: &Arc<Node>, member: &Member, request: &Request, status: Status) {
     let holder = node.member.host.clone();
     if member.host == node.member.host {
-        lock(&node.table).record_end(request.key, request.ticket, &holder, fate);
+        lock(&node.table).record_end(request.key, request.ticket, &holder, status);
         return;
     }
-    let call = ClaimCall::End {
+    let call = ClaimCall::RecordEnd {
         key: request.key,
         ticket: request.ticket,
         holder,
-        fate,
+        status,
     };
     let _: Result<ClaimReply, Refusal> =
         node.rpc.call(member.rpc, Method::Claim, &call, CALL).await;
@@ -218,13 +218,13 @@
     member: &Member,
     key: id::Key,
 ) -> Result<Option<Record>, Refusal> {
-    let call = ClaimCall::Look { key };
+    let call = ClaimCall::Lookup { key };
     match node
         .rpc
         .call(member.rpc, Method::Claim, &call, CALL)
         .await?
     {
-        ClaimReply::Looked(record) => Ok(record),
+        ClaimReply::Found(record) => Ok(record),
         _ => Err(Refusal::new(
             Code::Internal,
             "a look was answered by something else",
--- a/crates/curlewlift/src/entry/kept.rs
+++ b/crates/curlewlift/src/entry/kept.rs
@@ -15,7 +15,7 @@
 use curlewlift_core::id;
 use tokio::sync::Notify;
 
-use crate::rpc::Piece;
+use crate::rpc::ResponseChunk;
 
 /// Bytes that the answer may run ahead of a reader.
 const WINDOW: usize = 128 << 10;
@@ -40,7 +40,7 @@
 
 impl End {
     /// What the claim's record says of it.
-    pub(super) fn fate(&self) -> Status {
+    pub(super) fn to_status(&self) -> Status {
         Status::Ended {
             outcome: self.outcome,
             code: self
@@ -222,7 +222,7 @@
     }
 
     /// What there is from `from` on, waiting up to `wait` for more.
-    pub(super) async fn piece(&self, from: usize, wait: Duration) -> Piece {
+    pub(super) async fn piece(&self, from: usize, wait: Duration) -> ResponseChunk {
         let _ = tokio::time::timeout(wait, async {
             if self.next(from).await.is_none() {
                 self.ended().await;
@@ -231,10 +231,10 @@
         .await;
         let state = self.lock();
         let head = state.head.clone().map(|head| (head.status, head.headers));
-        Piece {
+        ResponseChunk {
             head,
             bytes: state.bytes.get(from..).unwrap_or_default().to_vec(),
-            fate: state.end.as_ref().map(End::fate),
+            status: state.end.as_ref().map(End::to_status),
         }
     }
 
--- a/crates/curlewlift/src/entry/owner.rs
+++ b/crates/curlewlift/src/entry/owner.rs
@@ -22,7 +22,7 @@
 use curlewlift_core::view::Roster;
 use tokio::sync::oneshot;
 
-use crate::rpc::AskCall;
+use crate::rpc::QueueCall;
 
 use super::node::Node;
 use super::node::Word;
@@ -146,8 +146,8 @@
 }
 
 /// Puts a request into the queue; the receiver is told once it is its turn.
-pub(super) fn ask(node: &Node, call: AskCall) -> Result<oneshot::Receiver<Word>, Refusal> {
-    let AskCall::Ask {
+pub(super) fn ask(node: &Node, call: QueueCall) -> Result<oneshot::Receiver<Word>, Refusal> {
+    let QueueCall::Enqueue {
         service,
         key,
         ticket,
@@ -157,7 +157,7 @@
         output,
         prefixes,
         attempt,
-        left,
+        time_left,
         running,
         ..
     } = call
@@ -183,8 +183,10 @@
         max_output: output,
         prefixes,
         attempt,
-        first_token_deadline: first.map_or(node.now() + left, |first| node.now() + left.min(first)),
-        deadline: node.now() + left,
+        first_token_deadline: first.map_or(node.now() + time_left, |first| {
+            node.now() + time_left.min(first)
+        }),
+        deadline: node.now() + time_left,
     };
     let line = Line::new(Kind::Queued).key(key).customer(&ask.customer);
     let detail = format!("service={service} tier={} from={}", ask.rank, ask.ticket);
--- a/crates/curlewlift/src/entry/renew.rs
+++ b/crates/curlewlift/src/entry/renew.rs
@@ -129,16 +129,16 @@
 
 async fn copy(node: &Arc<Node>, shard: id::Shard, source: Member) {
     let view = lock(&node.holder).get_roster().number;
-    let call = ClaimCall::Copy { shard, view };
+    let call = ClaimCall::CopyShard { shard, view };
     let reply = node.rpc.call(source.rpc, Method::Claim, &call, COPY).await;
     let now = node.now();
     match reply {
-        Ok(ClaimReply::Copy(CopyResponse::Complete(slot))) => {
+        Ok(ClaimReply::ShardCopy(CopyResponse::Complete(slot))) => {
             lock(&node.table).install_copy(shard, view, slot, now);
             node.timeline
                 .note(Line::new(Kind::ShardFilled).detail(shard));
         }
-        Ok(ClaimReply::Copy(CopyResponse::Incomplete)) => {
+        Ok(ClaimReply::ShardCopy(CopyResponse::Incomplete)) => {
             lock(&node.table).skip_source(shard, &source.host, now);
             let detail = format!("shard={shard} source={}", source.host);
             node.timeline
--- a/crates/curlewlift/src/entry/run.rs
+++ b/crates/curlewlift/src/entry/run.rs
@@ -16,7 +16,7 @@
 use crate::rpc::ClaimCall;
 use crate::rpc::ClaimReply;
 use crate::rpc::Method;
-use crate::rpc::Piece;
+use crate::rpc::ResponseChunk;
 
 use super::claims;
 use super::claims::Stop;
@@ -173,7 +173,7 @@
 }
 
 async fn finish(node: &Arc<Node>, request: &Arc<Request>, kept: &Kept, end: End) {
-    let fate = end.fate();
+    let fate = end.to_status();
     let outcome = end.outcome;
     let code = end
         .refusal
@@ -222,7 +222,7 @@
         if !kept.add(&piece.bytes) {
             return unknown(Refusal::new(Code::Broken, "the answer is too large"));
         }
-        if let Some(Status::Ended { outcome, code }) = piece.fate {
+        if let Some(Status::Ended { outcome, code }) = piece.status {
             return ended(outcome, code);
         }
     }
@@ -247,7 +247,7 @@
     key: id::Key,
     from: u64,
     record: &Record,
-) -> Result<Piece, Refusal> {
+) -> Result<ResponseChunk, Refusal> {
     let lost = || {
         let why = "a request with this key may have run; the entry that held its answer is gone";
         Refusal::new(Code::ClaimUnknown, why)
@@ -257,18 +257,18 @@
     if holder.incarnation != record.incarnation {
         return Err(lost());
     }
-    let call = ClaimCall::Fetch {
+    let call = ClaimCall::FetchResponse {
         key,
         body: record.digest,
         from,
     };
     match node.rpc.call(holder.rpc, Method::Claim, &call, FETCH).await {
-        Ok(ClaimReply::Piece(Some(piece))) => Ok(piece),
+        Ok(ClaimReply::ResponseChunk(Some(piece))) => Ok(piece),
         Ok(_) => Err(lost()),
         Err(why) if why.get_code() == Code::Unreachable => {
             // Gone or only slow: the next view tells.
             tokio::time::sleep(Duration::from_millis(100)).await;
-            Ok(Piece::default())
+            Ok(ResponseChunk::default())
         }
         Err(why) => Err(why),
     }
@@ -295,8 +295,8 @@
     if record.holder == node.member.host && record.incarnation == node.member.incarnation {
         let end = lock(&node.store).get(key).map(|kept| kept.get_end());
         let end = end.ok_or_else(|| Refusal::new(Code::UnknownKey, "its answer is not kept"))?;
-        return Ok(end.map_or(Status::Open, |end| end.fate()));
+        return Ok(end.map_or(Status::Open, |end| end.to_status()));
     }
     let piece = fetch(node, key, u64::MAX, record).await?;
-    Ok(piece.fate.unwrap_or(Status::Open))
+    Ok(piece.status.unwrap_or(Status::Open))
 }
--- a/crates/curlewlift/src/entry/schedule.rs
+++ b/crates/curlewlift/src/entry/schedule.rs
@@ -13,9 +13,9 @@
 use curlewlift_core::unit::Tokens;
 use curlewlift_core::view::Roster;
 
-use crate::rpc::AskCall;
-use crate::rpc::Asked;
 use crate::rpc::Method;
+use crate::rpc::QueueCall;
+use crate::rpc::ServerGrant;
 
 use super::node::Node;
 use super::node::Word;
@@ -88,7 +88,7 @@
         to_owner(
             self.node,
             &self.request.service,
-            AskCall::Cancel {
+            QueueCall::Cancel {
                 service,
                 ticket,
                 host,
@@ -157,7 +157,7 @@
         return wait.await.map_err(|_| gone())?;
     }
     let left = request.deadline.since(node.now()) + MARGIN;
-    let asked: Asked = node.rpc.call(owner.rpc, Method::Ask, &call, left).await?;
+    let asked: ServerGrant = node.rpc.call(owner.rpc, Method::Ask, &call, left).await?;
     Ok(asked.server)
 }
 
@@ -167,8 +167,8 @@
     attempt: u8,
     roster: &Roster,
     running: Option<id::Server>,
-) -> AskCall {
-    AskCall::Ask {
+) -> QueueCall {
+    QueueCall::Enqueue {
         view: roster.number,
         service: request.service.clone(),
         key: request.key,
@@ -179,7 +179,7 @@
         output: request.output,
         prefixes: request.prefixes.clone(),
         attempt,
-        left: request.deadline.since(node.now()),
+        time_left: request.deadline.since(node.now()),
         running,
     }
 }
@@ -188,7 +188,7 @@
     let service = request.service.clone();
     let host = node.member.host.clone();
     let ticket = request.ticket;
-    let call = AskCall::Report {
+    let call = QueueCall::Report {
         service,
         ticket,
         host,
@@ -198,7 +198,7 @@
 }
 
 /// Sends a word that needs no answer to the owner of `service`.
-fn to_owner(node: &Arc<Node>, service: &id::Service, call: AskCall) {
+fn to_owner(node: &Arc<Node>, service: &id::Service, call: QueueCall) {
     let Ok(roster) = node.acting() else { return };
     let Some(owner) = roster.owner(service) else {
         return;
@@ -215,9 +215,9 @@
 }
 
 /// Takes in a word that needs no answer, as the owner.
-pub(super) fn take(node: &Node, call: AskCall) {
+pub(super) fn take(node: &Node, call: QueueCall) {
     match call {
-        AskCall::Report {
+        QueueCall::Report {
             service,
             ticket,
             host,
@@ -229,7 +229,7 @@
             };
             owner::report(node, &service, &ticket, report);
         }
-        AskCall::Cancel {
+        QueueCall::Cancel {
             service,
             ticket,
             host,
@@ -240,7 +240,7 @@
             };
             owner::cancel(node, &service, &ticket);
         }
-        AskCall::Ask { .. } => {
+        QueueCall::Enqueue { .. } => {
             debug_assert!(false, "a request is put into a queue by `owner::ask`");
         }
     }
@@ -261,7 +261,7 @@
         let node = Arc::clone(node);
         let address = owner.rpc;
         tokio::spawn(async move {
-            let _: Result<Asked, Refusal> =
+            let _: Result<ServerGrant, Refusal> =
                 node.rpc.call(address, Method::Ask, &call, REPORT).await;
         });
     }
--- a/crates/curlewlift/src/gateway/draw.rs
+++ b/crates/curlewlift/src/gateway/draw.rs
@@ -36,10 +36,10 @@
 }
 
 async fn ask(node: &Node, address: SocketAddr, charge: &Charge) -> bool {
-    let call = RenewCall::Hub(HubCall::Draw(charge.clone()));
+    let call = RenewCall::Hub(HubCall::ChargeQuota(charge.clone()));
     let reply: Result<HubReply, Refusal> = node.rpc.call(address, Method::Renew, &call, CALL).await;
     match reply {
-        Ok(HubReply::Drawn(drawn)) => drawn,
+        Ok(HubReply::QuotaCharged(drawn)) => drawn,
         Ok(_) => false,
         Err(why) => {
             log::debug!("the deputy at {address} does not answer: {why}");
--- a/crates/curlewlift/src/gateway/meet.rs
+++ b/crates/curlewlift/src/gateway/meet.rs
@@ -53,10 +53,10 @@
     let reply = match rpc::decode(body)? {
         RenewCall::Hub(HubCall::Introduce(hosts)) => {
             node.known.add(hosts);
-            HubReply::Told
+            HubReply::Acknowledged
         }
-        RenewCall::Hub(HubCall::Draw(charge)) => HubReply::Drawn(node.draw(&charge)),
-        RenewCall::Hub(_) => HubReply::Elsewhere {
+        RenewCall::Hub(HubCall::ChargeQuota(charge)) => HubReply::QuotaCharged(node.draw(&charge)),
+        RenewCall::Hub(_) => HubReply::NotLeader {
             leader: node.hub.borrow().leader.clone(),
             control: node.known.get(),
         },
@@ -92,7 +92,7 @@
     let call = RenewCall::Hub(HubCall::Introduce(hosts));
     let told: Result<HubReply, Refusal> = node.rpc.call(seed, Method::Renew, &call, CALL).await;
     match told {
-        Ok(HubReply::Elsewhere { control, .. }) => node.known.add(control),
+        Ok(HubReply::NotLeader { control, .. }) => node.known.add(control),
         Ok(_) => {}
         Err(why) => log::debug!("{seed} was not told where control is: {why}"),
     }
--- a/crates/curlewlift/src/gateway/orders.rs
+++ b/crates/curlewlift/src/gateway/orders.rs
@@ -49,7 +49,7 @@
 ///
 /// [`Code::Unreachable`] where nobody can be sure.
 pub(crate) async fn read(node: &Node, around: &Surroundings) -> Result<Publication, Refusal> {
-    match ask(node, around, HubCall::Read).await? {
+    match ask(node, around, HubCall::ReadTable).await? {
         HubReply::Table(publication) => Ok(publication),
         _ => Err(no_leader()),
     }
@@ -65,8 +65,8 @@
     around: &Surroundings,
     order: Order,
 ) -> Result<(), Refusal> {
-    match ask(node, around, HubCall::Rollout(order)).await? {
-        HubReply::Ordered => Ok(()),
+    match ask(node, around, HubCall::StartRollout(order)).await? {
+        HubReply::OrderAccepted => Ok(()),
         _ => Err(no_leader()),
     }
 }
@@ -82,7 +82,7 @@
     order: evacuation::Order,
 ) -> Result<(), Refusal> {
     match ask(node, around, HubCall::Evacuate(order)).await? {
-        HubReply::Ordered => Ok(()),
+        HubReply::OrderAccepted => Ok(()),
         _ => Err(no_leader()),
     }
 }
@@ -97,7 +97,7 @@
     around: &Surroundings,
     service: id::Service,
 ) -> Result<Option<(Version, Phase)>, Refusal> {
-    match ask(node, around, HubCall::RolloutOf(service)).await? {
+    match ask(node, around, HubCall::ReadRollout(service)).await? {
         HubReply::Rollout(last) => Ok(last),
         _ => Err(no_leader()),
     }
@@ -117,7 +117,7 @@
         let left = until.saturating_duration_since(Instant::now());
         let reply = node.rpc.call(address, Method::Renew, &call, left).await;
         match reply {
-            Ok(HubReply::Elsewhere { leader, control }) => {
+            Ok(HubReply::NotLeader { leader, control }) => {
                 node.known.add(control);
                 named = leader;
             }
--- a/crates/curlewlift/src/gateway/places.rs
+++ b/crates/curlewlift/src/gateway/places.rs
@@ -90,7 +90,7 @@
         return Word::Nothing;
     };
     let want = node.want(wanted, ask, charge, patience);
-    let call = RenewCall::Hub(HubCall::Want(Box::new(want)));
+    let call = RenewCall::Hub(HubCall::RequestSlot(Box::new(want)));
     let asked = node.now();
     let call = node
         .rpc
@@ -100,14 +100,14 @@
         () = node.hub_falls_silent() => None,
     };
     match reply {
-        Some(Ok(HubReply::Place(Some(grant)))) => {
+        Some(Ok(HubReply::Slot(Some(grant)))) => {
             // A host that was suspended finds a place that has been given to others since.
             let is_late = node.now().since(asked) > patience + ON_ITS_WAY;
             node.take(wanted, grant, ask.prompt, is_late)
         }
-        Some(Ok(HubReply::Place(None))) => Word::NoPlace,
-        Some(Ok(HubReply::Beyond(filled))) => Word::Beyond(filled),
-        Some(Ok(HubReply::Withheld(why))) => Word::Withheld(why),
+        Some(Ok(HubReply::Slot(None))) => Word::NoPlace,
+        Some(Ok(HubReply::QuotaExceeded(filled))) => Word::Beyond(filled),
+        Some(Ok(HubReply::Rejected(why))) => Word::Withheld(why),
         Some(Ok(HubReply::NoRetry)) => Word::NoRetry,
         Some(Ok(_)) => node.doubt("it does not lead"),
         Some(Err(why)) => node.doubt(&why.to_string()),
@@ -289,7 +289,7 @@
             observations: node.quarantine.borrow().get_evidence().unacknowledged().0,
             limit_reports: node.limits.borrow().pending_reports(),
         };
-        let call = RenewCall::Hub(HubCall::Tell(report));
+        let call = RenewCall::Hub(HubCall::Report(report));
         let told: Result<HubReply, Refusal> =
             node.rpc.call(address, Method::Renew, &call, REPORT).await;
         if let Err(why) = told {
--- a/crates/curlewlift/src/gateway/sync.rs
+++ b/crates/curlewlift/src/gateway/sync.rs
@@ -107,14 +107,14 @@
     let question = question(node);
     let (_, told) = node.quarantine.borrow().get_evidence().unacknowledged();
     let told_limits = node.limits.borrow().get_last_number();
-    let call = RenewCall::Hub(HubCall::Ask(Box::new(question)));
+    let call = RenewCall::Hub(HubCall::Poll(Box::new(question)));
     let reply: Result<HubReply, Refusal> = node.rpc.call(address, Method::Renew, &call, most).await;
     match reply {
         // What lay here while the host was suspended is not the hub's word of now.
         Ok(_) if node.now().since(asked) > most => {
             Err(format!("the answer of {address} came too late"))
         }
-        Ok(HubReply::News(reply)) => {
+        Ok(HubReply::Update(reply)) => {
             node.quarantine.borrow_mut().acknowledge(reply.hub_id, told);
             let mut limits = node.limits.borrow_mut();
             let changes =
@@ -124,7 +124,7 @@
             take(node, around, address, asked, *reply);
             Ok(())
         }
-        Ok(HubReply::Elsewhere { leader, control }) => {
+        Ok(HubReply::NotLeader { leader, control }) => {
             node.known.add(control);
             let why = format!("{address} does not lead");
             let same = leader == node.hub.borrow().leader;
--- a/crates/curlewlift/src/gateway/tables.rs
+++ b/crates/curlewlift/src/gateway/tables.rs
@@ -99,7 +99,7 @@
 
     async fn ask(&self, node: &Node) -> Option<Chunk> {
         let address = node.hub.borrow().address?;
-        let call = RenewCall::Hub(HubCall::Piece {
+        let call = RenewCall::Hub(HubCall::FetchChunk {
             host: node.host.clone(),
             number: self.number,
             from: self.text.len(),
@@ -107,7 +107,7 @@
         let reply: Result<HubReply, Refusal> =
             node.rpc.call(address, Method::Renew, &call, CALL).await;
         match reply {
-            Ok(HubReply::Piece(piece)) => piece,
+            Ok(HubReply::Chunk(piece)) => piece,
             Ok(_) => None,
             Err(why) => {
                 log::debug!("no piece of a table from {address}: {why}");
--- a/crates/curlewlift/src/rpc/call.rs
+++ b/crates/curlewlift/src/rpc/call.rs
@@ -1,4 +1,4 @@
-//! The questions and answers of each method; docs/INTERFACES.md has them as a table.
+//! The request and reply types of each method; docs/INTERFACES.md lists them in a table.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// `command`: a line of the operators' language.
+/// Request of `command`: a line of the operators' language.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct CommandCall {
     pub(crate) operator: id::Operator,
@@ -27,130 +27,130 @@
     pub(crate) line: String,
 }
 
-/// `renew`: a heartbeat.
+/// Request of `renew`: a periodic call of an entry, a replica or a gateway.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum RenewCall {
-    /// An entry asks for its lease; the answer is a [`curlewlift_core::view::Grant`].
+    /// An entry renews its lease; the reply is a [`curlewlift_core::view::Grant`].
     Entry(Renewal),
-    /// A control replica that is no member asks to be taken in; the answer is empty.
+    /// A control replica that is not yet a member asks to be admitted; the reply is empty.
     Replica { host: id::Host, disk: id::Disk },
-    /// A gateway's side; the answer is a [`HubReply`].
+    /// A call of a gateway to the hub; the reply is a [`HubReply`].
     Hub(HubCall),
 }
 
-/// What gateways ask the leading control replica.
+/// Calls of gateways to the hub, which is the leading control replica.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum HubCall {
-    /// What is new; answered at once where something is, else after a while.
-    Ask(Box<gateway::Poll>),
-    /// Wants a place at a backend server; answered once there is one, or not in time.
-    Want(Box<gateway::SlotRequest>),
-    /// Tells how sendings ended.
-    Tell(gateway::Report),
-    /// Wants the piece of table `number` that follows its first `from` bytes; with its whole length, says
-    /// that it has got it.
-    Piece {
+    /// Polls for updates. The reply comes at once if there are any, otherwise after a waiting time.
+    Poll(Box<gateway::Poll>),
+    /// Requests a slot at a backend server. The reply comes once one is granted or the wait limit is reached.
+    RequestSlot(Box<gateway::SlotRequest>),
+    /// Reports how attempts ended.
+    Report(gateway::Report),
+    /// Fetches the chunk of routing table `number` that starts at byte `from`. A `from` equal to the length
+    /// of the table reports that the gateway has all of it.
+    FetchChunk {
         host: id::Host,
         number: u64,
         from: usize,
     },
-    /// Asks a deputy to let a request in that counts so much.
-    Draw(Charge),
-    /// Tells of hosts that keep a control replica.
+    /// Asks a standby to admit a request and charge this amount to the quota.
+    ChargeQuota(Charge),
+    /// Reports hosts that run a control replica.
     Introduce(Vec<id::Host>),
-    /// Puts a routing table in force.
+    /// Publishes a routing table.
     Publish(Publication),
-    /// Asks for the routing table in force.
-    Read,
-    /// Gives an order to move a service to another version.
-    Rollout(rollout::Order),
-    /// Asks how far the last roll-out of a service has come.
-    RolloutOf(id::Service),
-    /// Gives an order to evacuate a data hall, or to end that.
+    /// Reads the active routing table.
+    ReadTable,
+    /// Orders a rollout of a service to another version.
+    StartRollout(rollout::Order),
+    /// Reads the phase of the last rollout of a service.
+    ReadRollout(id::Service),
+    /// Orders the start or the end of the evacuation of a data hall.
     Evacuate(evacuation::Order),
 }
 
-/// The answers to [`HubCall`].
+/// Replies to [`HubCall`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum HubReply {
-    /// What is new.
-    News(Box<gateway::Reply>),
-    /// A place at a backend server; none where there was none in time.
-    Place(Option<gateway::Grant>),
-    /// The request's customer has used up its allowance; there is enough after this time.
-    Beyond(Duration),
-    /// Servers ended under such a request, and it gets none.
-    Withheld(Rejection),
-    /// The request was sent before, and no further sending is left.
+    /// Updates since the last poll.
+    Update(Box<gateway::Reply>),
+    /// The granted slot at a backend server, or none if none became free in time.
+    Slot(Option<gateway::Grant>),
+    /// The request's customer has used up its quota, which suffices again after this time.
+    QuotaExceeded(Duration),
+    /// The request gets no slot: servers crashed under requests of its kind (quarantine).
+    Rejected(Rejection),
+    /// The request was attempted before, and the retry budget allows no further attempt.
     NoRetry,
-    /// Whether the deputy lets the request in, and has counted it.
-    Drawn(bool),
-    /// It was taken note of.
-    Told,
-    /// A piece of the table in force; none while it is the turn of others.
-    Piece(Option<gateway::Chunk>),
-    /// It is in force, or a higher number is.
+    /// Whether the standby admits the request and has charged it to the quota.
+    QuotaCharged(bool),
+    /// The report or introduction was received.
+    Acknowledged,
+    /// A chunk of the active table, or none while the schedule gives the time slot to other gateways.
+    Chunk(Option<gateway::Chunk>),
+    /// The published table, or one with a higher number, is active.
     Published,
-    /// The table in force; number 0 where there is none.
+    /// The active table; number 0 if there is none.
     Table(Publication),
-    /// The order was taken, now or before.
-    Ordered,
-    /// The target of the last roll-out, and how far it has come; none where none was ordered.
+    /// The order is accepted, by this call or an earlier one.
+    OrderAccepted,
+    /// The target and phase of the last rollout, or none if none was ordered.
     Rollout(Option<(rollout::Version, rollout::Phase)>),
-    /// Who answers does not lead; that host may, and these keep control replicas.
-    Elsewhere {
+    /// This process does not lead. `leader` may be the leader; the hosts in `control` run control replicas.
+    NotLeader {
         leader: Option<id::Host>,
         control: Vec<id::Host>,
     },
 }
 
-/// `claim`: what concerns request keys.
+/// Request of `claim`: calls about request keys.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum ClaimCall {
     /// Claims a key.
     Claim(Claim),
-    /// Tells what became of it.
-    End {
+    /// Records how the request with the key ended.
+    RecordEnd {
         key: id::Key,
         ticket: id::Ticket,
         holder: id::Host,
-        fate: Status,
+        status: Status,
     },
-    /// Asks for a copy of a shard.
-    Copy { shard: id::Shard, view: id::View },
-    /// Asks what is kept of a key.
-    Look { key: id::Key },
-    /// Asks the holder for the answer to a body, by the body's hash (0 for any), from a byte on;
-    /// waits a while for more.
-    Fetch { key: id::Key, body: u64, from: u64 },
+    /// Copies a shard.
+    CopyShard { shard: id::Shard, view: id::View },
+    /// Looks up the record of a key.
+    Lookup { key: id::Key },
+    /// Fetches from the holder the stored response to the body with this hash (0 for any body), starting
+    /// at byte `from`. Waits a limited time for further bytes.
+    FetchResponse { key: id::Key, body: u64, from: u64 },
 }
 
-/// The answers to [`ClaimCall`].
+/// Replies to [`ClaimCall`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum ClaimReply {
     Claimed(curlewlift_core::claim::Response),
-    Done,
-    Copy(curlewlift_core::claim::CopyResponse),
-    Looked(Option<curlewlift_core::claim::Record>),
-    Piece(Option<Piece>),
+    EndRecorded,
+    ShardCopy(curlewlift_core::claim::CopyResponse),
+    Found(Option<curlewlift_core::claim::Record>),
+    ResponseChunk(Option<ResponseChunk>),
 }
 
-/// A part of a kept answer.
+/// A range of bytes of a stored response.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Piece {
-    /// The answer's HTTP status and headers, once they are there.
+pub(crate) struct ResponseChunk {
+    /// HTTP status and headers of the response, once they have arrived.
     pub(crate) head: Option<(u16, Vec<(String, String)>)>,
-    /// Its bytes from the place that was asked for.
+    /// The bytes that are available from the requested offset on.
     pub(crate) bytes: Vec<u8>,
-    /// What became of it, once it has ended and `bytes` reach its end.
-    pub(crate) fate: Option<Status>,
+    /// How the request ended, once it has and `bytes` reach the end of the response.
+    pub(crate) status: Option<Status>,
 }
 
-/// `ask`: what concerns a service's queue.
+/// Request of `ask`: calls about a service's queue.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) enum AskCall {
-    /// Wants a server; the answer is an [`Asked`], once it is the request's turn.
-    Ask {
+pub(crate) enum QueueCall {
+    /// Enqueues a request. The reply is a [`ServerGrant`], sent once the request is granted a slot.
+    Enqueue {
         view: id::View,
         service: id::Service,
         key: id::Key,
@@ -161,19 +161,19 @@
         output: Tokens,
         prefixes: Vec<Prefix>,
         attempt: u8,
-        /// Until its deadline.
-        left: Duration,
-        /// The server on which it runs already, told to a new owner.
+        /// Time left until the deadline.
+        time_left: Duration,
+        /// The server on which the request already runs, reported to a new owner.
         running: Option<id::Server>,
     },
-    /// Reports of a request that was granted; the answer is empty.
+    /// Reports the progress or end of a granted request; the reply is empty.
     Report {
         service: id::Service,
         ticket: id::Ticket,
         host: id::Host,
         report: Report,
     },
-    /// The caller has gone; the answer is empty.
+    /// Removes a request that is no longer waited for; the reply is empty.
     Cancel {
         service: id::Service,
         ticket: id::Ticket,
@@ -181,8 +181,8 @@
     },
 }
 
-/// The owner's word.
+/// The owner's reply to [`QueueCall::Enqueue`]: the server whose slot is granted.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct Asked {
+pub(crate) struct ServerGrant {
     pub(crate) server: id::Server,
 }
--- a/crates/curlewlift/src/rpc/client.rs
+++ b/crates/curlewlift/src/rpc/client.rs
@@ -1,4 +1,4 @@
-//! Calls other processes; one connection to each address, made when it is needed.
+//! Client for calls to other processes. Keeps one connection per address, opened on first use.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -24,95 +24,99 @@
 
 use crate::timeline::Timeline;
 
-/// How long a connection may take to be made.
-const CONNECT: Duration = Duration::from_secs(1);
+/// Time limit for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-type Answer = Result<Vec<u8>, Refusal>;
+type CallResult = Result<Vec<u8>, Refusal>;
 
-/// One call on its way.
-struct Job {
+/// A call that waits for its reply.
+struct PendingCall {
     address: SocketAddr,
     method: Method,
     body: Vec<u8>,
     timeout: Duration,
-    answer: oneshot::Sender<Answer>,
+    reply: oneshot::Sender<CallResult>,
 }
 
-/// A handle that calls other processes; clones share their connections.
+/// A handle for calls to other processes. Clones share their connections.
 #[derive(Clone)]
 pub(crate) struct Client {
-    jobs: mpsc::UnboundedSender<Job>,
+    calls: mpsc::UnboundedSender<PendingCall>,
     timeline: Timeline,
 }
 
 type Connections = Rc<RefCell<HashMap<SocketAddr, node::Client>>>;
 
 impl Client {
-    /// A client whose calls run on the present local set.
+    /// Creates a client whose calls run on the current local task set.
     pub(crate) fn new(timeline: Timeline) -> Self {
-        let (jobs, mut queue) = mpsc::unbounded_channel::<Job>();
+        let (calls, mut queue) = mpsc::unbounded_channel::<PendingCall>();
         let connections = Connections::default();
-        let stamps = timeline.clone();
+        let call_timeline = timeline.clone();
         tokio::task::spawn_local(async move {
-            while let Some(job) = queue.recv().await {
-                tokio::task::spawn_local(run(job, Rc::clone(&connections), stamps.clone()));
+            while let Some(pending) = queue.recv().await {
+                tokio::task::spawn_local(run(
+                    pending,
+                    Rc::clone(&connections),
+                    call_timeline.clone(),
+                ));
             }
         });
-        Self { jobs, timeline }
+        Self { calls, timeline }
     }
 
-    /// The time line whose clock its calls carry.
+    /// The timeline whose clock stamps the calls.
     pub(crate) fn get_timeline(&self) -> &Timeline {
         &self.timeline
     }
 
-    /// Asks the process at `address`.
+    /// Calls `method` of the process at `address` and waits for the reply until `timeout` has passed.
     pub(crate) async fn call<Q, A>(
         &self,
         address: SocketAddr,
         method: Method,
-        question: &Q,
+        request: &Q,
         timeout: Duration,
     ) -> Result<A, Refusal>
     where
         Q: Serialize,
         A: DeserializeOwned,
     {
-        let (answer, wait) = oneshot::channel();
-        let body = super::encode(question);
-        let job = Job {
+        let (reply, receiver) = oneshot::channel();
+        let body = super::encode(request);
+        let pending = PendingCall {
             address,
             method,
             body,
             timeout,
-            answer,
+            reply,
         };
-        let gone = || unreachable(address, "this process is ending");
-        self.jobs.send(job).map_err(|_| gone())?;
-        let bytes = wait.await.map_err(|_| gone())??;
+        let shutting_down = || unreachable(address, "this process is shutting down");
+        self.calls.send(pending).map_err(|_| shutting_down())?;
+        let bytes = receiver.await.map_err(|_| shutting_down())??;
         super::decode(&bytes)
     }
 }
 
-async fn run(job: Job, connections: Connections, timeline: Timeline) {
-    let Job {
+async fn run(pending: PendingCall, connections: Connections, timeline: Timeline) {
+    let PendingCall {
         address,
         method,
         body,
         timeout,
-        answer,
-    } = job;
+        reply,
+    } = pending;
     let call = call(address, method, body, &connections, &timeline);
-    let mut answer = answer;
+    let mut reply = reply;
     let result = tokio::select! {
         result = tokio::time::timeout(timeout, call) => result,
-        () = answer.closed() => return,
+        () = reply.closed() => return,
     };
     let result = result.unwrap_or_else(|_| {
         connections.borrow_mut().remove(&address);
-        Err(unreachable(address, "no answer in time"))
+        Err(unreachable(address, "no reply within the time limit"))
     });
-    let _ = answer.send(result);
+    let _ = reply.send(result);
 }
 
 async fn call(
@@ -121,24 +125,24 @@
     body: Vec<u8>,
     connections: &Connections,
     timeline: &Timeline,
-) -> Answer {
+) -> CallResult {
     let client = connect(address, connections).await?;
     let mut request = client.call_request();
     let mut params = request.get();
     params.set_method(method);
     params.set_body(&body);
     params.set_stamp(timeline.stamp().0);
-    let broken = |why: capnp::Error| {
+    let connection_failed = |error: capnp::Error| {
         connections.borrow_mut().remove(&address);
-        unreachable(address, &why.to_string())
+        unreachable(address, &error.to_string())
     };
-    let response = request.send().promise.await.map_err(broken)?;
+    let response = request.send().promise.await.map_err(connection_failed)?;
     let reply = response
         .get()
         .and_then(curlewlift_wire::node_capnp::node::call_results::Reader::get_reply)
-        .map_err(broken)?;
+        .map_err(connection_failed)?;
     timeline.meet(Stamp(reply.get_stamp()));
-    let body = reply.get_body().map_err(broken)?.to_vec();
+    let body = reply.get_body().map_err(connection_failed)?.to_vec();
     match reply.get_code() {
         0 => Ok(body),
         number => {
@@ -152,9 +156,9 @@
     if let Some(client) = connections.borrow().get(&address) {
         return Ok(client.clone());
     }
-    let stream = tokio::time::timeout(CONNECT, TcpStream::connect(address)).await;
-    let stream = stream.map_err(|_| unreachable(address, "no connection in time"))?;
-    let stream = stream.map_err(|why| unreachable(address, &why.to_string()))?;
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
+    let stream = stream.map_err(|_| unreachable(address, "no connection within the time limit"))?;
+    let stream = stream.map_err(|error| unreachable(address, &error.to_string()))?;
     crate::process::watch_connection(&stream);
     let (reader, writer) = stream.compat().split();
     let network = VatNetwork::new(
@@ -165,15 +169,15 @@
     );
     let mut system = RpcSystem::new(Box::new(network), None);
     let client: node::Client = system.bootstrap(Side::Server);
-    let ended = Rc::clone(connections);
+    let open_connections = Rc::clone(connections);
     tokio::task::spawn_local(async move {
         let _ = system.await;
-        ended.borrow_mut().remove(&address);
+        open_connections.borrow_mut().remove(&address);
     });
     connections.borrow_mut().insert(address, client.clone());
     Ok(client)
 }
 
-fn unreachable(address: SocketAddr, why: &str) -> Refusal {
-    Refusal::new(Code::Unreachable, format!("{address}: {why}"))
+fn unreachable(address: SocketAddr, reason: &str) -> Refusal {
+    Refusal::new(Code::Unreachable, format!("{address}: {reason}"))
 }
--- a/crates/curlewlift/src/rpc/mod.rs
+++ b/crates/curlewlift/src/rpc/mod.rs
@@ -1,18 +1,18 @@
-//! Calls between the system's processes, over capnp-rpc.
+//! Calls between the processes of the system, over capnp-rpc.
 
 mod call;
 mod client;
 mod server;
 
-pub(crate) use call::AskCall;
-pub(crate) use call::Asked;
 pub(crate) use call::ClaimCall;
 pub(crate) use call::ClaimReply;
 pub(crate) use call::CommandCall;
 pub(crate) use call::HubCall;
 pub(crate) use call::HubReply;
-pub(crate) use call::Piece;
+pub(crate) use call::QueueCall;
 pub(crate) use call::RenewCall;
+pub(crate) use call::ResponseChunk;
+pub(crate) use call::ServerGrant;
 pub(crate) use client::Client;
 pub(crate) use curlewlift_wire::node_capnp::Method;
 pub(crate) use server::Handler;
--- a/crates/curlewlift/src/rpc/server.rs
+++ b/crates/curlewlift/src/rpc/server.rs
@@ -1,4 +1,4 @@
-//! Answers other processes.
+//! Serves calls from other processes.
 
 use std::rc::Rc;
 
@@ -20,10 +20,11 @@
 
 use crate::timeline::Timeline;
 
-/// What answers a method: the question's bytes in, the answer's bytes out.
+/// Handles a call: takes the encoded request and returns the encoded reply.
 pub(crate) type Handler =
     Rc<dyn Fn(Method, Vec<u8>) -> LocalBoxFuture<'static, Result<Vec<u8>, Refusal>>>;
 
+/// The server side of one connection.
 struct Node {
     handler: Handler,
     timeline: Timeline,
@@ -38,10 +39,10 @@
         let params = params.get()?;
         self.timeline.meet(Stamp(params.get_stamp()));
         let body = params.get_body()?.to_vec();
-        let answer = (self.handler)(params.get_method()?, body).await;
+        let result = (self.handler)(params.get_method()?, body).await;
         let mut reply = results.get().init_reply();
         reply.set_stamp(self.timeline.stamp().0);
-        match answer {
+        match result {
             Ok(body) => reply.set_body(&body),
             Err(refusal) => {
                 reply.set_code(refusal.get_code().number());
@@ -52,7 +53,7 @@
     }
 }
 
-/// Answers on `listener` until the local set ends.
+/// Serves the connections of `listener` until the local task set ends.
 pub(crate) async fn serve(listener: TcpListener, handler: Handler, timeline: Timeline) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -63,11 +64,11 @@
             handler: Rc::clone(&handler),
             timeline: timeline.clone(),
         };
-        tokio::task::spawn_local(answer(stream, node));
+        tokio::task::spawn_local(serve_connection(stream, node));
     }
 }
 
-async fn answer(stream: TcpStream, node: Node) {
+async fn serve_connection(stream: TcpStream, node: Node) {
     crate::process::watch_connection(&stream);
     let (reader, writer) = stream.compat().split();
     let network = VatNetwork::new(
@@ -80,13 +81,17 @@
     let _ = RpcSystem::new(Box::new(network), Some(client.client)).await;
 }
 
-/// A value as the calls carry it.
+/// Encodes a value by position, as the bodies of calls carry it.
 pub(crate) fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
-/// Reads what [`encode`] wrote.
+/// Decodes what [`encode`] wrote.
 pub(crate) fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Refusal> {
-    postcard::from_bytes(bytes)
-        .map_err(|why| Refusal::new(Code::BadJson, format!("a call that cannot be read: {why}")))
+    postcard::from_bytes(bytes).map_err(|error| {
+        Refusal::new(
+            Code::BadJson,
+            format!("the call cannot be decoded: {error}"),
+        )
+    })
 }
