--- a/crates/curlewlift/src/entry/addresses.rs
+++ b/crates/curlewlift/src/entry/addresses.rs
@@ -15,7 +15,7 @@
 /// A key that begins with the stamp tells when it was drawn; after a loss of claims it can still
 /// be told from those that may have run.
 pub(super) fn answer(node: &Node) -> Result<Json<Value>, Refusal> {
-    let roster = node.acting()?;
+    let roster = node.usable_roster()?;
     let live = roster.members.iter().filter(|member| !member.leaving);
     let addresses: Vec<_> = live
         .map(|member| json!({ "address": member.http, "hall": member.hall, "weight": 1 }))
--- a/crates/curlewlift/src/entry/answers.rs
+++ b/crates/curlewlift/src/entry/calls.rs
@@ -1,4 +1,4 @@
-//! Answers what other processes ask an entry.
+//! Handles the calls of other processes to an entry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,44 +24,45 @@
 use super::owner;
 use super::schedule;
 
-/// How long a question for more of an answer waits for it.
-const WAIT: Duration = Duration::from_secs(1);
+/// How long a fetch waits for further bytes of a response.
+const FETCH_WAIT: Duration = Duration::from_secs(1);
 
-/// What answers each method.
+/// The handler of all methods.
 pub(super) fn handler(node: Arc<Node>) -> Handler {
     std::rc::Rc::new(move |method, body| {
         let node = Arc::clone(&node);
         async move {
             match method {
-                Method::Claim => claim(&node, rpc::decode(&body)?)
+                Method::Claim => claim_call(&node, rpc::decode(&body)?)
                     .await
                     .map(|reply| rpc::encode(&reply)),
-                Method::Ask => ask(&node, rpc::decode(&body)?).await,
+                Method::Ask => queue_call(&node, rpc::decode(&body)?).await,
                 Method::Events => {
                     let filter: Filter = rpc::decode(&body)?;
                     Ok(rpc::encode(&node.timeline.select(&filter)))
                 }
-                Method::Step | Method::Command | Method::Renew => {
-                    Err(Refusal::new(Code::WrongMethod, "an entry keeps no log"))
-                }
+                Method::Step | Method::Command | Method::Renew => Err(Refusal::new(
+                    Code::WrongMethod,
+                    "an entry keeps no replicated log",
+                )),
             }
         }
         .boxed_local()
     })
 }
 
-async fn claim(node: &Arc<Node>, call: ClaimCall) -> Result<ClaimReply, Refusal> {
+async fn claim_call(node: &Arc<Node>, call: ClaimCall) -> Result<ClaimReply, Refusal> {
     Ok(match call {
         ClaimCall::Claim(claim) => {
-            node.acting()?;
-            let answer = lock(&node.table).claim(&claim, node.now());
-            if answer == Response::Granted {
+            node.usable_roster()?;
+            let response = lock(&node.claim_table).claim(&claim, node.now());
+            if response == Response::Granted {
                 let line = Line::new(Kind::ClaimKept).key(claim.key);
                 let holder = &claim.record.holder;
                 node.timeline
                     .note(line.detail(format_args!("holder={holder}")));
             }
-            ClaimReply::Claimed(answer)
+            ClaimReply::Claimed(response)
         }
         ClaimCall::RecordEnd {
             key,
@@ -69,43 +70,43 @@
             holder,
             status,
         } => {
-            lock(&node.table).record_end(key, ticket, &holder, status);
+            lock(&node.claim_table).record_end(key, ticket, &holder, status);
             ClaimReply::EndRecorded
         }
         ClaimCall::CopyShard { shard, view } => {
-            ClaimReply::ShardCopy(lock(&node.table).copy_shard(shard, view))
+            ClaimReply::ShardCopy(lock(&node.claim_table).copy_shard(shard, view))
         }
-        ClaimCall::Lookup { key } => ClaimReply::Found(lock(&node.table).get(key).cloned()),
+        ClaimCall::Lookup { key } => ClaimReply::Found(lock(&node.claim_table).get(key).cloned()),
         ClaimCall::FetchResponse { key, body, from } => {
             let kept = lock(&node.store).get(key).cloned();
             if kept
                 .as_ref()
                 .is_some_and(|kept| body != 0 && kept.digest != body)
             {
-                let why = "the key was used with another body";
-                return Err(Refusal::new(Code::OtherBody, why));
+                let detail = "the key was used with another body";
+                return Err(Refusal::new(Code::OtherBody, detail));
             }
             let from = usize::try_from(from).unwrap_or(usize::MAX);
             match kept {
-                Some(kept) => ClaimReply::ResponseChunk(Some(kept.piece(from, WAIT).await)),
+                Some(kept) => ClaimReply::ResponseChunk(Some(kept.piece(from, FETCH_WAIT).await)),
                 None => ClaimReply::ResponseChunk(None),
             }
         }
     })
 }
 
-async fn ask(node: &Arc<Node>, call: QueueCall) -> Result<Vec<u8>, Refusal> {
+async fn queue_call(node: &Arc<Node>, call: QueueCall) -> Result<Vec<u8>, Refusal> {
     let QueueCall::Enqueue { view, .. } = &call else {
-        schedule::take(node, call);
+        schedule::handle_report(node, call);
         return Ok(rpc::encode(&()));
     };
-    let own = node.acting()?.number;
-    if *view != own {
-        let why = format!("view {view} was named, and this entry holds {own}");
-        return Err(Refusal::new(Code::WrongView, why));
+    let own_view = node.usable_roster()?.number;
+    if *view != own_view {
+        let detail = format!("the call names view {view}; this entry holds view {own_view}");
+        return Err(Refusal::new(Code::WrongView, detail));
     }
-    let wait = owner::ask(node, call)?;
-    let gone = || Refusal::new(Code::WrongView, "the queue has gone");
-    let server = wait.await.map_err(|_| gone())??;
+    let receiver = owner::enqueue(node, call)?;
+    let queue_dropped = || Refusal::new(Code::WrongView, "the owner dropped the queue");
+    let server = receiver.await.map_err(|_| queue_dropped())??;
     Ok(rpc::encode(&ServerGrant { server }))
 }
--- a/crates/curlewlift/src/entry/claims.rs
+++ b/crates/curlewlift/src/entry/claims.rs
@@ -60,7 +60,7 @@
 pub(super) async fn claim(node: &Arc<Node>, request: &Request) -> Result<(), Stop> {
     let until = request.deadline.min(node.now() + PATIENCE);
     loop {
-        let roster = node.act().await?;
+        let roster = node.wait_for_roster().await?;
         match round(node, request, &roster).await {
             Round::Granted => {
                 let line = Line::new(Kind::Claimed)
@@ -146,7 +146,7 @@
 async fn ask(node: &Arc<Node>, member: &Member, claim: &Claim) -> Result<Response, Refusal> {
     if member.host == node.member.host {
         let now = node.now();
-        return Ok(lock(&node.table).claim(claim, now));
+        return Ok(lock(&node.claim_table).claim(claim, now));
     }
     let call = ClaimCall::Claim(claim.clone());
     match node
@@ -164,7 +164,7 @@
 
 /// Tells the replicas what became of a request.
 pub(super) async fn end(node: &Arc<Node>, request: &Request, status: Status) {
-    let roster = Arc::clone(lock(&node.holder).get_roster());
+    let roster = Arc::clone(lock(&node.view_holder).get_roster());
     let replicas = roster.replicas(request.key.shard(SHARD_COUNT));
     let tell = replicas
         .into_iter()
@@ -175,7 +175,7 @@
 async fn tell(node: &Arc<Node>, member: &Member, request: &Request, status: Status) {
     let holder = node.member.host.clone();
     if member.host == node.member.host {
-        lock(&node.table).record_end(request.key, request.ticket, &holder, status);
+        lock(&node.claim_table).record_end(request.key, request.ticket, &holder, status);
         return;
     }
     let call = ClaimCall::RecordEnd {
@@ -190,11 +190,11 @@
 
 /// What the replicas keep of `key`.
 pub(super) async fn look(node: &Arc<Node>, key: id::Key) -> Result<Option<Record>, Refusal> {
-    let roster = node.act().await?;
+    let roster = node.wait_for_roster().await?;
     let mut answered = false;
     for member in roster.replicas(key.shard(SHARD_COUNT)) {
         let found = if member.host == node.member.host {
-            Ok(lock(&node.table).get(key).cloned())
+            Ok(lock(&node.claim_table).get(key).cloned())
         } else {
             look_at(node, member, key).await
         };
--- a/crates/curlewlift/src/entry/daemon.rs
+++ b/crates/curlewlift/src/entry/daemon.rs
@@ -22,7 +22,7 @@
 use crate::rpc;
 use crate::timeline::Timeline;
 
-use super::answers;
+use super::calls;
 use super::http;
 use super::node::Node;
 use super::owner;
@@ -132,7 +132,7 @@
         client,
     );
     let node = Arc::new(node);
-    let handler = answers::handler(Arc::clone(&node));
+    let handler = calls::handler(Arc::clone(&node));
     tokio::task::spawn_local(rpc::serve(rpc_listener, handler, timeline.clone()));
     let router = http::router(Arc::clone(&node));
     let server = axum::serve(http_listener, router);
@@ -160,7 +160,7 @@
     loop {
         every.tick().await;
         owner::tick(&node);
-        let (waiting, running) = owner::counts(&node);
+        let (waiting, running) = owner::count_requests(&node);
         #[allow(clippy::cast_precision_loss)]
         {
             metrics::gauge!("curlewlift_queue_waiting").set(waiting as f64);
--- a/crates/curlewlift/src/entry/http.rs
+++ b/crates/curlewlift/src/entry/http.rs
@@ -146,7 +146,7 @@
         ));
     }
     let (customer, rights) = admit::customer(node, headers)?;
-    node.act().await?;
+    node.wait_for_roster().await?;
     let open = admit::enter(node, &customer, &rights)?;
     let body = read_body(body, rights.body).await?;
     let sender = Sender { customer, rights };
--- a/crates/curlewlift/src/entry/mod.rs
+++ b/crates/curlewlift/src/entry/mod.rs
@@ -6,7 +6,7 @@
 
 mod addresses;
 mod admit;
-mod answers;
+mod calls;
 mod claims;
 mod daemon;
 mod http;
--- a/crates/curlewlift/src/entry/owner.rs
+++ b/crates/curlewlift/src/entry/owner.rs
@@ -1,4 +1,4 @@
-//! The queues that this entry owns.
+//! The queues of the services that this entry owns.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,34 +25,35 @@
 use crate::rpc::QueueCall;
 
 use super::node::Node;
-use super::node::Word;
+use super::node::SlotResult;
 use super::node::lock;
 
-/// How long a new owner listens for what runs already before it grants anything.
-const GRACE: Duration = Duration::from_millis(300);
+/// How long a new owner grants nothing, so that entries can report the requests that already run.
+const RUNNING_REPORT_WAIT: Duration = Duration::from_millis(300);
 
-/// A queue that this entry owns.
-pub(super) struct Owned {
+/// The queue of a service that this entry owns.
+pub(super) struct OwnedQueue {
     queue: Queue,
-    since: Instant,
+    owned_since: Instant,
     revision: id::Revision,
 }
 
-/// Does `step` with the queue of `service`, and passes on what follows from it.
+/// Runs `step` on the queue of `service` and delivers the resulting decisions to the waiting
+/// requests.
 ///
 /// # Errors
 ///
-/// [`Code::WrongView`] where this entry does not own the service.
-pub(super) fn with(
+/// [`Code::WrongView`] if this entry does not own the service.
+pub(super) fn with_queue(
     node: &Node,
     service: &id::Service,
     step: impl FnOnce(&mut Queue, Instant),
 ) -> Result<(), Refusal> {
-    let roster = node.acting()?;
-    let own = roster
+    let roster = node.usable_roster()?;
+    let is_owner = roster
         .owner(service)
         .is_some_and(|owner| owner.host == node.member.host);
-    if !own {
+    if !is_owner {
         return Err(Refusal::new(
             Code::WrongView,
             "another entry owns the service",
@@ -60,32 +61,34 @@
     }
     let now = node.now();
     let snapshot = node.snapshot();
-    let mut owned = lock(&node.owned);
-    let entry = owned.entry(service.clone());
-    let owned = entry.or_insert_with(|| begin(node, service, &roster, now));
+    let mut queues = lock(&node.queues);
+    let entry = queues.entry(service.clone());
+    let owned = entry.or_insert_with(|| create_queue(node, service, &roster, now));
     refresh(owned, service, &snapshot, now);
     step(&mut owned.queue, now);
-    pass_on(node, &mut owned.queue, now);
+    deliver_decisions(node, &mut owned.queue, now);
     Ok(())
 }
 
-fn begin(node: &Node, service: &id::Service, roster: &Roster, now: Instant) -> Owned {
+/// Creates the queue of a service that this entry has just become the owner of. Grants are held at
+/// first.
+fn create_queue(node: &Node, service: &id::Service, roster: &Roster, now: Instant) -> OwnedQueue {
     let detail = format!("service={service} view={}", roster.number);
     node.timeline.note(Line::new(Kind::Owns).detail(detail));
     let mut queue = Queue::new(Fleet::default(), Tokens(u64::MAX));
     queue.set_grants_held(true, now);
-    Owned {
+    OwnedQueue {
         queue,
-        since: now,
+        owned_since: now,
         revision: id::Revision::default(),
     }
 }
 
-/// Takes up a newer configuration, and ends the time of listening.
-fn refresh(owned: &mut Owned, service: &id::Service, snapshot: &Snapshot, now: Instant) {
+/// Applies a newer configuration, and stops holding grants once [`RUNNING_REPORT_WAIT`] has passed.
+fn refresh(owned: &mut OwnedQueue, service: &id::Service, snapshot: &Snapshot, now: Instant) {
     if owned.revision != snapshot.revision {
         owned.revision = snapshot.revision;
-        let specs = specs(service, snapshot);
+        let specs = live_servers(service, snapshot);
         owned
             .queue
             .update_fleet(|fleet| fleet.set_servers(specs, now), now);
@@ -93,12 +96,13 @@
             owned.queue.set_work_limit(service.work);
         }
     }
-    if now.since(owned.since) >= GRACE {
+    if now.since(owned.owned_since) >= RUNNING_REPORT_WAIT {
         owned.queue.set_grants_held(false, now);
     }
 }
 
-fn specs(service: &id::Service, snapshot: &Snapshot) -> Vec<Spec> {
+/// The servers of `service` that take requests.
+fn live_servers(service: &id::Service, snapshot: &Snapshot) -> Vec<Spec> {
     let servers = snapshot
         .servers
         .iter()
@@ -114,24 +118,24 @@
     specs.collect()
 }
 
-/// Tells the waiting requests what the queue decided.
-fn pass_on(node: &Node, queue: &mut Queue, now: Instant) {
+/// Sends the decisions of the queue to the requests that wait for them.
+fn deliver_decisions(node: &Node, queue: &mut Queue, now: Instant) {
     loop {
         let actions = queue.take_actions();
         if actions.is_empty() {
             return;
         }
         for action in actions {
-            let (ticket, word) = match action {
+            let (ticket, result) = match action {
                 Action::Grant { ticket, pick } => (ticket, Ok(pick.name)),
                 Action::Refuse { ticket, refusal } => {
                     note_shed(node, &ticket, &refusal);
                     (ticket, Err(refusal))
                 }
             };
-            let wait = lock(&node.waits).remove(&ticket);
-            let heard = wait.is_some_and(|wait| wait.send(word).is_ok());
-            if !heard {
+            let sender = lock(&node.waiting).remove(&ticket);
+            let delivered = sender.is_some_and(|sender| sender.send(result).is_ok());
+            if !delivered {
                 queue.cancel(&ticket, now);
             }
         }
@@ -145,8 +149,11 @@
     }
 }
 
-/// Puts a request into the queue; the receiver is told once it is its turn.
-pub(super) fn ask(node: &Node, call: QueueCall) -> Result<oneshot::Receiver<Word>, Refusal> {
+/// Enqueues a request. The receiver gets the granted server or the refusal.
+pub(super) fn enqueue(
+    node: &Node,
+    call: QueueCall,
+) -> Result<oneshot::Receiver<SlotResult>, Refusal> {
     let QueueCall::Enqueue {
         service,
         key,
@@ -164,13 +171,13 @@
     else {
         return Err(Refusal::new(
             Code::Internal,
-            "only a request is put into a queue",
+            "the call does not enqueue a request",
         ));
     };
     let snapshot = node.snapshot();
     let rights = snapshot.customers.get(&customer);
-    let first = rights.and_then(|rights| snapshot.first(rights));
-    let ask = Request {
+    let first_token_limit = rights.and_then(|rights| snapshot.first(rights));
+    let request = Request {
         ticket: queue::Ticket {
             host,
             number: ticket,
@@ -183,91 +190,95 @@
         max_output: output,
         prefixes,
         attempt,
-        first_token_deadline: first.map_or(node.now() + time_left, |first| {
-            node.now() + time_left.min(first)
+        first_token_deadline: first_token_limit.map_or(node.now() + time_left, |limit| {
+            node.now() + time_left.min(limit)
         }),
         deadline: node.now() + time_left,
     };
-    let line = Line::new(Kind::Queued).key(key).customer(&ask.customer);
-    let detail = format!("service={service} tier={} from={}", ask.rank, ask.ticket);
+    let line = Line::new(Kind::Queued).key(key).customer(&request.customer);
+    let detail = format!(
+        "service={service} tier={} from={}",
+        request.rank, request.ticket
+    );
     node.timeline.note(line.detail(detail));
     let (sender, receiver) = oneshot::channel();
-    let ticket = ask.ticket.clone();
+    let ticket = request.ticket.clone();
     if let Some(server) = running {
         let _ = sender.send(Ok(server.clone()));
-        with(node, &service, |queue, now| {
-            queue.restore_running(ask, &server, now);
+        with_queue(node, &service, |queue, now| {
+            queue.restore_running(request, &server, now);
         })?;
         return Ok(receiver);
     }
-    lock(&node.waits).insert(ticket.clone(), sender);
-    let asked = with(node, &service, |queue, now| queue.submit(ask, now));
-    if let Err(refusal) = asked {
-        lock(&node.waits).remove(&ticket);
+    lock(&node.waiting).insert(ticket.clone(), sender);
+    let submitted = with_queue(node, &service, |queue, now| queue.submit(request, now));
+    if let Err(refusal) = submitted {
+        lock(&node.waiting).remove(&ticket);
         return Err(refusal);
     }
     Ok(receiver)
 }
 
-/// Takes in what an entry reports; nothing where the service is owned elsewhere by now.
+/// Applies an entry's report to the queue, or ignores it if another entry owns the service by now.
 pub(super) fn report(node: &Node, service: &id::Service, ticket: &queue::Ticket, report: Report) {
-    let _ = with(node, service, |queue, now| {
+    let _ = with_queue(node, service, |queue, now| {
         queue.report(ticket, report, now);
     });
 }
 
-/// Takes a request out of the queue.
+/// Removes a request from the queue.
 pub(super) fn cancel(node: &Node, service: &id::Service, ticket: &queue::Ticket) {
-    lock(&node.waits).remove(ticket);
-    let _ = with(node, service, |queue, now| queue.cancel(ticket, now));
+    lock(&node.waiting).remove(ticket);
+    let _ = with_queue(node, service, |queue, now| queue.cancel(ticket, now));
 }
 
-/// Time has passed.
+/// Lets every owned queue decide again as time passes.
 pub(super) fn tick(node: &Node) {
-    let services: Vec<_> = lock(&node.owned).keys().cloned().collect();
+    let services: Vec<_> = lock(&node.queues).keys().cloned().collect();
     for service in services {
-        let _ = with(node, &service, curlewlift_core::queue::Queue::tick);
+        let _ = with_queue(node, &service, curlewlift_core::queue::Queue::tick);
     }
 }
 
-/// A view has become active: lets go of what is owned elsewhere now, and of hosts that are gone.
-pub(super) fn adopt(node: &Arc<Node>, roster: &Roster, previous: &Roster) {
+/// Applies a view that has become active: drops the queues that another entry owns now, and the
+/// requests of entries that are no longer members.
+pub(super) fn apply_view(node: &Arc<Node>, roster: &Roster, previous: &Roster) {
     let now = node.now();
-    let mut owned = lock(&node.owned);
-    let mut gone = Vec::new();
-    owned.retain(|service, owned| {
-        let own = roster
+    let mut queues = lock(&node.queues);
+    let mut dropped = Vec::new();
+    queues.retain(|service, owned| {
+        let is_owner = roster
             .owner(service)
             .is_some_and(|owner| owner.host == node.member.host);
-        if !own {
-            gone.extend(owned.queue.waiting_tickets().cloned());
+        if !is_owner {
+            dropped.extend(owned.queue.waiting_tickets().cloned());
         }
-        own
+        is_owner
     });
-    for (_, owned) in owned.iter_mut() {
+    for (_, owned) in queues.iter_mut() {
         for member in previous.members.iter().filter(|member| !roster.has(member)) {
             owned.queue.remove_entry(&member.host, now);
         }
-        pass_on(node, &mut owned.queue, now);
+        deliver_decisions(node, &mut owned.queue, now);
     }
-    drop(owned);
-    let mut waits = lock(&node.waits);
-    for ticket in gone {
-        if let Some(wait) = waits.remove(&ticket) {
+    drop(queues);
+    let mut waiting = lock(&node.waiting);
+    for ticket in dropped {
+        if let Some(sender) = waiting.remove(&ticket) {
             let refusal = Refusal::new(Code::WrongView, "another entry owns the service now");
-            let _ = wait.send(Err(refusal));
+            let _ = sender.send(Err(refusal));
         }
     }
 }
 
-/// Requests that wait and run in the queues owned here.
-pub(super) fn counts(node: &Node) -> (usize, usize) {
-    let owned = lock(&node.owned);
-    let waiting = owned
+/// Numbers of waiting and running requests in the queues that this entry owns.
+pub(super) fn count_requests(node: &Node) -> (usize, usize) {
+    let queues = lock(&node.queues);
+    let waiting = queues
         .values()
         .map(|owned| owned.queue.waiting_count())
         .sum();
-    let running = owned
+    let running = queues
         .values()
         .map(|owned| owned.queue.running_count())
         .sum();
--- a/crates/curlewlift/src/entry/parse.rs
+++ b/crates/curlewlift/src/entry/parse.rs
@@ -201,7 +201,7 @@
         output: Tokens(1),
         prefixes: Vec::new(),
         deadline: node.now() + left,
-        ticket: node.ticket(),
+        ticket: node.next_ticket(),
     })
 }
 
--- a/crates/curlewlift/src/entry/renew.rs
+++ b/crates/curlewlift/src/entry/renew.rs
@@ -40,25 +40,30 @@
     let mut acting = id::View(0);
     loop {
         let renewed = once(&node, &mut control).await;
-        let now_acting = node.acting().map_or(id::View(0), |roster| roster.number);
+        let now_acting = node
+            .usable_roster()
+            .map_or(id::View(0), |roster| roster.number);
         if now_acting != acting {
             acting = now_acting;
             take_up(&node, acting);
         }
-        let hurry = !renewed || lock(&node.holder).is_changing();
+        let hurry = !renewed || lock(&node.view_holder).is_changing();
         tokio::time::sleep(if hurry { HURRY } else { lease.renew_interval }).await;
     }
 }
 
 /// One renewal at the control replica that answered last, or at the next one.
 async fn once(node: &Arc<Node>, control: &mut usize) -> bool {
-    let Some(address) = node.control.get(*control % node.control.len().max(1)) else {
+    let Some(address) = node
+        .control_addresses
+        .get(*control % node.control_addresses.len().max(1))
+    else {
         return false;
     };
     let asked = node.now();
-    let whole = lock(&node.table).pending_copies().is_empty();
-    lock(&node.holder).set_shards_complete(whole);
-    let call = RenewCall::Entry(lock(&node.holder).renewal());
+    let whole = lock(&node.claim_table).pending_copies().is_empty();
+    lock(&node.view_holder).set_shards_complete(whole);
+    let call = RenewCall::Entry(lock(&node.view_holder).renewal());
     let grant: Result<Grant, Refusal> = node.rpc.call(*address, Method::Renew, &call, CALL).await;
     match grant {
         Ok(grant) => {
@@ -74,7 +79,7 @@
 }
 
 fn take(node: &Node, grant: Grant, asked: curlewlift_core::clock::Instant) {
-    let mut holder = lock(&node.holder);
+    let mut holder = lock(&node.view_holder);
     let revision = holder.get_snapshot().revision;
     let view = holder.get_roster().number;
     holder.on_grant(grant, asked);
@@ -97,13 +102,13 @@
         node.timeline.note(Line::new(Kind::LeaseLost));
         return;
     }
-    let holder = lock(&node.holder);
+    let holder = lock(&node.view_holder);
     let roster = Arc::clone(holder.get_roster());
     let previous = Arc::clone(holder.get_previous_roster());
     drop(holder);
-    lock(&node.table).apply_view(&roster, &previous, node.now());
-    owner::adopt(node, &roster, &previous);
-    schedule::resume(node, &roster);
+    lock(&node.claim_table).apply_view(&roster, &previous, node.now());
+    owner::apply_view(node, &roster, &previous);
+    schedule::report_running(node, &roster);
     node.timeline.note(Line::new(Kind::ViewActive).detail(view));
     node.view_changed.notify_waiters();
 }
@@ -120,7 +125,7 @@
 
 /// Asks for the copies of shards that are kept here since this view.
 async fn fill(node: &Arc<Node>) {
-    let wanted = lock(&node.table).pending_copies();
+    let wanted = lock(&node.claim_table).pending_copies();
     let copies = wanted
         .into_iter()
         .map(|(shard, source)| copy(node, shard, source));
@@ -128,18 +133,18 @@
 }
 
 async fn copy(node: &Arc<Node>, shard: id::Shard, source: Member) {
-    let view = lock(&node.holder).get_roster().number;
+    let view = lock(&node.view_holder).get_roster().number;
     let call = ClaimCall::CopyShard { shard, view };
     let reply = node.rpc.call(source.rpc, Method::Claim, &call, COPY).await;
     let now = node.now();
     match reply {
         Ok(ClaimReply::ShardCopy(CopyResponse::Complete(slot))) => {
-            lock(&node.table).install_copy(shard, view, slot, now);
+            lock(&node.claim_table).install_copy(shard, view, slot, now);
             node.timeline
                 .note(Line::new(Kind::ShardFilled).detail(shard));
         }
         Ok(ClaimReply::ShardCopy(CopyResponse::Incomplete)) => {
-            lock(&node.table).skip_source(shard, &source.host, now);
+            lock(&node.claim_table).skip_source(shard, &source.host, now);
             let detail = format!("shard={shard} source={}", source.host);
             node.timeline
                 .note(Line::new(Kind::ShardLost).detail(detail));
--- a/crates/curlewlift/src/entry/run.rs
+++ b/crates/curlewlift/src/entry/run.rs
@@ -56,7 +56,7 @@
     let kept = Arc::new(Kept::new(request.digest));
     store.put(request.key, Arc::clone(&kept));
     let reader = kept.attach();
-    node.open.fetch_add(1, Ordering::Relaxed);
+    node.open_requests.fetch_add(1, Ordering::Relaxed);
     tokio::spawn(run(Arc::clone(node), Arc::new(request), kept));
     Ok(reader)
 }
@@ -118,27 +118,27 @@
         return follow(node, request.key, kept, record).await;
     }
     let claim = claim(node, request);
-    let turn = async {
-        schedule::turn(node, request, 0)
+    let grant = async {
+        schedule::wait_for_slot(node, request, 0)
             .await
             .map_err(Stop::Refused)
     };
-    let (mut turn, mut attempt) = match tokio::try_join!(turn, claim) {
-        Ok((turn, ())) => (turn, 0),
+    let (mut grant, mut attempt) = match tokio::try_join!(grant, claim) {
+        Ok((grant, ())) => (grant, 0),
         Err(Stop::Earlier(record)) => return follow(node, request.key, kept, record).await,
         Err(Stop::Refused(refusal)) => return refused(refusal),
     };
     loop {
         kept.sent();
-        match send::send(node, request, kept, turn).await {
+        match send::send(node, request, kept, grant).await {
             Sent::Ended(end) => return end,
             Sent::NotRun(refusal) => {
                 kept.not_sent();
                 attempt += 1;
                 let line = Line::new(Kind::TriedAgain).key(request.key);
                 node.timeline.note(line.detail(&refusal));
-                match schedule::turn(node, request, attempt).await {
-                    Ok(next) => turn = next,
+                match schedule::wait_for_slot(node, request, attempt).await {
+                    Ok(next) => grant = next,
                     Err(_) => return not_run(refusal),
                 }
             }
@@ -200,8 +200,8 @@
     node.timeline
         .note(line.detail(format_args!("code={code} outcome={outcome}")));
     metrics::counter!("curlewlift_requests_total", "outcome" => outcome.to_string()).increment(1);
-    node.finished.fetch_add(1, Ordering::Relaxed);
-    node.open.fetch_sub(1, Ordering::Relaxed);
+    node.finished_requests.fetch_add(1, Ordering::Relaxed);
+    node.open_requests.fetch_sub(1, Ordering::Relaxed);
 }
 
 /// Passes on the answer of the first request with the key, from the entry that holds it.
@@ -252,7 +252,7 @@
         let why = "a request with this key may have run; the entry that held its answer is gone";
         Refusal::new(Code::ClaimUnknown, why)
     };
-    let roster = node.act().await?;
+    let roster = node.wait_for_roster().await?;
     let holder = roster.get(&record.holder).ok_or_else(lost)?;
     if holder.incarnation != record.incarnation {
         return Err(lost());
--- a/crates/curlewlift/src/entry/schedule.rs
+++ b/crates/curlewlift/src/entry/schedule.rs
@@ -1,4 +1,4 @@
-//! Waits for a request's turn at the owner of its service, and reports to it.
+//! Waits for a slot that the owner of the request's service grants, and reports to the owner.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,51 +18,52 @@
 use crate::rpc::ServerGrant;
 
 use super::node::Node;
-use super::node::Word;
+use super::node::SlotResult;
 use super::node::lock;
 use super::owner;
 use super::request::Request;
 
-/// Between two attempts, while the owner changes.
-const PAUSE: Duration = Duration::from_millis(25);
+/// Pause before the owner is asked again while the owner or the view changes.
+const RETRY_PAUSE: Duration = Duration::from_millis(25);
 
-/// Added to a request's time left, for the owner's own refusal to arrive.
-const MARGIN: Duration = Duration::from_millis(200);
+/// Added to the time left of a request, so that the owner's refusal at the deadline still arrives.
+const REFUSAL_MARGIN: Duration = Duration::from_millis(200);
 
-/// How long a report may take.
-const REPORT: Duration = Duration::from_secs(1);
+/// Time limit for a report to an owner.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A request's turn: the server is counted as busy with it until this goes.
-pub(super) struct Turn {
+/// A granted slot at `server`. The owner counts the slot as used until the grant is ended or
+/// dropped.
+pub(super) struct SlotGrant {
     node: Arc<Node>,
     request: Arc<Request>,
     pub(super) server: id::Server,
     ended: bool,
 }
 
-impl Turn {
-    /// Tells the owner how it goes.
+impl SlotGrant {
+    /// Reports progress to the owner.
     pub(super) fn report(&self, report: Report) {
-        tell(&self.node, &self.request, report);
+        send_report(&self.node, &self.request, report);
     }
 
-    /// Tells the owner that it has ended.
+    /// Reports the end of the request to the owner.
     pub(super) fn end(mut self, output: Tokens, cached: Option<Tokens>) {
         self.ended = true;
-        self.leave(Report::Ended { output, cached });
+        self.release(Report::Ended { output, cached });
     }
 
-    fn leave(&self, report: Report) {
+    fn release(&self, report: Report) {
         lock(&self.node.running).remove(&self.request.ticket);
-        tell(&self.node, &self.request, report);
+        send_report(&self.node, &self.request, report);
     }
 }
 
-impl Drop for Turn {
+impl Drop for SlotGrant {
     fn drop(&mut self) {
         if !self.ended {
             let output = Tokens(0);
-            self.leave(Report::Ended {
+            self.release(Report::Ended {
                 output,
                 cached: None,
             });
@@ -70,22 +71,22 @@
     }
 }
 
-/// A place in a queue, given up when it goes without a turn.
-struct Place<'a> {
+/// A queued request. It is cancelled at the owner if this is dropped before the owner has decided.
+struct QueuedRequest<'a> {
     node: &'a Arc<Node>,
     request: &'a Arc<Request>,
-    taken: bool,
+    decided: bool,
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueuedRequest<'_> {
     fn drop(&mut self) {
-        if self.taken {
+        if self.decided {
             return;
         }
         let service = self.request.service.clone();
         let host = self.node.member.host.clone();
         let ticket = self.request.ticket;
-        to_owner(
+        send_to_owner(
             self.node,
             &self.request.service,
             QueueCall::Cancel {
@@ -97,71 +98,82 @@
     }
 }
 
-/// Waits for the request's turn; the `attempt`-th after the first.
-pub(super) async fn turn(
+/// Waits until the owner grants a slot. `attempt` is 0 for the first attempt and counts the
+/// retries.
+pub(super) async fn wait_for_slot(
     node: &Arc<Node>,
     request: &Arc<Request>,
     attempt: u8,
-) -> Result<Turn, Refusal> {
-    let mut place = Place {
+) -> Result<SlotGrant, Refusal> {
+    let mut queued = QueuedRequest {
         node,
         request,
-        taken: false,
+        decided: false,
     };
     loop {
         if node.now() >= request.deadline {
             return Err(Refusal::new(
                 Code::Expired,
-                "the deadline passed while it waited",
+                "the deadline passed while the request waited in the queue",
             ));
         }
-        let word = match node.act().await {
-            Ok(roster) => ask_once(node, request, attempt, &roster).await,
+        let result = match node.wait_for_roster().await {
+            Ok(roster) => request_slot(node, request, attempt, &roster).await,
             Err(refusal) => Err(refusal),
         };
-        match word {
+        match result {
             Ok(server) => {
-                place.taken = true;
+                queued.decided = true;
                 let line = Line::new(Kind::Granted).key(request.key).server(&server);
                 node.timeline.note(line.customer(&request.customer));
                 let running = (Arc::clone(request), server.clone());
                 lock(&node.running).insert(request.ticket, running);
-                return Ok(Turn {
+                return Ok(SlotGrant {
                     node: Arc::clone(node),
                     request: Arc::clone(request),
                     server,
                     ended: false,
                 });
             }
-            Err(why) if is_passing(why.get_code()) => tokio::time::sleep(PAUSE).await,
-            Err(why) => {
-                place.taken = true;
-                return Err(why);
+            Err(refusal) if is_temporary(refusal.get_code()) => {
+                tokio::time::sleep(RETRY_PAUSE).await;
+            }
+            Err(refusal) => {
+                queued.decided = true;
+                return Err(refusal);
             }
         }
     }
 }
 
-/// Whether the owner only has to be asked again: it is changing, or its view is.
-fn is_passing(code: Code) -> bool {
+/// Whether the owner has to be asked again: it, or the view, is changing.
+fn is_temporary(code: Code) -> bool {
     matches!(code, Code::WrongView | Code::Unreachable)
 }
 
-async fn ask_once(node: &Arc<Node>, request: &Arc<Request>, attempt: u8, roster: &Roster) -> Word {
+async fn request_slot(
+    node: &Arc<Node>,
+    request: &Arc<Request>,
+    attempt: u8,
+    roster: &Roster,
+) -> SlotResult {
     let no_owner = || Refusal::new(Code::WrongView, "no entry owns the service");
     let owner = roster.owner(&request.service).ok_or_else(no_owner)?;
-    let call = question(node, request, attempt, roster, None);
+    let call = enqueue_call(node, request, attempt, roster, None);
     if owner.host == node.member.host {
-        let wait = owner::ask(node, call)?;
-        let gone = || Refusal::new(Code::WrongView, "the queue has gone");
-        return wait.await.map_err(|_| gone())?;
+        let receiver = owner::enqueue(node, call)?;
+        let queue_dropped = || Refusal::new(Code::WrongView, "the owner dropped the queue");
+        return receiver.await.map_err(|_| queue_dropped())?;
     }
-    let left = request.deadline.since(node.now()) + MARGIN;
-    let asked: ServerGrant = node.rpc.call(owner.rpc, Method::Ask, &call, left).await?;
-    Ok(asked.server)
+    let timeout = request.deadline.since(node.now()) + REFUSAL_MARGIN;
+    let granted: ServerGrant = node
+        .rpc
+        .call(owner.rpc, Method::Ask, &call, timeout)
+        .await?;
+    Ok(granted.server)
 }
 
-fn question(
+fn enqueue_call(
     node: &Node,
     request: &Request,
     attempt: u8,
@@ -184,7 +196,7 @@
     }
 }
 
-fn tell(node: &Arc<Node>, request: &Request, report: Report) {
+fn send_report(node: &Arc<Node>, request: &Request, report: Report) {
     let service = request.service.clone();
     let host = node.member.host.clone();
     let ticket = request.ticket;
@@ -194,28 +206,33 @@
         host,
         report,
     };
-    to_owner(node, &request.service, call);
+    send_to_owner(node, &request.service, call);
 }
 
-/// Sends a word that needs no answer to the owner of `service`.
-fn to_owner(node: &Arc<Node>, service: &id::Service, call: QueueCall) {
-    let Ok(roster) = node.acting() else { return };
+/// Sends a report or cancellation to the owner of `service`, without waiting for the reply.
+fn send_to_owner(node: &Arc<Node>, service: &id::Service, call: QueueCall) {
+    let Ok(roster) = node.usable_roster() else {
+        return;
+    };
     let Some(owner) = roster.owner(service) else {
         return;
     };
     if owner.host == node.member.host {
-        take(node, call);
+        handle_report(node, call);
         return;
     }
     let node = Arc::clone(node);
     let address = owner.rpc;
     tokio::spawn(async move {
-        let _: Result<(), Refusal> = node.rpc.call(address, Method::Ask, &call, REPORT).await;
+        let _: Result<(), Refusal> = node
+            .rpc
+            .call(address, Method::Ask, &call, REPORT_TIMEOUT)
+            .await;
     });
 }
 
-/// Takes in a word that needs no answer, as the owner.
-pub(super) fn take(node: &Node, call: QueueCall) {
+/// Handles a report or cancellation, as the owner.
+pub(super) fn handle_report(node: &Node, call: QueueCall) {
     match call {
         QueueCall::Report {
             service,
@@ -241,28 +258,30 @@
             owner::cancel(node, &service, &ticket);
         }
         QueueCall::Enqueue { .. } => {
-            debug_assert!(false, "a request is put into a queue by `owner::ask`");
+            debug_assert!(false, "`owner::enqueue` handles requests for a slot");
         }
     }
 }
 
-/// Tells the owners of a new view what this entry has running with them.
-pub(super) fn resume(node: &Arc<Node>, roster: &Roster) {
+/// Reports the running requests of this entry to the owners in a new view.
+pub(super) fn report_running(node: &Arc<Node>, roster: &Roster) {
     let running: Vec<_> = lock(&node.running).values().cloned().collect();
     for (request, server) in running {
         let Some(owner) = roster.owner(&request.service) else {
             continue;
         };
-        let call = question(node, &request, 0, roster, Some(server));
+        let call = enqueue_call(node, &request, 0, roster, Some(server));
         if owner.host == node.member.host {
-            let _ = owner::ask(node, call);
+            let _ = owner::enqueue(node, call);
             continue;
         }
         let node = Arc::clone(node);
         let address = owner.rpc;
         tokio::spawn(async move {
-            let _: Result<ServerGrant, Refusal> =
-                node.rpc.call(address, Method::Ask, &call, REPORT).await;
+            let _: Result<ServerGrant, Refusal> = node
+                .rpc
+                .call(address, Method::Ask, &call, REPORT_TIMEOUT)
+                .await;
         });
     }
 }
--- a/crates/curlewlift/src/entry/send.rs
+++ b/crates/curlewlift/src/entry/send.rs
@@ -26,7 +26,7 @@
 use super::node::Node;
 use super::request::Request;
 use super::request::Shape;
-use super::schedule::Turn;
+use super::schedule::SlotGrant;
 
 /// The header by which a server says that it refused before running.
 const NOT_RUN: &str = "x-not-run";
@@ -61,14 +61,19 @@
     last_report: Option<tokio::time::Instant>,
 }
 
-/// Sends the request to the server whose turn it has.
-pub(super) async fn send(node: &Arc<Node>, request: &Request, kept: &Kept, turn: Turn) -> Sent {
+/// Sends the request to the server whose grant it has.
+pub(super) async fn send(
+    node: &Arc<Node>,
+    request: &Request,
+    kept: &Kept,
+    grant: SlotGrant,
+) -> Sent {
     // Without a lease another entry may own the service, and this grant may be worth nothing.
-    if let Err(refusal) = node.acting() {
+    if let Err(refusal) = node.usable_roster() {
         return Sent::NotRun(refusal);
     }
     let snapshot = node.snapshot();
-    let Some(server) = snapshot.servers.get(&turn.server) else {
+    let Some(server) = snapshot.servers.get(&grant.server) else {
         return Sent::NotRun(Refusal::new(Code::Refused, "the server was removed"));
     };
     let uri = format!("http://{}{}", server.address, request.call.path);
@@ -79,13 +84,13 @@
         Ok(uri) => *http.uri_mut() = uri,
         Err(_) => return Sent::NotRun(Refusal::new(Code::UnknownPath, "the path cannot be read")),
     }
-    let line = Line::new(Kind::Sent).key(request.key).server(&turn.server);
+    let line = Line::new(Kind::Sent).key(request.key).server(&grant.server);
     node.timeline.note(line.customer(&request.customer));
     // A connection that is used again may close just now, and then it is not known what ran.
     let client = if request.sole {
-        &node.fresh
+        &node.unpooled_client
     } else {
-        &node.pooled
+        &node.pooled_client
     };
     let response = match client.request(http).await {
         Ok(response) => response,
@@ -106,9 +111,9 @@
     let streamed = request.shape == Shape::Stream && response.status().is_success();
     kept.begin(head);
     if streamed {
-        stream(node, request, kept, turn, response.into_body()).await
+        stream(node, request, kept, grant, response.into_body()).await
     } else {
-        whole(node, request, kept, turn, response.into_body()).await
+        whole(node, request, kept, grant, response.into_body()).await
     }
 }
 
@@ -156,7 +161,7 @@
     node: &Arc<Node>,
     request: &Request,
     kept: &Kept,
-    turn: Turn,
+    grant: SlotGrant,
     mut body: Incoming,
 ) -> Sent {
     let mut seen = Seen::default();
@@ -166,7 +171,7 @@
                 let Ok(bytes) = frame.into_data() else {
                     continue;
                 };
-                note_chunk(node, request, &turn, &mut seen);
+                note_chunk(node, request, &grant, &mut seen);
                 if !kept.add(&bytes) {
                     return broken("the answer is too large".to_owned());
                 }
@@ -176,13 +181,13 @@
         }
     }
     if request.prefixes.is_empty() {
-        turn.end(Tokens(1), None);
+        grant.end(Tokens(1), None);
         return ran();
     }
     let json: Value = serde_json::from_slice(&kept.bytes()).unwrap_or_default();
     let usage = &json["usage"];
     let output = usage["completion_tokens"].as_u64().unwrap_or(1);
-    turn.end(Tokens(output), cached(usage));
+    grant.end(Tokens(output), cached(usage));
     ran()
 }
 
@@ -197,16 +202,16 @@
     node: &Arc<Node>,
     request: &Request,
     kept: &Kept,
-    turn: Turn,
+    grant: SlotGrant,
     mut body: Incoming,
 ) -> Sent {
     let mut seen = Seen::default();
     let mut resumes = 0;
     loop {
-        let why = pass(node, request, kept, &turn, &mut body, &mut seen).await;
+        let why = pass(node, request, kept, &grant, &mut body, &mut seen).await;
         if seen.done {
             let usage = last_usage(&seen.tail);
-            turn.end(Tokens(seen.chunks), cached(&usage));
+            grant.end(Tokens(seen.chunks), cached(&usage));
             return ran();
         }
         if resumes == RESUMES {
@@ -214,7 +219,7 @@
         }
         tokio::time::sleep(RESUME_PAUSE * 2_u32.pow(resumes)).await;
         resumes += 1;
-        match resume(node, request, kept, &turn).await {
+        match resume(node, request, kept, &grant).await {
             Some(rest) => body = rest,
             None => return broken(why),
         }
@@ -226,7 +231,7 @@
     node: &Arc<Node>,
     request: &Request,
     kept: &Kept,
-    turn: &Turn,
+    grant: &SlotGrant,
     body: &mut Incoming,
     seen: &mut Seen,
 ) -> String {
@@ -237,7 +242,7 @@
                 let Ok(bytes) = frame.into_data() else {
                     continue;
                 };
-                note_chunk(node, request, turn, seen);
+                note_chunk(node, request, grant, seen);
                 note_text(seen, &bytes);
                 if !kept.add(&bytes) {
                     return "the answer is too large".to_owned();
@@ -250,40 +255,45 @@
 }
 
 /// Asks the server to go on where the stream broke.
-async fn resume(node: &Arc<Node>, request: &Request, kept: &Kept, turn: &Turn) -> Option<Incoming> {
+async fn resume(
+    node: &Arc<Node>,
+    request: &Request,
+    kept: &Kept,
+    grant: &SlotGrant,
+) -> Option<Incoming> {
     let snapshot = node.snapshot();
-    let server = snapshot.servers.get(&turn.server)?;
+    let server = snapshot.servers.get(&grant.server)?;
     let from = kept.length();
     let uri = format!(
         "http://{}/v1/streams/{}?from={from}",
         server.address, request.key
     );
     let http = HttpRequest::get(uri).body(Body::empty()).ok()?;
-    let response = node.fresh.request(http).await.ok()?;
+    let response = node.unpooled_client.request(http).await.ok()?;
     if response.status() != StatusCode::OK {
         return None;
     }
     let line = Line::new(Kind::Resumed)
         .key(request.key)
-        .server(&turn.server);
+        .server(&grant.server);
     node.timeline.note(line.detail(format_args!("from={from}")));
     Some(response.into_body())
 }
 
 /// Tells the owner of the first chunk, and from time to time how many there are.
-fn note_chunk(node: &Arc<Node>, request: &Request, turn: &Turn, seen: &mut Seen) {
+fn note_chunk(node: &Arc<Node>, request: &Request, grant: &SlotGrant, seen: &mut Seen) {
     if seen.last_report.is_none() {
         seen.last_report = Some(tokio::time::Instant::now());
-        turn.report(Report::FirstToken);
+        grant.report(Report::FirstToken);
         let line = Line::new(Kind::FirstToken)
             .key(request.key)
-            .server(&turn.server);
+            .server(&grant.server);
         node.timeline.note(line.customer(&request.customer));
     }
     let now = tokio::time::Instant::now();
     if seen.last_report.is_some_and(|last| now - last >= REPORT) {
         seen.last_report = Some(now);
-        turn.report(Report::Tokens(Tokens(seen.chunks)));
+        grant.report(Report::Tokens(Tokens(seen.chunks)));
     }
 }
 
--- a/crates/curlewlift/src/entry/stop.rs
+++ b/crates/curlewlift/src/entry/stop.rs
@@ -35,7 +35,7 @@
 /// Leaves, serves until the last kept address answer has run out, and finishes what is open.
 pub(super) async fn run(node: &Arc<Node>, keep: Duration) {
     node.timeline.note(Line::new(Kind::Stopping));
-    lock(&node.holder).start_leaving();
+    lock(&node.view_holder).start_leaving();
     // First the view without this entry, so that no later answer names it; then as long as an
     // answer of before may be kept.
     while !has_left(node) {
@@ -43,19 +43,19 @@
     }
     tokio::time::sleep(keep).await;
     node.closing.store(true, Ordering::Relaxed);
-    while node.open.load(Ordering::Relaxed) > 0 {
+    while node.open_requests.load(Ordering::Relaxed) > 0 {
         tokio::time::sleep(LOOK).await;
     }
-    lock(&node.holder).stop();
+    lock(&node.view_holder).stop();
     tokio::time::sleep(LAST).await;
-    let finished = node.finished.load(Ordering::Relaxed);
+    let finished = node.finished_requests.load(Ordering::Relaxed);
     node.timeline
         .note(Line::new(Kind::Stopped).detail(format_args!("finished={finished}")));
 }
 
 /// Whether the active view has this entry as leaving, or there is none to act under.
 fn has_left(node: &Node) -> bool {
-    let Ok(roster) = node.acting() else {
+    let Ok(roster) = node.usable_roster() else {
         return true;
     };
     roster
--- a/crates/curlewlift/src/rpc/call.rs
+++ b/crates/curlewlift/src/rpc/call.rs
@@ -43,12 +43,13 @@
 pub(crate) enum HubCall {
     /// Polls for updates. The reply comes at once if there are any, otherwise after a waiting time.
     Poll(Box<gateway::Poll>),
-    /// Requests a slot at a backend server. The reply comes once one is granted or the wait limit is reached.
+    /// Requests a slot at a backend server. The reply comes once one is granted or the wait limit
+    /// is reached.
     RequestSlot(Box<gateway::SlotRequest>),
     /// Reports how attempts ended.
     Report(gateway::Report),
-    /// Fetches the chunk of routing table `number` that starts at byte `from`. A `from` equal to the length
-    /// of the table reports that the gateway has all of it.
+    /// Fetches the chunk of routing table `number` that starts at byte `from`. A `from` equal to
+    /// the length of the table reports that the gateway has all of it.
     FetchChunk {
         host: id::Host,
         number: u64,
@@ -87,7 +88,8 @@
     QuotaCharged(bool),
     /// The report or introduction was received.
     Acknowledged,
-    /// A chunk of the active table, or none while the schedule gives the time slot to other gateways.
+    /// A chunk of the active table, or none while the schedule gives the time slot to other
+    /// gateways.
     Chunk(Option<gateway::Chunk>),
     /// The published table, or one with a higher number, is active.
     Published,
@@ -97,7 +99,8 @@
     OrderAccepted,
     /// The target and phase of the last rollout, or none if none was ordered.
     Rollout(Option<(rollout::Version, rollout::Phase)>),
-    /// This process does not lead. `leader` may be the leader; the hosts in `control` run control replicas.
+    /// This process does not lead. `leader` may be the leader; the hosts in `control` run control
+    /// replicas.
     NotLeader {
         leader: Option<id::Host>,
         control: Vec<id::Host>,
@@ -120,8 +123,8 @@
     CopyShard { shard: id::Shard, view: id::View },
     /// Looks up the record of a key.
     Lookup { key: id::Key },
-    /// Fetches from the holder the stored response to the body with this hash (0 for any body), starting
-    /// at byte `from`. Waits a limited time for further bytes.
+    /// Fetches from the holder the stored response to the body with this hash (0 for any body),
+    /// starting at byte `from`. Waits a limited time for further bytes.
     FetchResponse { key: id::Key, body: u64, from: u64 },
 }
 
--- a/crates/curlewlift/src/rpc/client.rs
+++ b/crates/curlewlift/src/rpc/client.rs
@@ -70,7 +70,8 @@
         &self.timeline
     }
 
-    /// Calls `method` of the process at `address` and waits for the reply until `timeout` has passed.
+    /// Calls `method` of the process at `address` and waits for the reply until `timeout` has
+    /// passed.
     pub(crate) async fn call<Q, A>(
         &self,
         address: SocketAddr,
