--- a/crates/curlewlift/src/entry/calls.rs
+++ b/crates/curlewlift/src/entry/calls.rs
@@ -78,17 +78,19 @@
         }
         ClaimCall::Lookup { key } => ClaimReply::Found(lock(&node.claim_table).get(key).cloned()),
         ClaimCall::FetchResponse { key, body, from } => {
-            let kept = lock(&node.store).get(key).cloned();
-            if kept
+            let response = lock(&node.store).get(key).cloned();
+            if response
                 .as_ref()
-                .is_some_and(|kept| body != 0 && kept.digest != body)
+                .is_some_and(|response| body != 0 && response.digest != body)
             {
                 let detail = "the key was used with another body";
                 return Err(Refusal::new(Code::OtherBody, detail));
             }
             let from = usize::try_from(from).unwrap_or(usize::MAX);
-            match kept {
-                Some(kept) => ClaimReply::ResponseChunk(Some(kept.piece(from, FETCH_WAIT).await)),
+            match response {
+                Some(response) => {
+                    ClaimReply::ResponseChunk(Some(response.chunk(from, FETCH_WAIT).await))
+                }
                 None => ClaimReply::ResponseChunk(None),
             }
         }
--- a/crates/curlewlift/src/entry/http.rs
+++ b/crates/curlewlift/src/entry/http.rs
@@ -64,7 +64,7 @@
         .route("/services/{service}/{*path}", any(plain))
         .route("/curlewlift/addresses", get(address))
         .route("/curlewlift/requests/{key}", get(state))
-        .route("/curlewlift/requests/{key}/answer", get(kept))
+        .route("/curlewlift/requests/{key}/answer", get(stored_response))
         .method_not_allowed_fallback(wrong_method)
         .fallback(unknown_path)
         .with_state(node)
@@ -158,8 +158,8 @@
         .note(line.detail(format_args!("service={}", request.service)));
     let key = request.key_text.clone();
     let shape = request.shape;
-    let reader = run::begin(node, request)?;
-    let response = reply::answer(reader, shape, &key).await;
+    let reader = run::start_or_attach(node, request)?;
+    let response = reply::response(reader, shape, &key).await;
     // The request counts as open until the last byte of its answer has been taken.
     Ok(response.map(|body| Body::new(Held { body, _open: open })))
 }
@@ -258,7 +258,7 @@
     let id = id::Key::new(&customer, key);
     let drawn = issue::record(key, ANY_BODY);
     let fate = match drawn {
-        Some(record) => run::state(node, id, &record).await?,
+        Some(record) => run::holder_status(node, id, &record).await?,
         None => claimed(node, id).await?,
     };
     Ok(match fate {
@@ -277,7 +277,9 @@
     let record = claims::look(node, key).await?.ok_or_else(not_kept)?;
     match record.status {
         // The holder may have ended it and the replicas not know yet.
-        Status::Open => Ok(run::state(node, key, &record).await.unwrap_or(Status::Open)),
+        Status::Open => Ok(run::holder_status(node, key, &record)
+            .await
+            .unwrap_or(Status::Open)),
         Status::Ended { .. } => Ok(record.status),
     }
 }
@@ -287,9 +289,13 @@
 }
 
 /// The whole answer of a request, by its key, from whichever entry holds it.
-async fn kept(State(node): State<Shared>, Path(key): Path<String>, headers: HeaderMap) -> Reply {
+async fn stored_response(
+    State(node): State<Shared>,
+    Path(key): Path<String>,
+    headers: HeaderMap,
+) -> Reply {
     match find(&node, &key, &headers).await {
-        Ok(reader) => reply::answer(reader, Shape::Whole, &key).await,
+        Ok(reader) => reply::response(reader, Shape::Whole, &key).await,
         Err(refusal) => reply::refusal(&refusal),
     }
 }
@@ -298,15 +304,15 @@
     node: &Shared,
     key_text: &str,
     headers: &HeaderMap,
-) -> Result<super::kept::Reader, Refusal> {
+) -> Result<super::store::Reader, Refusal> {
     let (customer, _) = admit::customer(node, headers)?;
     let key = id::Key::new(&customer, key_text);
-    if let Some(kept) = lock(&node.store).get(key) {
-        return Ok(kept.attach());
+    if let Some(response) = lock(&node.store).get(key) {
+        return Ok(response.attach_reader());
     }
     let record = match issue::record(key_text, ANY_BODY) {
         Some(record) => record,
         None => claims::look(node, key).await?.ok_or_else(not_kept)?,
     };
-    Ok(run::collect(node, key, record))
+    Ok(run::read_remote(node, key, record))
 }
--- a/crates/curlewlift/src/entry/mod.rs
+++ b/crates/curlewlift/src/entry/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! The files follow a request's way: [`http`] and [`parse`] read it, [`admit`] says who may,
 //! [`claims`] claims its key, [`schedule`] waits for its turn at the owner ([`owner`]), [`send`]
-//! sends it and takes its answer, [`kept`] keeps the answer for whoever asks.
+//! sends it and takes its answer, [`store`] keeps the answer for whoever asks.
 
 mod addresses;
 mod admit;
@@ -11,7 +11,6 @@
 mod daemon;
 mod http;
 mod issue;
-mod kept;
 mod node;
 mod owner;
 mod parse;
@@ -22,5 +21,6 @@
 mod schedule;
 mod send;
 mod stop;
+mod store;
 
 pub use daemon::Entry;
--- a/crates/curlewlift/src/entry/node.rs
+++ b/crates/curlewlift/src/entry/node.rs
@@ -33,9 +33,9 @@
 use crate::timeline::Timeline;
 
 use super::admit::Limits;
-use super::kept::Store;
 use super::owner::OwnedQueue;
 use super::request::Request;
+use super::store::Store;
 
 /// How long the claim record and the response of a finished request are retained.
 const RETENTION: Duration = Duration::from_mins(10);
@@ -92,7 +92,7 @@
 impl Node {
     pub(super) fn new(
         member: Member,
-        control: Vec<std::net::SocketAddr>,
+        control_addresses: Vec<std::net::SocketAddr>,
         clock: Clock,
         timeline: Timeline,
         rpc: rpc::Client,
@@ -101,7 +101,7 @@
             clock,
             timeline,
             rpc,
-            control_addresses: control,
+            control_addresses,
             view_holder: Mutex::new(Holder::new(member.clone())),
             claim_table: Mutex::new(Table::new(member.clone(), RETENTION, MAX_CLAIM_RECORDS)),
             member,
--- a/crates/curlewlift/src/entry/reply.rs
+++ b/crates/curlewlift/src/entry/reply.rs
@@ -1,4 +1,4 @@
-//! Writes answers to callers, and refusals in the interface's usual error body.
+//! Writes responses to callers, with refusals as the error body of the completions API.
 
 use std::convert::Infallible;
 
@@ -16,45 +16,45 @@
 use futures::stream;
 use serde_json::json;
 
-use super::kept::End;
-use super::kept::Head;
-use super::kept::Reader;
 use super::request::Shape;
+use super::store::End;
+use super::store::Head;
+use super::store::Reader;
 
 /// The header with the result code.
-const CODE: HeaderName = HeaderName::from_static("curlewlift-code");
+const CODE_HEADER: HeaderName = HeaderName::from_static("curlewlift-code");
 
-/// The header with one of run, not-run, unknown.
-const OUTCOME: HeaderName = HeaderName::from_static("curlewlift-outcome");
+/// The header with the outcome: run, not-run or unknown.
+const OUTCOME_HEADER: HeaderName = HeaderName::from_static("curlewlift-outcome");
 
 /// The header with the request key.
-const KEY: HeaderName = HeaderName::from_static("curlewlift-key");
+const KEY_HEADER: HeaderName = HeaderName::from_static("curlewlift-key");
 
-/// Seconds after which a refused caller may come back.
-const RETRY_AFTER: u64 = 1;
+/// Seconds after which a refused caller may retry.
+const RETRY_AFTER_S: u64 = 1;
 
-/// A refusal of a request that surely did not run.
+/// The response that refuses a request which certainly did not run.
 pub(super) fn refusal(refusal: &Refusal) -> Response<Body> {
-    error(refusal, Outcome::NotRun)
+    error_response(refusal, Outcome::NotRun)
 }
 
-fn error(refusal: &Refusal, outcome: Outcome) -> Response<Body> {
+fn error_response(refusal: &Refusal, outcome: Outcome) -> Response<Body> {
     let code = refusal.get_code();
     let mut response = Response::new(Body::from(error_json(refusal, outcome)));
-    *response.status_mut() = status(code.status());
+    *response.status_mut() = status_code(code.status());
     let headers = response.headers_mut();
     headers.insert(
         header::CONTENT_TYPE,
         HeaderValue::from_static("application/json"),
     );
     if matches!(code.status(), 429 | 503) {
-        headers.insert(header::RETRY_AFTER, RETRY_AFTER.into());
+        headers.insert(header::RETRY_AFTER, RETRY_AFTER_S.into());
     }
-    fate(headers, code, outcome);
+    set_outcome(headers, code, outcome);
     response
 }
 
-/// The interface's usual error body.
+/// The error body as JSON.
 fn error_json(refusal: &Refusal, outcome: Outcome) -> String {
     let code = refusal.get_code();
     let kind = match code.status() {
@@ -76,55 +76,55 @@
     error.to_string()
 }
 
-fn fate(headers: &mut HeaderMap, code: Code, outcome: Outcome) {
-    headers.insert(CODE, code.number().into());
+fn set_outcome(headers: &mut HeaderMap, code: Code, outcome: Outcome) {
+    headers.insert(CODE_HEADER, code.number().into());
     if let Ok(value) = HeaderValue::from_str(&outcome.to_string()) {
-        headers.insert(OUTCOME, value);
+        headers.insert(OUTCOME_HEADER, value);
     }
 }
 
-fn status(number: u16) -> StatusCode {
+fn status_code(number: u16) -> StatusCode {
     StatusCode::from_u16(number).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR)
 }
 
-/// The answer that `reader` reads, as it comes or whole.
-pub(super) async fn answer(reader: Reader, shape: Shape, key: &str) -> Response<Body> {
-    let head = reader.get_kept().head().await;
+/// The response that `reader` reads, streamed or whole.
+pub(super) async fn response(reader: Reader, shape: Shape, key: &str) -> Response<Body> {
+    let head = reader.get_response().wait_head().await;
     let mut response = match head {
-        Ok(head) if shape == Shape::Stream && head.status < 300 => streamed(reader, head),
-        Ok(head) => whole(reader, head).await,
-        Err(end) => failed(&end),
+        Ok(head) if shape == Shape::Stream && head.status < 300 => stream_response(reader, head),
+        Ok(head) => whole_response(reader, head).await,
+        Err(end) => failed_response(&end),
     };
     if let Ok(key) = HeaderValue::from_str(key) {
-        response.headers_mut().insert(KEY, key);
+        response.headers_mut().insert(KEY_HEADER, key);
     }
     response
 }
 
-fn failed(end: &End) -> Response<Body> {
+fn failed_response(end: &End) -> Response<Body> {
     match &end.refusal {
-        Some(refusal) => error(refusal, end.outcome),
-        None => error(
-            &Refusal::new(Code::Internal, "an answer without a head"),
+        Some(refusal) => error_response(refusal, end.outcome),
+        None => error_response(
+            &Refusal::new(Code::Internal, "the response ended without a head"),
             end.outcome,
         ),
     }
 }
 
-/// The whole answer, or why there is none.
-pub(super) async fn whole(reader: Reader, head: Head) -> Response<Body> {
-    let end = reader.get_kept().ended().await;
+/// The whole response, or why there is none.
+pub(super) async fn whole_response(reader: Reader, head: Head) -> Response<Body> {
+    let end = reader.get_response().wait_end().await;
     if end.refusal.is_some() {
-        return failed(&end);
+        return failed_response(&end);
     }
-    let mut response = Response::new(Body::from(reader.get_kept().bytes()));
+    let mut response = Response::new(Body::from(reader.get_response().bytes()));
     set_head(&mut response, head);
-    fate(response.headers_mut(), Code::Done, end.outcome);
+    set_outcome(response.headers_mut(), Code::Done, end.outcome);
     response
 }
 
 fn set_head(response: &mut Response<Body>, head: Head) {
-    *response.status_mut() = status(head.status);
+    *response.status_mut() = status_code(head.status);
     for (name, value) in head.headers {
         let name = HeaderName::try_from(name);
         let value = HeaderValue::try_from(value);
@@ -134,28 +134,28 @@
     }
 }
 
-/// The answer as it comes; its last event tells the code and the outcome.
-fn streamed(reader: Reader, head: Head) -> Response<Body> {
-    let parts = stream::unfold((reader, Some(0)), |(reader, from)| async move {
+/// The response as its chunks arrive. The last event carries the code and the outcome.
+fn stream_response(reader: Reader, head: Head) -> Response<Body> {
+    let chunks = stream::unfold((reader, Some(0)), |(reader, from)| async move {
         let from = from?;
-        if let Some(bytes) = reader.get_kept().next(from).await {
+        if let Some(bytes) = reader.get_response().wait_bytes(from).await {
             let next = from + bytes.len();
             return Some((
                 Ok::<_, Infallible>(Bytes::from(bytes)),
                 (reader, Some(next)),
             ));
         }
-        let last = last_event(&reader.get_kept().ended().await);
-        Some((Ok(Bytes::from(last)), (reader, None)))
+        let end_text = end_events(&reader.get_response().wait_end().await);
+        Some((Ok(Bytes::from(end_text)), (reader, None)))
     });
-    let mut response = Response::new(Body::from_stream(parts));
+    let mut response = Response::new(Body::from_stream(chunks));
     set_head(&mut response, head);
     response
 }
 
-/// An error event where there is no whole answer; then, as a comment that clients pass over, the
-/// code and the outcome.
-fn last_event(end: &End) -> String {
+/// The end of a stream: an error event if the response is incomplete, then the code and the outcome
+/// in a comment line, which clients ignore.
+fn end_events(end: &End) -> String {
     let mut text = String::new();
     let mut number = 0;
     if let Some(refusal) = &end.refusal {
--- a/crates/curlewlift/src/entry/send.rs
+++ b/crates/curlewlift/src/entry/send.rs
@@ -1,4 +1,4 @@
-//! Sends a request to its server, and takes the answer.
+//! Sends a request to its server, and receives the response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,73 +20,80 @@
 use hyper::body::Incoming;
 use serde_json::Value;
 
-use super::kept::End;
-use super::kept::Head;
-use super::kept::Kept;
 use super::node::Node;
 use super::request::Request;
 use super::request::Shape;
 use super::schedule::SlotGrant;
+use super::store::End;
+use super::store::Head;
+use super::store::StoredResponse;
 
-/// The header by which a server says that it refused before running.
-const NOT_RUN: &str = "x-not-run";
+/// The header with which a server reports that it refused a request before running it.
+const NOT_RUN_HEADER: &str = "x-not-run";
 
-/// How often a broken stream is resumed.
-const RESUMES: u32 = 3;
+/// Maximum number of times that a broken stream is resumed.
+const MAX_RESUMES: u32 = 3;
 
-/// Before a broken stream is resumed, the first time.
-const RESUME_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a broken stream is resumed for the first time. It doubles with each further time.
+const FIRST_RESUME_DELAY: Duration = Duration::from_millis(50);
 
-/// Between two reports of the tokens that have come.
-const REPORT: Duration = Duration::from_millis(250);
+/// Interval between two reports of the tokens received so far.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The end of a stream.
-const DONE: &[u8] = b"data: [DONE]";
+/// The event that ends a stream.
+const STREAM_END: &[u8] = b"data: [DONE]";
 
-/// What became of one sending.
-pub(super) enum Sent {
-    /// Surely no byte of it was run; it may be tried elsewhere.
+/// How one attempt ended.
+pub(super) enum AttemptOutcome {
+    /// The request certainly did not run, and may be attempted at another server.
     NotRun(Refusal),
-    /// It has ended, whole or not.
+    /// The request ended, with a complete response or without.
     Ended(End),
 }
 
-/// What was seen of an answer so far.
+/// What was received of a response so far.
 #[derive(Default)]
-struct Seen {
-    chunks: u64,
-    /// The newest bytes, for what is cut between two chunks.
+struct Progress {
+    /// Number of server-sent events.
+    events: u64,
+    /// The latest bytes, to find what is split between two chunks.
     tail: Vec<u8>,
-    done: bool,
+    ended: bool,
     last_report: Option<tokio::time::Instant>,
 }
 
-/// Sends the request to the server whose grant it has.
+/// Sends the request to the server that granted the slot.
 pub(super) async fn send(
     node: &Arc<Node>,
     request: &Request,
-    kept: &Kept,
+    stored: &StoredResponse,
     grant: SlotGrant,
-) -> Sent {
-    // Without a lease another entry may own the service, and this grant may be worth nothing.
+) -> AttemptOutcome {
+    // Without a lease another entry may own the service by now, and then this grant is void.
     if let Err(refusal) = node.usable_roster() {
-        return Sent::NotRun(refusal);
+        return AttemptOutcome::NotRun(refusal);
     }
     let snapshot = node.snapshot();
     let Some(server) = snapshot.servers.get(&grant.server) else {
-        return Sent::NotRun(Refusal::new(Code::Refused, "the server was removed"));
+        return AttemptOutcome::NotRun(Refusal::new(Code::Refused, "the server was removed"));
     };
     let uri = format!("http://{}{}", server.address, request.call.path);
     let mut http = HttpRequest::new(Body::from(request.call.body.clone()));
     *http.method_mut() = request.call.method.clone();
-    *http.headers_mut() = headers(request, snapshot.rank(&request.rights));
+    *http.headers_mut() = server_headers(request, snapshot.rank(&request.rights));
     match uri.parse() {
         Ok(uri) => *http.uri_mut() = uri,
-        Err(_) => return Sent::NotRun(Refusal::new(Code::UnknownPath, "the path cannot be read")),
+        Err(_) => {
+            return AttemptOutcome::NotRun(Refusal::new(
+                Code::UnknownPath,
+                "the path is not a valid URI",
+            ));
+        }
     }
     let line = Line::new(Kind::Sent).key(request.key).server(&grant.server);
     node.timeline.note(line.customer(&request.customer));
-    // A connection that is used again may close just now, and then it is not known what ran.
+    // A request that may run only once gets a new connection: the server may close a reused one
+    // while the request is sent, and then it is unknown whether the request ran.
     let client = if request.sole {
         &node.unpooled_client
     } else {
@@ -94,30 +101,34 @@
     };
     let response = match client.request(http).await {
         Ok(response) => response,
-        Err(why) if why.is_connect() => {
-            return Sent::NotRun(Refusal::new(Code::Refused, "the server took no connection"));
+        Err(error) if error.is_connect() => {
+            return AttemptOutcome::NotRun(Refusal::new(
+                Code::Refused,
+                "connecting to the server failed",
+            ));
         }
-        Err(why) => return broken(format!("the server gave no answer: {why}")),
+        Err(error) => return broken_response(format!("the server sent no response: {error}")),
     };
     if response.status() == StatusCode::SERVICE_UNAVAILABLE
-        && response.headers().contains_key(NOT_RUN)
+        && response.headers().contains_key(NOT_RUN_HEADER)
     {
-        return Sent::NotRun(Refusal::new(
+        return AttemptOutcome::NotRun(Refusal::new(
             Code::Refused,
             "the server refused before running",
         ));
     }
-    let head = head_of(response.status(), response.headers());
+    let head = response_head(response.status(), response.headers());
     let streamed = request.shape == Shape::Stream && response.status().is_success();
-    kept.begin(head);
+    stored.set_head(head);
     if streamed {
-        stream(node, request, kept, grant, response.into_body()).await
+        receive_stream(node, request, stored, grant, response.into_body()).await
     } else {
-        whole(node, request, kept, grant, response.into_body()).await
+        receive_whole(node, request, stored, grant, response.into_body()).await
     }
 }
 
-fn headers(request: &Request, rank: u8) -> HeaderMap {
+/// The request headers for the server.
+fn server_headers(request: &Request, rank: u8) -> HeaderMap {
     let mut headers = request.call.headers.clone();
     if let Ok(key) = request.key.to_string().parse() {
         headers.insert("x-request-id", key);
@@ -126,144 +137,147 @@
     headers
 }
 
-fn head_of(status: StatusCode, headers: &HeaderMap) -> Head {
-    let hop = [
+fn response_head(status: StatusCode, headers: &HeaderMap) -> Head {
+    let hop_by_hop = [
         header::CONNECTION,
         header::TRANSFER_ENCODING,
         header::CONTENT_LENGTH,
     ];
-    let passed = headers.iter().filter(|pair| !hop.contains(pair.0));
+    let forwarded = headers.iter().filter(|pair| !hop_by_hop.contains(pair.0));
     let text = |value: &axum::http::HeaderValue| value.to_str().unwrap_or_default().to_owned();
     Head {
         status: status.as_u16(),
-        headers: passed
+        headers: forwarded
             .map(|(name, value)| (name.to_string(), text(value)))
             .collect(),
     }
 }
 
-fn broken(why: String) -> Sent {
-    Sent::Ended(End {
+/// The outcome where the response broke off: the request may have run.
+fn broken_response(reason: String) -> AttemptOutcome {
+    AttemptOutcome::Ended(End {
         outcome: Outcome::Unknown,
-        refusal: Some(Refusal::new(Code::Broken, why)),
+        refusal: Some(Refusal::new(Code::Broken, reason)),
     })
 }
 
-fn ran() -> Sent {
-    Sent::Ended(End {
+fn complete_response() -> AttemptOutcome {
+    AttemptOutcome::Ended(End {
         outcome: Outcome::Run,
         refusal: None,
     })
 }
 
-/// Takes an answer that is passed on whole.
-async fn whole(
+/// Receives a response that callers get whole.
+async fn receive_whole(
     node: &Arc<Node>,
     request: &Request,
-    kept: &Kept,
+    stored: &StoredResponse,
     grant: SlotGrant,
     mut body: Incoming,
-) -> Sent {
-    let mut seen = Seen::default();
+) -> AttemptOutcome {
+    let mut progress = Progress::default();
     loop {
         match body.frame().await {
             Some(Ok(frame)) => {
                 let Ok(bytes) = frame.into_data() else {
                     continue;
                 };
-                note_chunk(node, request, &grant, &mut seen);
-                if !kept.add(&bytes) {
-                    return broken("the answer is too large".to_owned());
+                report_chunk(node, request, &grant, &mut progress);
+                if !stored.append(&bytes) {
+                    return broken_response("the response is too large".to_owned());
                 }
             }
-            Some(Err(why)) => return broken(format!("the answer broke off: {why}")),
+            Some(Err(error)) => return broken_response(format!("the response broke off: {error}")),
             None => break,
         }
     }
     if request.prefixes.is_empty() {
         grant.end(Tokens(1), None);
-        return ran();
+        return complete_response();
     }
-    let json: Value = serde_json::from_slice(&kept.bytes()).unwrap_or_default();
+    let json: Value = serde_json::from_slice(&stored.bytes()).unwrap_or_default();
     let usage = &json["usage"];
     let output = usage["completion_tokens"].as_u64().unwrap_or(1);
-    grant.end(Tokens(output), cached(usage));
-    ran()
+    grant.end(Tokens(output), cached_tokens(usage));
+    complete_response()
 }
 
-fn cached(usage: &Value) -> Option<Tokens> {
+fn cached_tokens(usage: &Value) -> Option<Tokens> {
     usage["prompt_tokens_details"]["cached_tokens"]
         .as_u64()
         .map(Tokens)
 }
 
-/// Takes an answer that is passed on as it comes; where it breaks it is resumed.
-async fn stream(
+/// Receives a response that callers get as a stream. A broken stream is resumed.
+async fn receive_stream(
     node: &Arc<Node>,
     request: &Request,
-    kept: &Kept,
+    stored: &StoredResponse,
     grant: SlotGrant,
     mut body: Incoming,
-) -> Sent {
-    let mut seen = Seen::default();
+) -> AttemptOutcome {
+    let mut progress = Progress::default();
     let mut resumes = 0;
     loop {
-        let why = pass(node, request, kept, &grant, &mut body, &mut seen).await;
-        if seen.done {
-            let usage = last_usage(&seen.tail);
-            grant.end(Tokens(seen.chunks), cached(&usage));
-            return ran();
+        let break_reason =
+            receive_chunks(node, request, stored, &grant, &mut body, &mut progress).await;
+        if progress.ended {
+            let usage = last_usage(&progress.tail);
+            grant.end(Tokens(progress.events), cached_tokens(&usage));
+            return complete_response();
         }
-        if resumes == RESUMES {
-            return broken(why);
+        if resumes == MAX_RESUMES {
+            return broken_response(break_reason);
         }
-        tokio::time::sleep(RESUME_PAUSE * 2_u32.pow(resumes)).await;
+        tokio::time::sleep(FIRST_RESUME_DELAY * 2_u32.pow(resumes)).await;
         resumes += 1;
-        match resume(node, request, kept, &grant).await {
-            Some(rest) => body = rest,
-            None => return broken(why),
+        match resume(node, request, stored, &grant).await {
+            Some(remaining) => body = remaining,
+            None => return broken_response(break_reason),
         }
     }
 }
 
-/// Passes on what comes until the end or a break; says why it broke.
-async fn pass(
+/// Stores the chunks that arrive until the connection ends or fails. Returns the error for a stream
+/// that ended without its last event.
+async fn receive_chunks(
     node: &Arc<Node>,
     request: &Request,
-    kept: &Kept,
+    stored: &StoredResponse,
     grant: &SlotGrant,
     body: &mut Incoming,
-    seen: &mut Seen,
+    progress: &mut Progress,
 ) -> String {
     loop {
-        kept.room().await;
+        stored.wait_for_room().await;
         match body.frame().await {
             Some(Ok(frame)) => {
                 let Ok(bytes) = frame.into_data() else {
                     continue;
                 };
-                note_chunk(node, request, grant, seen);
-                note_text(seen, &bytes);
-                if !kept.add(&bytes) {
-                    return "the answer is too large".to_owned();
+                report_chunk(node, request, grant, progress);
+                scan_events(progress, &bytes);
+                if !stored.append(&bytes) {
+                    return "the response is too large".to_owned();
                 }
             }
-            Some(Err(why)) => return format!("the stream broke off: {why}"),
-            None => return "the stream ended without its end".to_owned(),
+            Some(Err(error)) => return format!("the stream broke off: {error}"),
+            None => return "the stream ended without its last event".to_owned(),
         }
     }
 }
 
-/// Asks the server to go on where the stream broke.
+/// Asks the server to continue the stream at the offset where it broke.
 async fn resume(
     node: &Arc<Node>,
     request: &Request,
-    kept: &Kept,
+    stored: &StoredResponse,
     grant: &SlotGrant,
 ) -> Option<Incoming> {
     let snapshot = node.snapshot();
     let server = snapshot.servers.get(&grant.server)?;
-    let from = kept.length();
+    let from = stored.length();
     let uri = format!(
         "http://{}/v1/streams/{}?from={from}",
         server.address, request.key
@@ -280,10 +294,10 @@
     Some(response.into_body())
 }
 
-/// Tells the owner of the first chunk, and from time to time how many there are.
-fn note_chunk(node: &Arc<Node>, request: &Request, grant: &SlotGrant, seen: &mut Seen) {
-    if seen.last_report.is_none() {
-        seen.last_report = Some(tokio::time::Instant::now());
+/// Reports the first chunk to the owner, and then the number of tokens at intervals.
+fn report_chunk(node: &Arc<Node>, request: &Request, grant: &SlotGrant, progress: &mut Progress) {
+    if progress.last_report.is_none() {
+        progress.last_report = Some(tokio::time::Instant::now());
         grant.report(Report::FirstToken);
         let line = Line::new(Kind::FirstToken)
             .key(request.key)
@@ -291,28 +305,37 @@
         node.timeline.note(line.customer(&request.customer));
     }
     let now = tokio::time::Instant::now();
-    if seen.last_report.is_some_and(|last| now - last >= REPORT) {
-        seen.last_report = Some(now);
-        grant.report(Report::Tokens(Tokens(seen.chunks)));
+    if progress
+        .last_report
+        .is_some_and(|last| now - last >= REPORT_INTERVAL)
+    {
+        progress.last_report = Some(now);
+        grant.report(Report::Tokens(Tokens(progress.events)));
     }
 }
 
-/// Counts the events in `bytes`, and looks for the end.
-fn note_text(seen: &mut Seen, bytes: &Bytes) {
-    const KEEP: usize = 1_024;
-    let events = bytes.windows(6).filter(|six| *six == b"data: ").count();
-    seen.chunks += events as u64;
-    seen.tail.extend_from_slice(bytes);
-    let searched = seen.tail.len().saturating_sub(bytes.len() + DONE.len());
-    seen.done |= seen.tail[searched..]
-        .windows(DONE.len())
-        .any(|part| part == DONE);
-    if seen.tail.len() > 2 * KEEP {
-        seen.tail.drain(..seen.tail.len() - KEEP);
+/// Counts the events in `bytes`, and searches for the end of the stream.
+fn scan_events(progress: &mut Progress, bytes: &Bytes) {
+    const TAIL_BYTES: usize = 1_024;
+    let events = bytes
+        .windows(6)
+        .filter(|window| *window == b"data: ")
+        .count();
+    progress.events += events as u64;
+    progress.tail.extend_from_slice(bytes);
+    let search_start = progress
+        .tail
+        .len()
+        .saturating_sub(bytes.len() + STREAM_END.len());
+    progress.ended |= progress.tail[search_start..]
+        .windows(STREAM_END.len())
+        .any(|window| window == STREAM_END);
+    if progress.tail.len() > 2 * TAIL_BYTES {
+        progress.tail.drain(..progress.tail.len() - TAIL_BYTES);
     }
 }
 
-/// The `usage` of the last event that has one.
+/// The `usage` of the last event in `tail` that has one.
 fn last_usage(tail: &[u8]) -> Value {
     let text = String::from_utf8_lossy(tail);
     let events = text.rsplit("data: ");
