--- a/crates/curlewlift/src/entry/addresses.rs
+++ b/crates/curlewlift/src/entry/addresses.rs
@@ -1,4 +1,4 @@
-//! Which entry addresses a caller should use.
+//! The entry addresses that callers should use.
 
 use axum::Json;
 use curlewlift_core::code::Refusal;
@@ -7,14 +7,14 @@
 
 use super::node::Node;
 
-/// How long a caller may keep the answer, in milliseconds.
-pub(super) const KEEP_MS: u64 = 5_000;
+/// How long a caller may use the addresses of one response, in milliseconds.
+pub(super) const RETENTION_MS: u64 = 5_000;
 
-/// The live entries of the view, with a stamp to begin request keys with.
+/// The live entries of the view, and a stamp with which callers begin request keys.
 ///
-/// A key that begins with the stamp tells when it was drawn; after a loss of claims it can still
-/// be told from those that may have run.
-pub(super) fn answer(node: &Node) -> Result<Json<Value>, Refusal> {
+/// The stamp shows under which view a key was generated. After a loss of claims, keys that are
+/// newer than the loss can be told by it from keys whose requests may have run.
+pub(super) fn response(node: &Node) -> Result<Json<Value>, Refusal> {
     let roster = node.usable_roster()?;
     let live = roster.members.iter().filter(|member| !member.leaving);
     let addresses: Vec<_> = live
@@ -22,7 +22,7 @@
         .collect();
     Ok(Json(json!({
         "addresses": addresses,
-        "keep_ms": KEEP_MS,
+        "keep_ms": RETENTION_MS,
         "stamp": format!("v{}.", roster.number),
         "view": roster.number,
     })))
--- a/crates/curlewlift/src/entry/daemon.rs
+++ b/crates/curlewlift/src/entry/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts an entry and drives it.
+//! Starts an entry and runs its tasks.
 
 use std::net::SocketAddr;
 use std::net::TcpListener;
@@ -29,10 +29,10 @@
 use super::renew;
 use super::stop;
 
-/// Between two looks of the owner at its queues.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval between two scans of the owned queues.
+const QUEUE_SCAN_INTERVAL: Duration = Duration::from_millis(50);
 
-/// An entry, to be started.
+/// The settings of an entry that is to be started.
 ///
 /// # Examples
 ///
@@ -60,7 +60,7 @@
 
 /// # Settings
 impl Entry {
-    /// An entry on `host` in `hall`; other processes reach it at `rpc`, callers at `http`.
+    /// Creates an entry on `host` in `hall`. Other processes reach it at `rpc`, callers at `http`.
     #[must_use]
     pub fn new(host: id::Host, hall: id::Hall, rpc: TcpListener, http: TcpListener) -> Self {
         Self {
@@ -70,25 +70,25 @@
             http,
             control: Vec::new(),
             lease: LeaseTiming::default(),
-            keep: stop::KEEP,
+            keep: stop::ADDRESS_RETENTION,
         }
     }
 
-    /// Where the control replicas are reached.
+    /// Sets the addresses of the control replicas.
     #[must_use]
     pub fn control(mut self, control: Vec<SocketAddr>) -> Self {
         self.control = control;
         self
     }
 
-    /// How long leases last; the control replicas must have the same.
+    /// Sets the timing of leases. The control replicas must use the same.
     #[must_use]
     pub fn lease(mut self, lease: LeaseTiming) -> Self {
         self.lease = lease;
         self
     }
 
-    /// How long a stopping entry serves those who kept its address.
+    /// Sets how long a stopping entry still serves callers that have its address.
     #[must_use]
     pub fn keep(mut self, keep: Duration) -> Self {
         self.keep = keep;
@@ -96,13 +96,13 @@
     }
 }
 
-/// # Life
+/// # Starting
 impl Entry {
-    /// Starts it on a thread of its own.
+    /// Starts the entry on a thread of its own.
     ///
     /// # Errors
     ///
-    /// [`Code::Internal`] where a listener or thread cannot be had.
+    /// [`Code::Internal`] if a listener or the thread cannot be created.
     pub fn start(self) -> Result<Process, Refusal> {
         let name = format!("entry {}", self.host);
         Process::start(&name, move |signal| run(self, signal))
@@ -116,8 +116,8 @@
     let member = Member {
         host: entry.host,
         hall: entry.hall,
-        rpc: address(&rpc_listener)?,
-        http: address(&http_listener)?,
+        rpc: local_address(&rpc_listener)?,
+        http: local_address(&http_listener)?,
         incarnation: rand::rng().next_u64(),
         leaving: false,
         owns: true,
@@ -137,17 +137,17 @@
     let router = http::router(Arc::clone(&node));
     let server = axum::serve(http_listener, router);
     tokio::spawn(async move {
-        if let Err(why) = server.await {
-            log::error!("the callers' side has ended: {why}");
+        if let Err(error) = server.await {
+            log::error!("the HTTP server for callers ended: {error}");
         }
     });
     tokio::spawn(renew::run(Arc::clone(&node), entry.lease));
     tokio::spawn(renew::fill_shards(Arc::clone(&node)));
-    tokio::spawn(tick(Arc::clone(&node)));
+    tokio::spawn(scan_queues(Arc::clone(&node)));
     timeline.note(Line::new(Kind::Started).detail(listening));
     let order = tokio::select! {
         order = signal.next() => order,
-        () = stop::told(&node) => Order::Stop,
+        () = stop::wait_for_order(&node) => Order::Stop,
     };
     if order == Order::Stop {
         stop::run(&node, entry.keep).await;
@@ -155,10 +155,10 @@
     Ok(())
 }
 
-async fn tick(node: Arc<Node>) {
-    let mut every = tokio::time::interval(TICK);
+async fn scan_queues(node: Arc<Node>) {
+    let mut interval = tokio::time::interval(QUEUE_SCAN_INTERVAL);
     loop {
-        every.tick().await;
+        interval.tick().await;
         owner::tick(&node);
         let (waiting, running) = owner::count_requests(&node);
         #[allow(clippy::cast_precision_loss)]
@@ -169,11 +169,11 @@
     }
 }
 
-fn address(listener: &tokio::net::TcpListener) -> Result<SocketAddr, Refusal> {
-    listener.local_addr().map_err(|why| {
+fn local_address(listener: &tokio::net::TcpListener) -> Result<SocketAddr, Refusal> {
+    listener.local_addr().map_err(|error| {
         Refusal::new(
             Code::Internal,
-            format!("the listener has no address: {why}"),
+            format!("the listener has no address: {error}"),
         )
     })
 }
--- a/crates/curlewlift/src/entry/http.rs
+++ b/crates/curlewlift/src/entry/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface towards callers; docs/INTERFACES.md describes it.
+//! The HTTP interface for callers, which docs/INTERFACES.md describes.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -40,30 +40,30 @@
 use super::reply;
 use super::request::Call;
 use super::request::Request;
-use super::request::Shape;
+use super::request::ResponseMode;
 use super::run;
 
-/// How long a caller may take to send a body.
-const SLOWEST: Duration = Duration::from_secs(30);
+/// Time limit for receiving the body of a request.
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The hash that stands for any body.
+/// The body hash that matches any body.
 const ANY_BODY: u64 = 0;
 
-/// How long a body that is too large is taken and thrown away.
-const DRAIN: Duration = Duration::from_secs(2);
+/// How long the rest of a body that is too large is read and discarded.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
 type Shared = Arc<Node>;
 type Reply = Response<Body>;
 
-/// The routes.
+/// The router of all paths for callers.
 pub(super) fn router(node: Shared) -> Router {
     Router::new()
         .route("/v1/chat/completions", post(completion))
         .route("/v1/completions", post(completion))
         .route("/v1/models", get(models))
-        .route("/services/{service}/{*path}", any(plain))
-        .route("/curlewlift/addresses", get(address))
-        .route("/curlewlift/requests/{key}", get(state))
+        .route("/services/{service}/{*path}", any(plain_call))
+        .route("/curlewlift/addresses", get(entry_addresses))
+        .route("/curlewlift/requests/{key}", get(request_state))
         .route("/curlewlift/requests/{key}/answer", get(stored_response))
         .method_not_allowed_fallback(wrong_method)
         .fallback(unknown_path)
@@ -93,7 +93,7 @@
     serve(&node, &parts.headers, body, read).await
 }
 
-async fn plain(
+async fn plain_call(
     State(node): State<Shared>,
     Path((service, path)): Path<(String, String)>,
     http: HttpRequest,
@@ -108,7 +108,7 @@
         let call = Call {
             method: parts.method.clone(),
             path: format!("/{path}{query}"),
-            headers: parse::passed(headers),
+            headers: parse::forwarded_headers(headers),
             body,
         };
         parse::plain(node, sender, &service, call, headers)
@@ -116,14 +116,14 @@
     serve(&node, &parts.headers, body, read).await
 }
 
-/// Serves a request that `read` reads once its customer is known and its body is there.
+/// Serves a request. `read` parses it once its customer is known and its body has been received.
 async fn serve(
     node: &Shared,
     headers: &HeaderMap,
     body: Body,
     read: impl FnOnce(&Node, Sender, &HeaderMap, Bytes) -> Result<Request, Refusal>,
 ) -> Reply {
-    match take(node, headers, body, read).await {
+    match process(node, headers, body, read).await {
         Ok(response) => response,
         Err(refusal) => {
             let line = Line::new(Kind::Refused);
@@ -133,7 +133,7 @@
     }
 }
 
-async fn take(
+async fn process(
     node: &Shared,
     headers: &HeaderMap,
     body: Body,
@@ -147,7 +147,7 @@
     }
     let (customer, rights) = admit::authenticate(node, headers)?;
     node.wait_for_roster().await?;
-    let open = admit::admit(node, &customer, &rights)?;
+    let open_request = admit::admit(node, &customer, &rights)?;
     let body = read_body(body, rights.body).await?;
     let sender = Sender { customer, rights };
     let request = read(node, sender, headers, body)?;
@@ -157,20 +157,25 @@
     node.timeline
         .note(line.detail(format_args!("service={}", request.service)));
     let key = request.key_text.clone();
-    let shape = request.shape;
+    let mode = request.mode;
     let reader = run::start_or_attach(node, request)?;
-    let response = reply::response(reader, shape, &key).await;
-    // The request counts as open until the last byte of its answer has been taken.
-    Ok(response.map(|body| Body::new(Held { body, _open: open })))
+    let response = reply::response(reader, mode, &key).await;
+    // The request counts as open until the last byte of its response has been read.
+    Ok(response.map(|body| {
+        Body::new(CountedBody {
+            body,
+            _open_request: open_request,
+        })
+    }))
 }
 
-/// A body that keeps its request counted as open.
-struct Held {
+/// A response body whose request counts as open until the body is dropped.
+struct CountedBody {
     body: Body,
-    _open: admit::OpenRequest,
+    _open_request: admit::OpenRequest,
 }
 
-impl HttpBody for Held {
+impl HttpBody for CountedBody {
     type Data = Bytes;
     type Error = axum::Error;
 
@@ -190,43 +195,46 @@
     }
 }
 
-/// The body, if it is no larger and no slower than it may be.
+/// Reads the body, within its size limit and [`BODY_TIMEOUT`].
 async fn read_body(body: Body, limit: Size) -> Result<Bytes, Refusal> {
     let too_large = || {
-        let why = format!("the body is larger than {limit} bytes");
-        Refusal::new(Code::TooLarge, why)
+        let detail = format!("the body is larger than {limit} bytes");
+        Refusal::new(Code::TooLarge, detail)
     };
     if body.size_hint().lower() > limit.0 {
-        // A caller that is still writing would see a broken connection and not the refusal.
-        let _ = tokio::time::timeout(DRAIN, drain(body)).await;
+        // A caller that is still sending would see a broken connection instead of the refusal.
+        let _ = tokio::time::timeout(DISCARD_TIMEOUT, discard(body)).await;
         return Err(too_large());
     }
     let limit = usize::try_from(limit.0).unwrap_or(usize::MAX);
-    let read = tokio::time::timeout(SLOWEST, axum::body::to_bytes(body, limit)).await;
-    let read = read.map_err(|_| {
+    let received = tokio::time::timeout(BODY_TIMEOUT, axum::body::to_bytes(body, limit)).await;
+    let received = received.map_err(|_| {
         Refusal::new(
             Code::TooSlow,
-            format!("the body took longer than {} s", SLOWEST.as_secs()),
+            format!("the body took longer than {} s", BODY_TIMEOUT.as_secs()),
         )
     })?;
-    read.map_err(|why| {
-        let source = std::error::Error::source(&why);
+    received.map_err(|error| {
+        let source = std::error::Error::source(&error);
         if source.is_some_and(<dyn std::error::Error>::is::<http_body_util::LengthLimitError>) {
             too_large()
         } else {
-            Refusal::new(Code::TooSlow, "the body broke off")
+            Refusal::new(
+                Code::TooSlow,
+                "the connection closed before the body was complete",
+            )
         }
     })
 }
 
-/// Takes a body and throws it away.
-async fn drain(body: Body) {
+/// Reads a body and discards it.
+async fn discard(body: Body) {
     let mut body = body;
     while let Some(Ok(_)) = body.frame().await {}
 }
 
 async fn models(State(node): State<Shared>, headers: HeaderMap) -> Result<Json<Value>, Reply> {
-    admit::authenticate(&node, &headers).map_err(|why| reply::refusal(&why))?;
+    admit::authenticate(&node, &headers).map_err(|refusal| reply::refusal(&refusal))?;
     let snapshot = node.snapshot();
     let models = snapshot
         .services
@@ -238,30 +246,34 @@
     Ok(Json(json!({ "object": "list", "data": data })))
 }
 
-async fn address(State(node): State<Shared>) -> Reply {
-    match addresses::answer(&node) {
-        Ok(answer) => answer.into_response(),
+async fn entry_addresses(State(node): State<Shared>) -> Reply {
+    match addresses::response(&node) {
+        Ok(response) => response.into_response(),
         Err(refusal) => reply::refusal(&refusal),
     }
 }
 
-/// What became of a request, by its key.
-async fn state(State(node): State<Shared>, Path(key): Path<String>, headers: HeaderMap) -> Reply {
-    match fate(&node, &key, &headers).await {
-        Ok(answer) => Json(answer).into_response(),
+/// The state of a request, by its key.
+async fn request_state(
+    State(node): State<Shared>,
+    Path(key): Path<String>,
+    headers: HeaderMap,
+) -> Reply {
+    match state_json(&node, &key, &headers).await {
+        Ok(response) => Json(response).into_response(),
         Err(refusal) => reply::refusal(&refusal),
     }
 }
 
-async fn fate(node: &Shared, key: &str, headers: &HeaderMap) -> Result<Value, Refusal> {
+async fn state_json(node: &Shared, key: &str, headers: &HeaderMap) -> Result<Value, Refusal> {
     let (customer, _) = admit::authenticate(node, headers)?;
     let id = id::Key::new(&customer, key);
-    let drawn = issue::record(key, ANY_BODY);
-    let fate = match drawn {
+    let issued = issue::record(key, ANY_BODY);
+    let status = match issued {
         Some(record) => run::holder_status(node, id, &record).await?,
-        None => claimed(node, id).await?,
+        None => claimed_status(node, id).await?,
     };
-    Ok(match fate {
+    Ok(match status {
         Status::Open => json!({ "key": key, "state": "open" }),
         Status::Ended { outcome, code } => json!({
             "key": key,
@@ -272,11 +284,11 @@
     })
 }
 
-/// What became of a request whose key was claimed.
-async fn claimed(node: &Shared, key: id::Key) -> Result<Status, Refusal> {
-    let record = claims::lookup(node, key).await?.ok_or_else(not_kept)?;
+/// The status of a request whose key was claimed.
+async fn claimed_status(node: &Shared, key: id::Key) -> Result<Status, Refusal> {
+    let record = claims::lookup(node, key).await?.ok_or_else(unknown_key)?;
     match record.status {
-        // The holder may have ended it and the replicas not know yet.
+        // The request may have ended at its holder without the replicas having the end yet.
         Status::Open => Ok(run::holder_status(node, key, &record)
             .await
             .unwrap_or(Status::Open)),
@@ -284,23 +296,23 @@
     }
 }
 
-fn not_kept() -> Refusal {
-    Refusal::new(Code::UnknownKey, "no request with this key is kept")
+fn unknown_key() -> Refusal {
+    Refusal::new(Code::UnknownKey, "no request with this key is stored")
 }
 
-/// The whole answer of a request, by its key, from whichever entry holds it.
+/// The whole response to a request, by its key, from whichever entry holds it.
 async fn stored_response(
     State(node): State<Shared>,
     Path(key): Path<String>,
     headers: HeaderMap,
 ) -> Reply {
-    match find(&node, &key, &headers).await {
-        Ok(reader) => reply::response(reader, Shape::Whole, &key).await,
+    match find_response(&node, &key, &headers).await {
+        Ok(reader) => reply::response(reader, ResponseMode::Whole, &key).await,
         Err(refusal) => reply::refusal(&refusal),
     }
 }
 
-async fn find(
+async fn find_response(
     node: &Shared,
     key_text: &str,
     headers: &HeaderMap,
@@ -312,7 +324,7 @@
     }
     let record = match issue::record(key_text, ANY_BODY) {
         Some(record) => record,
-        None => claims::lookup(node, key).await?.ok_or_else(not_kept)?,
+        None => claims::lookup(node, key).await?.ok_or_else(unknown_key)?,
     };
     Ok(run::read_remote(node, key, record))
 }
--- a/crates/curlewlift/src/entry/mod.rs
+++ b/crates/curlewlift/src/entry/mod.rs
@@ -1,8 +1,9 @@
-//! An entry: takes callers' requests, and does its part of the shared work.
+//! An entry: serves the requests of callers, and stores claims and queues for the other entries.
 //!
-//! The files follow a request's way: [`http`] and [`parse`] read it, [`admit`] says who may,
-//! [`claims`] claims its key, [`schedule`] waits for its turn at the owner ([`owner`]), [`send`]
-//! sends it and takes its answer, [`store`] keeps the answer for whoever asks.
+//! The modules in the order in which a request passes them: [`http`] and [`parse`] read it,
+//! [`admit`] checks its customer and limits, [`claims`] claims its key, [`schedule`] waits for a
+//! slot from the owner of its service ([`owner`]), [`send`] sends it and receives the response, and
+//! [`store`] stores the response for its readers.
 
 mod addresses;
 mod admit;
--- a/crates/curlewlift/src/entry/parse.rs
+++ b/crates/curlewlift/src/entry/parse.rs
@@ -1,4 +1,4 @@
-//! Reads what callers send.
+//! Parses the requests of callers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,39 +20,39 @@
 use super::node::Node;
 use super::request::Call;
 use super::request::Request;
-use super::request::Shape;
+use super::request::ResponseMode;
 
 /// The header with the request key.
-pub(super) const KEY: HeaderName = HeaderName::from_static("idempotency-key");
+pub(super) const KEY_HEADER: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// The header with the time in which the answer must be whole, in milliseconds.
-pub(super) const DEADLINE: HeaderName = HeaderName::from_static("curlewlift-deadline-ms");
+/// The header with the time within which the response must be complete, in milliseconds.
+pub(super) const DEADLINE_HEADER: HeaderName = HeaderName::from_static("curlewlift-deadline-ms");
 
-/// The longest request key, in bytes.
-const LONGEST_KEY: usize = 200;
+/// Maximum length of a request key, in bytes.
+const MAX_KEY_BYTES: usize = 200;
 
-/// The deadline of a request that names none.
+/// The deadline of a request without the header.
 const DEFAULT_DEADLINE: Duration = Duration::from_mins(2);
 
-/// The longest deadline, in milliseconds.
-const LONGEST_DEADLINE: u64 = 3_600_000;
+/// Maximum deadline, in milliseconds.
+const MAX_DEADLINE_MS: u64 = 3_600_000;
 
-/// Tokens of an answer that names no limit.
-const DEFAULT_OUTPUT: Tokens = Tokens(1_024);
+/// The output limit of a request that sets none.
+const DEFAULT_OUTPUT_LIMIT: Tokens = Tokens(1_024);
 
-/// Bytes of text in a token, about.
+/// Approximate number of bytes of text per token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Beginnings of a prompt that are told to the owner.
-const PREFIXES: usize = 4;
+/// Maximum number of prompt prefixes that the owner gets.
+const MAX_PREFIXES: usize = 4;
 
-/// Who sends a request, and how it may name it.
+/// The customer that sends a request, and its settings.
 pub(super) struct Sender {
     pub(super) customer: id::Customer,
     pub(super) rights: Arc<config::Customer>,
 }
 
-/// The value of a header that may stand once.
+/// The value of a header that may be given only once.
 fn single<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, Refusal> {
     let mut values = headers.get_all(name).iter();
     let Some(first) = values.next() else {
@@ -69,41 +69,41 @@
         .map_err(|_| Refusal::new(Code::BadHeader, format!("`{name}` is not text")))
 }
 
-/// The request key that the headers name, or a new one; and whether they name it.
+/// The request key in the headers, or else a generated one, and whether the headers have one.
 fn key(node: &Node, headers: &HeaderMap) -> Result<(String, bool), Refusal> {
-    let Some(text) = single(headers, &KEY)? else {
-        return Ok((issue::draw(&node.member), false));
+    let Some(text) = single(headers, &KEY_HEADER)? else {
+        return Ok((issue::generate(&node.member), false));
     };
-    if text.is_empty() || text.len() > LONGEST_KEY {
-        let why = format!("`{KEY}` must have 1 to {LONGEST_KEY} characters");
-        return Err(Refusal::new(Code::BadHeader, why));
+    if text.is_empty() || text.len() > MAX_KEY_BYTES {
+        let detail = format!("`{KEY_HEADER}` must have 1 to {MAX_KEY_BYTES} characters");
+        return Err(Refusal::new(Code::BadHeader, detail));
     }
     Ok((text.to_owned(), true))
 }
 
-/// The view that a key tells: `vNUMBER.` at its beginning, as the address answer gives it.
+/// The view in the stamp of a key: it begins with `vNUMBER.`, as the address response gives it.
 pub(super) fn stamp(key: &str) -> Option<id::View> {
     let (number, _) = key.strip_prefix('v')?.split_once('.')?;
     number.parse().ok()
 }
 
 fn deadline(headers: &HeaderMap) -> Result<Duration, Refusal> {
-    let Some(text) = single(headers, &DEADLINE)? else {
+    let Some(text) = single(headers, &DEADLINE_HEADER)? else {
         return Ok(DEFAULT_DEADLINE);
     };
     let millis: i64 = text.parse().map_err(|_| {
         Refusal::new(
             Code::BadHeader,
-            format!("`{DEADLINE}: {text}` is no number of milliseconds"),
+            format!("`{DEADLINE_HEADER}: {text}` is no number of milliseconds"),
         )
     })?;
-    let left = u64::try_from(millis).ok().filter(|millis| *millis > 0);
-    let why = "the deadline had passed when the request arrived";
-    let left = left.ok_or_else(|| Refusal::new(Code::PastDeadline, why))?;
-    Ok(Duration::from_millis(left.min(LONGEST_DEADLINE)))
+    let time_left = u64::try_from(millis).ok().filter(|millis| *millis > 0);
+    let detail = "the deadline had passed when the request arrived";
+    let time_left = time_left.ok_or_else(|| Refusal::new(Code::PastDeadline, detail))?;
+    Ok(Duration::from_millis(time_left.min(MAX_DEADLINE_MS)))
 }
 
-/// A chat or text completion.
+/// Parses a chat or text completion.
 pub(super) fn completion(
     node: &Node,
     sender: Sender,
@@ -112,7 +112,7 @@
     body: Bytes,
 ) -> Result<Request, Refusal> {
     let json: Value = serde_json::from_slice(&body)
-        .map_err(|why| Refusal::new(Code::BadJson, format!("the body is not JSON: {why}")))?;
+        .map_err(|error| Refusal::new(Code::BadJson, format!("the body is not JSON: {error}")))?;
     let Some(object) = json.as_object() else {
         return Err(Refusal::new(
             Code::BadJson,
@@ -132,25 +132,29 @@
     };
     let (service, _) = snapshot.service(model).ok_or_else(unknown)?;
     let stream = flag(object, "stream")?;
-    let output = limit(object)?;
-    let texts = prompt(object)?;
+    let output = output_limit(object)?;
+    let texts = prompt_texts(object)?;
     let characters: usize = texts.iter().map(String::len).sum();
     let call = Call {
         method: Method::POST,
         path: path.to_owned(),
-        headers: passed(headers),
+        headers: forwarded_headers(headers),
         body,
     };
     let mut request = request(node, sender, service.clone(), headers, call)?;
-    request.shape = if stream { Shape::Stream } else { Shape::Whole };
+    request.mode = if stream {
+        ResponseMode::Stream
+    } else {
+        ResponseMode::Whole
+    };
     request.prompt = tokens(characters);
     request.output = output;
-    let owner = (!request.rights.shared_prefixes).then_some(request.customer.as_str());
-    request.prefixes = prefixes(owner, &texts);
+    let scope = (!request.rights.shared_prefixes).then_some(request.customer.as_str());
+    request.prefixes = prefixes(scope, &texts);
     Ok(request)
 }
 
-/// A call of a plain service.
+/// Parses a call of a service that serves no model.
 pub(super) fn plain(
     node: &Node,
     sender: Sender,
@@ -166,11 +170,11 @@
     };
     let service: id::Service = service.parse().map_err(|_| unknown())?;
     let snapshot = node.snapshot();
-    let known = snapshot.services.get(&service).ok_or_else(unknown)?;
-    let sole = known
+    let config = snapshot.services.get(&service).ok_or_else(unknown)?;
+    let sole = config
         .sole
         .iter()
-        .any(|rule| fits(rule, &call.method, &call.path));
+        .any(|rule| rule_matches(rule, &call.method, &call.path));
     let mut request = request(node, sender, service, headers, call)?;
     request.sole = sole;
     Ok(request)
@@ -184,7 +188,7 @@
     call: Call,
 ) -> Result<Request, Refusal> {
     let (key_text, keyed) = key(node, headers)?;
-    let left = deadline(headers)?;
+    let time_left = deadline(headers)?;
     Ok(Request {
         key: id::Key::new(&sender.customer, &key_text),
         stamp: stamp(&key_text),
@@ -194,28 +198,28 @@
         rights: sender.rights,
         service,
         sole: false,
-        shape: Shape::Whole,
+        mode: ResponseMode::Whole,
         digest: digest(&call),
         prompt: tokens(call.body.len()),
         call,
         output: Tokens(1),
         prefixes: Vec::new(),
-        deadline: node.now() + left,
+        deadline: node.now() + time_left,
         ticket: node.next_ticket(),
     })
 }
 
-/// Whether a rule `METHOD /path-prefix` fits a call.
-fn fits(rule: &str, method: &Method, path: &str) -> bool {
-    let Some((wanted, prefix)) = rule.split_once(' ') else {
+/// Whether a rule `METHOD /path-prefix` matches a call.
+fn rule_matches(rule: &str, method: &Method, path: &str) -> bool {
+    let Some((rule_method, prefix)) = rule.split_once(' ') else {
         return false;
     };
-    (wanted == "*" || wanted == method.as_str()) && path.starts_with(prefix)
+    (rule_method == "*" || rule_method == method.as_str()) && path.starts_with(prefix)
 }
 
-/// The headers that go on to the server: all but those of this connection and the caller's key.
-pub(super) fn passed(headers: &HeaderMap) -> HeaderMap {
-    const OWN: [HeaderName; 9] = [
+/// The headers that are forwarded to the server: all but those of this connection and the API key.
+pub(super) fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    const NOT_FORWARDED: [HeaderName; 9] = [
         header::AUTHORIZATION,
         header::CONNECTION,
         header::CONTENT_LENGTH,
@@ -226,11 +230,11 @@
         header::UPGRADE,
         header::EXPECT,
     ];
-    let mut passed = headers.clone();
-    for name in OWN {
-        passed.remove(name);
+    let mut forwarded = headers.clone();
+    for name in NOT_FORWARDED {
+        forwarded.remove(name);
     }
-    passed
+    forwarded
 }
 
 fn digest(call: &Call) -> u64 {
@@ -247,14 +251,14 @@
     }
 }
 
-/// The most tokens that the answer may have.
-fn limit(object: &serde_json::Map<String, Value>) -> Result<Tokens, Refusal> {
-    let named = ["max_completion_tokens", "max_tokens"];
-    let found = named
+/// The maximum number of tokens of the response.
+fn output_limit(object: &serde_json::Map<String, Value>) -> Result<Tokens, Refusal> {
+    let field_names = ["max_completion_tokens", "max_tokens"];
+    let field = field_names
         .iter()
         .find_map(|name| object.get(*name).map(|value| (name, value)));
-    match found {
-        None | Some((_, Value::Null)) => Ok(DEFAULT_OUTPUT),
+    match field {
+        None | Some((_, Value::Null)) => Ok(DEFAULT_OUTPUT_LIMIT),
         Some((name, value)) => {
             let number = value.as_u64().filter(|number| *number > 0);
             number
@@ -264,8 +268,8 @@
     }
 }
 
-/// The parts of the prompt, in order.
-fn prompt(object: &serde_json::Map<String, Value>) -> Result<Vec<String>, Refusal> {
+/// The texts of the prompt, in order.
+fn prompt_texts(object: &serde_json::Map<String, Value>) -> Result<Vec<String>, Refusal> {
     if let Some(prompt) = object.get("prompt") {
         let text = prompt
             .as_str()
@@ -289,9 +293,10 @@
     Ok(texts)
 }
 
-/// The beginnings of a prompt that a server may have cached, the longest first.
-fn prefixes(owner: Option<&str>, texts: &[String]) -> Vec<Prefix> {
-    let mut hash = twox_hash::XxHash64::oneshot(0, owner.unwrap_or_default().as_bytes());
+/// The prefixes of a prompt that a server may have cached, longest first. With a `scope`, only
+/// requests of that customer share them.
+fn prefixes(scope: Option<&str>, texts: &[String]) -> Vec<Prefix> {
+    let mut hash = twox_hash::XxHash64::oneshot(0, scope.unwrap_or_default().as_bytes());
     let mut length = 0;
     let mut all = Vec::with_capacity(texts.len());
     for text in texts {
@@ -301,7 +306,7 @@
         all.push(Prefix { hash, length });
     }
     all.reverse();
-    all.truncate(PREFIXES);
+    all.truncate(MAX_PREFIXES);
     all
 }
 
@@ -316,6 +321,6 @@
     )
 }
 
-fn wrong_type(field: &str, right: &str) -> Refusal {
-    Refusal::new(Code::BadJson, format!("`{field}` must be {right}"))
+fn wrong_type(field: &str, expected: &str) -> Refusal {
+    Refusal::new(Code::BadJson, format!("`{field}` must be {expected}"))
 }
--- a/crates/curlewlift/src/entry/reply.rs
+++ b/crates/curlewlift/src/entry/reply.rs
@@ -16,7 +16,7 @@
 use futures::stream;
 use serde_json::json;
 
-use super::request::Shape;
+use super::request::ResponseMode;
 use super::store::End;
 use super::store::Head;
 use super::store::Reader;
@@ -88,10 +88,12 @@
 }
 
 /// The response that `reader` reads, streamed or whole.
-pub(super) async fn response(reader: Reader, shape: Shape, key: &str) -> Response<Body> {
+pub(super) async fn response(reader: Reader, mode: ResponseMode, key: &str) -> Response<Body> {
     let head = reader.get_response().wait_head().await;
     let mut response = match head {
-        Ok(head) if shape == Shape::Stream && head.status < 300 => stream_response(reader, head),
+        Ok(head) if mode == ResponseMode::Stream && head.status < 300 => {
+            stream_response(reader, head)
+        }
         Ok(head) => whole_response(reader, head).await,
         Err(end) => failed_response(&end),
     };
--- a/crates/curlewlift/src/entry/request.rs
+++ b/crates/curlewlift/src/entry/request.rs
@@ -1,4 +1,4 @@
-//! A request that an entry has taken.
+//! A request that an entry has parsed.
 
 use std::sync::Arc;
 
@@ -11,16 +11,16 @@
 use curlewlift_core::id;
 use curlewlift_core::unit::Tokens;
 
-/// How the answer is to be passed on.
+/// How the caller gets the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Shape {
+pub(super) enum ResponseMode {
     /// As server-sent events that end with `[DONE]`.
     Stream,
-    /// Whole, once it is there.
+    /// Whole, once it is complete.
     Whole,
 }
 
-/// What is called at the backend server.
+/// The HTTP call to the backend server.
 #[derive(Clone, Debug)]
 pub(super) struct Call {
     pub(super) method: Method,
@@ -29,22 +29,22 @@
     pub(super) body: Bytes,
 }
 
-/// A request, its customer known and its body read.
+/// A request whose customer is known and whose body is parsed.
 #[derive(Clone, Debug)]
 pub(super) struct Request {
     pub(super) key: id::Key,
-    /// The key as the caller gave it, or as this entry drew it.
+    /// The key as the caller gave it, or as this entry generated it.
     pub(super) key_text: String,
-    /// Whether the caller drew the key, and may come back with it.
+    /// Whether the caller chose the key, and may retry with it.
     pub(super) keyed: bool,
-    /// The view under which the caller drew the key, if the key tells.
+    /// The view under which the caller generated the key, if the key has a stamp.
     pub(super) stamp: Option<id::View>,
     pub(super) customer: id::Customer,
     pub(super) rights: Arc<config::Customer>,
     pub(super) service: id::Service,
-    /// Whether it may never be repeated.
+    /// Whether the request may run only once.
     pub(super) sole: bool,
-    pub(super) shape: Shape,
+    pub(super) mode: ResponseMode,
     pub(super) call: Call,
     /// A hash of method, path and body.
     pub(super) digest: u64,
--- a/crates/curlewlift/src/entry/send.rs
+++ b/crates/curlewlift/src/entry/send.rs
@@ -22,7 +22,7 @@
 
 use super::node::Node;
 use super::request::Request;
-use super::request::Shape;
+use super::request::ResponseMode;
 use super::schedule::SlotGrant;
 use super::store::End;
 use super::store::Head;
@@ -118,7 +118,7 @@
         ));
     }
     let head = response_head(response.status(), response.headers());
-    let streamed = request.shape == Shape::Stream && response.status().is_success();
+    let streamed = request.mode == ResponseMode::Stream && response.status().is_success();
     stored.set_head(head);
     if streamed {
         receive_stream(node, request, stored, grant, response.into_body()).await
--- a/crates/curlewlift/src/entry/stop.rs
+++ b/crates/curlewlift/src/entry/stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop: leave, serve on, finish, end.
+//! The planned stop: leave the view, serve callers that still have the address, finish, end.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -7,53 +7,54 @@
 use curlewlift_core::event::Kind;
 use curlewlift_core::event::Line;
 
-use super::addresses::KEEP_MS;
+use super::addresses::RETENTION_MS;
 use super::node::Node;
 use super::node::lock;
 
-/// Between two looks whether all is finished.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval between two checks whether the entry has left, or all requests have ended.
+const PROGRESS_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Between two looks whether the operators have told this entry to stop.
-const TOLD: Duration = Duration::from_millis(250);
+/// Interval between two checks whether operators have ordered the stop of this entry.
+const ORDER_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Before the process ends, for the last word to reach the leader.
-const LAST: Duration = Duration::from_millis(500);
+/// Delay before the process ends, so that the last renewal reaches the leader.
+const LAST_RENEWAL_WAIT: Duration = Duration::from_millis(500);
 
-/// Waits until the operators have told this entry to stop.
-pub(super) async fn told(node: &Node) {
+/// Waits until operators have ordered the stop of this entry.
+pub(super) async fn wait_for_order(node: &Node) {
     loop {
         let snapshot = node.snapshot();
         let host = snapshot.hosts.get(&node.member.host);
         if host.is_some_and(|host| host.state == curlewlift_core::config::State::Stopping) {
             return;
         }
-        tokio::time::sleep(TOLD).await;
+        tokio::time::sleep(ORDER_CHECK_INTERVAL).await;
     }
 }
 
-/// Leaves, serves until the last kept address answer has run out, and finishes what is open.
-pub(super) async fn run(node: &Arc<Node>, keep: Duration) {
+/// Leaves the view, serves until no caller may still use an address response that names this entry,
+/// and waits for the open requests.
+pub(super) async fn run(node: &Arc<Node>, address_retention: Duration) {
     node.timeline.note(Line::new(Kind::Stopping));
     lock(&node.view_holder).start_leaving();
-    // First the view without this entry, so that no later answer names it; then as long as an
-    // answer of before may be kept.
+    // Once the view has this entry as leaving, no address response names it any more. Responses
+    // from before stay valid for the retention.
     while !has_left(node) {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(PROGRESS_CHECK_INTERVAL).await;
     }
-    tokio::time::sleep(keep).await;
+    tokio::time::sleep(address_retention).await;
     node.closing.store(true, Ordering::Relaxed);
     while node.open_requests.load(Ordering::Relaxed) > 0 {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(PROGRESS_CHECK_INTERVAL).await;
     }
     lock(&node.view_holder).stop();
-    tokio::time::sleep(LAST).await;
+    tokio::time::sleep(LAST_RENEWAL_WAIT).await;
     let finished = node.finished_requests.load(Ordering::Relaxed);
     node.timeline
         .note(Line::new(Kind::Stopped).detail(format_args!("finished={finished}")));
 }
 
-/// Whether the active view has this entry as leaving, or there is none to act under.
+/// Whether the active view has this entry as leaving, or there is no active view.
 fn has_left(node: &Node) -> bool {
     let Ok(roster) = node.usable_roster() else {
         return true;
@@ -63,5 +64,5 @@
         .is_none_or(|member| member.leaving)
 }
 
-/// How long callers keep an address answer.
-pub(super) const KEEP: Duration = Duration::from_millis(KEEP_MS);
+/// How long callers may use an address response.
+pub(super) const ADDRESS_RETENTION: Duration = Duration::from_millis(RETENTION_MS);
