--- a/crates/curlewlift/tests/bad_input.rs
+++ b/crates/curlewlift/tests/bad_input.rs
@@ -1,4 +1,5 @@
-//! Bad input: each a numbered code, and the entry goes on.
+//! Invalid requests: each is refused with its own result code, and the entry serves valid requests
+//! afterwards.
 
 mod support;
 
@@ -7,7 +8,7 @@
 
 use support::Small;
 
-/// Method, path, headers, body, and the code that must come.
+/// Method, path, headers and body of a request, and the expected result code.
 type Case<'a> = (Method, &'a str, Vec<(&'a str, &'a str)>, &'a str, &'a str);
 
 #[test]
@@ -15,8 +16,8 @@
     let small = Small::start("numbered_refusals", 1, 1, 1);
     let entry = small.site.entry(0);
     let chat = "/v1/chat/completions";
-    let good = Client::chat("m", "hi", 1, false);
-    let large = "x".repeat(5 << 20);
+    let valid_body = Client::chat("m", "hi", 1, false);
+    let large_body = "x".repeat(5 << 20);
     let cases: Vec<Case<'_>> = vec![
         (Method::POST, chat, vec![], "no json", "1001"),
         (Method::POST, chat, vec![], "[1]", "1001"),
@@ -37,7 +38,7 @@
             "{\"model\":\"m\",\"messages\":[{}],\"max_tokens\":0}",
             "1001",
         ),
-        (Method::POST, chat, vec![], &large, "1008"),
+        (Method::POST, chat, vec![], &large_body, "1008"),
         (Method::GET, chat, vec![], "", "1004"),
         (Method::GET, "/nothing", vec![], "", "1007"),
         (Method::POST, "/services/none/x", vec![], "", "1006"),
@@ -45,58 +46,64 @@
             Method::POST,
             chat,
             vec![("curlewlift-deadline-ms", "-1")],
-            &good,
+            &valid_body,
             "1010",
         ),
         (
             Method::POST,
             chat,
             vec![("curlewlift-deadline-ms", "soon")],
-            &good,
+            &valid_body,
             "1003",
         ),
         (
             Method::POST,
             chat,
             vec![("idempotency-key", "a"), ("idempotency-key", "b")],
-            &good,
+            &valid_body,
             "1003",
         ),
         (
             Method::POST,
             chat,
             vec![("curlewlift-deadline-ms", "1")],
-            &good,
+            &valid_body,
             "3002",
         ),
     ];
     for (method, path, headers, body, code) in cases {
-        let sent = small
+        let response = small
             .ann
             .send(entry, method, path, &headers, body.to_owned());
-        let reply = small.runtime.block_on(sent);
-        let shown = body.get(..40).unwrap_or(body);
+        let reply = small.runtime.block_on(response);
+        let excerpt = body.get(..40).unwrap_or(body);
         assert_eq!(
             reply.header("curlewlift-code"),
             code,
-            "{path} {shown}: {}",
+            "{path} {excerpt}: {}",
             reply.body
         );
         assert_eq!(
             reply.header("curlewlift-outcome"),
             "not-run",
-            "{path} {shown}"
+            "{path} {excerpt}"
         );
         assert!(reply.body.contains("\"error\""), "{}", reply.body);
     }
     let stranger = Client::new("nobody's");
     let reply = small
         .runtime
-        .block_on(stranger.post(entry, &[], good.clone()));
+        .block_on(stranger.post(entry, &[], valid_body.clone()));
     assert_eq!(
         (reply.status, reply.header("curlewlift-code")),
         (401, "2001")
     );
-    let reply = small.runtime.block_on(small.ann.post(entry, &[], good));
-    assert_eq!(reply.status, 200, "the entry goes on: {}", reply.body);
+    let reply = small
+        .runtime
+        .block_on(small.ann.post(entry, &[], valid_body));
+    assert_eq!(
+        reply.status, 200,
+        "a valid request after the invalid ones: {}",
+        reply.body
+    );
 }
--- a/crates/curlewlift/tests/broken_answers.rs
+++ b/crates/curlewlift/tests/broken_answers.rs
@@ -1,4 +1,6 @@
-//! Answers that break, and servers that refuse (rows D5, D6, D7).
+//! Responses that break off, and servers that refuse. A broken stream is resumed if the server
+//! still has it; otherwise the caller gets the outcome unknown, never a response that looks
+//! complete. A refused request is attempted at another server.
 
 mod support;
 
@@ -30,8 +32,8 @@
 }
 
 #[test]
-fn lost_stream() {
-    let small = Small::start("lost_stream", 1, 1, 1);
+fn unresumable_stream() {
+    let small = Small::start("unresumable_stream", 1, 1, 1);
     small.engines[0].set_faults(Faults {
         break_after: Some(300),
         lose: true,
@@ -47,8 +49,8 @@
 }
 
 #[test]
-fn short_answer() {
-    let small = Small::start("short_answer", 1, 1, 1);
+fn short_response() {
+    let small = Small::start("short_response", 1, 1, 1);
     small.engines[0].set_faults(Faults {
         short: true,
         ..Faults::default()
@@ -94,19 +96,19 @@
 }
 
 #[test]
-fn own_answers() {
-    let small = Small::start("own_answers", 1, 2, 1);
-    let ask = |number: u64| {
+fn responses_matched() {
+    let small = Small::start("responses_matched", 1, 2, 1);
+    let send = |number: u64| {
         let ann = small.ann.clone();
-        let to = small.site.entry(usize::from(number.is_multiple_of(2)));
+        let address = small.site.entry(usize::from(number.is_multiple_of(2)));
         let path = format!("/services/pay/echo/{number}");
         async move {
-            ann.send(to, Method::POST, &path, &[], number.to_string())
+            ann.send(address, Method::POST, &path, &[], number.to_string())
                 .await
         }
     };
     for _ in 0..5 {
-        let all = futures::future::join_all((0..40).map(ask));
+        let all = futures::future::join_all((0..40).map(send));
         for (number, reply) in small.runtime.block_on(all).into_iter().enumerate() {
             assert_eq!(reply.body, format!("POST /echo/{number} {number}"));
         }
@@ -116,30 +118,35 @@
 #[test]
 fn refused_connection() {
     let mut small = Small::start("refused_connection", 1, 1, 1);
-    // A port that was free a moment ago, and where nobody listens.
+    // A port that was free a moment ago, so that nothing listens on it.
     let free = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = free.local_addr().expect("an address");
+    let closed_port = free.local_addr().expect("an address");
     drop(free);
     small.site.run("create service away");
-    small.site.server("a1", "away", address, "");
+    small.site.server("a1", "away", closed_port, "");
     small.site.wait_in_force();
-    let to = small.site.entry(0);
-    let away = small
+    let address = small.site.entry(0);
+    let refused = small
         .ann
-        .send(to, Method::POST, "/services/away/x", &[], "");
-    let away = small.runtime.block_on(away);
-    assert_eq!(away.header("curlewlift-code"), "4001", "{}", away.body);
+        .send(address, Method::POST, "/services/away/x", &[], "");
+    let refused = small.runtime.block_on(refused);
     assert_eq!(
-        away.header("curlewlift-outcome"),
+        refused.header("curlewlift-code"),
+        "4001",
+        "{}",
+        refused.body
+    );
+    assert_eq!(
+        refused.header("curlewlift-outcome"),
         "not-run",
-        "surely nothing went out"
+        "no byte of the request was sent"
     );
-    // Beside a server that answers, it goes there.
+    // With a second server that is reachable, the requests go there.
     small.site.server("a2", "away", small.plain.address(), "");
     small.site.wait_in_force();
     for number in 0..4 {
         let path = format!("/services/away/{number}");
-        let reply = small.ann.send(to, Method::POST, &path, &[], "");
+        let reply = small.ann.send(address, Method::POST, &path, &[], "");
         let reply = small.runtime.block_on(reply);
         assert_eq!(reply.status, 200, "{}", reply.body);
     }
--- a/crates/curlewlift/tests/dead_entry.rs
+++ b/crates/curlewlift/tests/dead_entry.rs
@@ -1,4 +1,6 @@
-//! An entry dies with requests in flight (row D1).
+//! The crash of an entry with requests in flight. The other entries go on serving. A retried
+//! request that may have run at the crashed entry must not run again, and its outcome is reported
+//! as unknown.
 
 mod support;
 
@@ -8,47 +10,48 @@
 
 use support::Small;
 
-const PATH: &str = "/services/pay/charge";
+const CHARGE_PATH: &str = "/services/pay/charge";
 
 #[test]
 fn charge_once() {
     let mut small = Small::start("charge_once", 1, 4, 1);
     small.plain.set_delay(Duration::from_secs(2));
     let headers = [("idempotency-key", "c1")];
-    let (ann, to) = (small.ann.clone(), small.site.entry(0));
+    let (ann, address) = (small.ann.clone(), small.site.entry(0));
     let first = small.runtime.spawn(async move {
         let headers = [("idempotency-key", "c1")];
-        ann.send(to, Method::POST, PATH, &headers, "10 EUR").await
+        ann.send(address, Method::POST, CHARGE_PATH, &headers, "10 EUR")
+            .await
     });
     while small.plain.calls().is_empty() {
-        assert!(!first.is_finished(), "the charge is under way");
+        assert!(!first.is_finished(), "the charge is still in flight");
         std::thread::sleep(Duration::from_millis(10));
     }
     small.site.kill_entry(0);
     small.plain.set_delay(Duration::ZERO);
     for entry in 1..4 {
-        let again = small.ann.send(
+        let retry = small.ann.send(
             small.site.entry(entry),
             Method::POST,
-            PATH,
+            CHARGE_PATH,
             &headers,
             "10 EUR",
         );
-        let again = small.runtime.block_on(again);
+        let retry = small.runtime.block_on(retry);
         assert_eq!(
-            again.header("curlewlift-outcome"),
+            retry.header("curlewlift-outcome"),
             "unknown",
             "{}",
-            again.body
+            retry.body
         );
-        assert_eq!(again.header("curlewlift-code"), "5003", "{}", again.body);
+        assert_eq!(retry.header("curlewlift-code"), "5003", "{}", retry.body);
     }
     assert_eq!(small.plain.calls().values().max(), Some(&1));
 }
 
 #[test]
-fn others_go_on() {
-    let mut small = Small::start("others_go_on", 1, 4, 2);
+fn other_entries_serve() {
+    let mut small = Small::start("other_entries_serve", 1, 4, 2);
     small.site.kill_entry(3);
     let body = curlewlift_lab::client::Client::chat("m", "hello", 3, false);
     for entry in 0..3 {
@@ -60,38 +63,50 @@
 }
 
 #[test]
-fn copies_gone() {
-    let mut small = Small::start("copies_gone", 1, 4, 1);
+fn all_replicas_lost() {
+    let mut small = Small::start("all_replicas_lost", 1, 4, 1);
     let headers = [("idempotency-key", "c2")];
-    let first = small
-        .ann
-        .send(small.site.entry(0), Method::POST, PATH, &headers, "10 EUR");
+    let first = small.ann.send(
+        small.site.entry(0),
+        Method::POST,
+        CHARGE_PATH,
+        &headers,
+        "10 EUR",
+    );
     assert_eq!(small.runtime.block_on(first).status, 200);
-    for place in 0..3 {
-        small.site.kill_entry(place);
+    for entry in 0..3 {
+        small.site.kill_entry(entry);
     }
     small.site.wait_for_view(1);
     let last = small.site.entry(3);
-    let again =
-        small
-            .runtime
-            .block_on(small.ann.send(last, Method::POST, PATH, &headers, "10 EUR"));
-    assert_eq!(again.header("curlewlift-code"), "5003", "{}", again.body);
-    assert_eq!(again.header("curlewlift-outcome"), "unknown", "it did run");
+    let retry =
+        small.runtime.block_on(
+            small
+                .ann
+                .send(last, Method::POST, CHARGE_PATH, &headers, "10 EUR"),
+        );
+    assert_eq!(retry.header("curlewlift-code"), "5003", "{}", retry.body);
+    assert_eq!(
+        retry.header("curlewlift-outcome"),
+        "unknown",
+        "the first request ran, but its record is lost"
+    );
     let path = "/curlewlift/addresses";
-    let answer = small
+    let addresses = small
         .runtime
         .block_on(small.ann.send(last, Method::GET, path, &[], ""));
-    let answer: serde_json::Value = serde_json::from_str(&answer.body).expect("JSON");
-    let fresh = format!("{}c2", answer["stamp"].as_str().expect("a stamp"));
-    let headers = [("idempotency-key", fresh.as_str())];
-    let fresh =
-        small
-            .runtime
-            .block_on(small.ann.send(last, Method::POST, PATH, &headers, "10 EUR"));
+    let addresses: serde_json::Value = serde_json::from_str(&addresses.body).expect("JSON");
+    let stamped_key = format!("{}c2", addresses["stamp"].as_str().expect("a stamp"));
+    let headers = [("idempotency-key", stamped_key.as_str())];
+    let reply =
+        small.runtime.block_on(
+            small
+                .ann
+                .send(last, Method::POST, CHARGE_PATH, &headers, "10 EUR"),
+        );
     assert_eq!(
-        fresh.status, 200,
-        "a stamped key is surely new: {}",
-        fresh.body
+        reply.status, 200,
+        "a key with the stamp of the current view is certainly new: {}",
+        reply.body
     );
 }
--- a/crates/curlewlift/tests/golden_sessions.rs
+++ b/crates/curlewlift/tests/golden_sessions.rs
@@ -1,4 +1,4 @@
-//! Whole sessions, held against golden files.
+//! Whole sessions of callers and operators, compared with golden files.
 
 mod support;
 
@@ -15,7 +15,7 @@
 use support::folder;
 use support::golden::Session;
 
-const KEY: &str = "idempotency-key";
+const KEY_HEADER: &str = "idempotency-key";
 
 #[test]
 fn streamed_chat() {
@@ -23,7 +23,7 @@
     let mut session = Session::default();
     let body = Client::chat("m", "hello", 3, true);
     session.did(&format!("POST /v1/chat/completions {body}"));
-    let headers = [(KEY, "k1")];
+    let headers = [(KEY_HEADER, "k1")];
     let reply = small.ann.post(small.site.entry(0), &headers, body);
     session.got(&small.runtime.block_on(reply));
     session.check("streamed_chat");
@@ -35,10 +35,14 @@
     let mut session = Session::default();
     session.did("POST /services/pay/charge?room=7 120 EUR");
     let path = "/services/pay/charge?room=7";
-    let to = small.site.entry(0);
-    let reply = small
-        .ann
-        .send(to, Method::POST, path, &[(KEY, "c1")], "120 EUR");
+    let address = small.site.entry(0);
+    let reply = small.ann.send(
+        address,
+        Method::POST,
+        path,
+        &[(KEY_HEADER, "c1")],
+        "120 EUR",
+    );
     session.got(&small.runtime.block_on(reply));
     session.check("plain_call");
 }
@@ -55,7 +59,7 @@
         ));
         let reply = small
             .ann
-            .post(small.site.entry(entry), &[(KEY, "k1")], body);
+            .post(small.site.entry(entry), &[(KEY_HEADER, "k1")], body);
         session.got(&small.runtime.block_on(reply));
     }
     session.did("entry 2: GET /curlewlift/requests/k1");
@@ -73,7 +77,7 @@
     let mut session = Session::default();
     let body = Client::chat("m", "hello", 1_000, false);
     session.did(&format!("POST /v1/chat/completions in 100 ms {body}"));
-    let headers = [(KEY, "k1"), ("curlewlift-deadline-ms", "100")];
+    let headers = [(KEY_HEADER, "k1"), ("curlewlift-deadline-ms", "100")];
     let reply = small.ann.post(small.site.entry(0), &headers, body);
     session.got(&small.runtime.block_on(reply));
     session.check("refused_request");
@@ -94,7 +98,7 @@
         let number = small.site.next_number();
         match small.site.operator().run(number, line) {
             Ok(text) => session.said(&text),
-            Err(why) => session.said(&why.to_string()),
+            Err(refusal) => session.said(&refusal.to_string()),
         }
     }
     small.site.wait_in_force();
@@ -156,13 +160,13 @@
             vec!["timeline", "--from", "127.0.0.1:1", "--key", "k"],
         ),
     ] {
-        let shown: Vec<_> = variables
+        let assignments: Vec<_> = variables
             .iter()
             .map(|(name, value)| format!("{name}={value} "))
             .collect();
         session.did(&format!(
             "{}curlewlift {}",
-            shown.concat(),
+            assignments.concat(),
             arguments.join(" ")
         ));
         let output = Command::new(env!("CARGO_BIN_EXE_curlewlift"))
@@ -170,7 +174,7 @@
             .env_clear()
             .envs(variables)
             .output()
-            .expect("it runs");
+            .expect("the command runs");
         session.said(&String::from_utf8_lossy(&output.stderr));
         session.said(&format!("exit code {}", output.status.code().unwrap_or(-1)));
     }
@@ -181,40 +185,44 @@
 fn racing_operators() {
     let mut site = Site::start(&folder("racing_operators"), &["a", "b", "c"], 3, 0);
     site.wait_for_replicas(3);
-    let hash = curlewlift::digest("ben-key");
-    site.run(&format!("create operator ben key_hash={hash} right=write"));
-    let hash = curlewlift::digest("eve-key");
-    site.run(&format!("create operator eve key_hash={hash} right=read"));
+    let ben_hash = curlewlift::digest("ben-key");
+    site.run(&format!(
+        "create operator ben key_hash={ben_hash} right=write"
+    ));
+    let eve_hash = curlewlift::digest("eve-key");
+    site.run(&format!(
+        "create operator eve key_hash={eve_hash} right=read"
+    ));
     let control = site.control_addresses();
-    let ann = site.operator();
+    let root = site.operator();
     let ben = Operator::new("ben".parse().expect("a name"), "ben-key", control.clone());
     let eve = Operator::new("eve".parse().expect("a name"), "eve-key", control);
     let mut session = Session::default();
-    let mut give = |name: &str, operator: &Operator, number: u64, line: &str| {
+    let mut run_line = |name: &str, operator: &Operator, number: u64, line: &str| {
         session.did(&format!("{name} {number}: {line}"));
         match operator.run(number, line) {
             Ok(text) => session.said(&text),
-            Err(why) => session.said(&why.to_string()),
+            Err(refusal) => session.said(&refusal.to_string()),
         }
     };
-    give("root", &ann, 100, "create tier live rank=0");
-    give("ben", &ben, 100, "create tier quick rank=0");
-    give("ben", &ben, 101, "create tier quick rank=0");
-    give("ben", &ben, 102, "create tier quick rank=1");
-    give("eve", &eve, 103, "create tier late rank=2");
-    give("eve", &eve, 0, "show tiers sort by rank down");
+    run_line("root", &root, 100, "create tier live rank=0");
+    run_line("ben", &ben, 100, "create tier quick rank=0");
+    run_line("ben", &ben, 101, "create tier quick rank=0");
+    run_line("ben", &ben, 102, "create tier quick rank=1");
+    run_line("eve", &eve, 103, "create tier late rank=2");
+    run_line("eve", &eve, 0, "show tiers sort by rank down");
     site.kill_control(0);
-    give("root", &ann, 100, "create tier live rank=0");
-    give("ben", &ben, 102, "create tier quick rank=1");
-    give("ben", &ben, 102, "create tier quick rank=2");
-    for place in 1..3 {
-        site.kill_control(place);
+    run_line("root", &root, 100, "create tier live rank=0");
+    run_line("ben", &ben, 102, "create tier quick rank=1");
+    run_line("ben", &ben, 102, "create tier quick rank=2");
+    for replica in 1..3 {
+        site.kill_control(replica);
     }
-    for place in 0..3 {
-        site.restart_control(place);
+    for replica in 0..3 {
+        site.restart_control(replica);
     }
-    give("ben", &ben, 101, "create tier quick rank=0");
-    give(
+    run_line("ben", &ben, 101, "create tier quick rank=0");
+    run_line(
         "eve",
         &eve,
         0,
@@ -224,32 +232,41 @@
 }
 
 #[test]
-fn one_story() {
-    let small = Small::start("one_story", 1, 3, 1);
+fn merged_timeline() {
+    let small = Small::start("merged_timeline", 1, 3, 1);
     let body = Client::chat("m", "hello", 3, true);
-    let reply = small.ann.post(small.site.entry(0), &[(KEY, "k1")], body);
+    let reply = small
+        .ann
+        .post(small.site.entry(0), &[(KEY_HEADER, "k1")], body);
     assert_eq!(small.runtime.block_on(reply).status, 200);
     let ann = "ann".parse().expect("a name");
     let filter = Filter {
         key: Some(id::Key::new(&ann, "k1")),
         ..Filter::default()
     };
-    let (lines, silent) =
+    let (lines, unreachable) =
         curlewlift::collect(&small.site.rpc_addresses(), &filter).expect("collected");
-    assert!(silent.is_empty());
+    assert!(unreachable.is_empty());
     let mut hosts: Vec<_> = lines.iter().map(|line| line.host.as_str()).collect();
     hosts.sort_unstable();
     hosts.dedup();
-    assert_eq!(hosts, ["e1", "e2", "e3"], "one story over three processes");
-    let place = |number| lines.iter().position(|line| line.kind.number() == number);
-    let order: Vec<_> = [200, 212, 203, 204, 205, 207].map(place).to_vec();
+    assert_eq!(
+        hosts,
+        ["e1", "e2", "e3"],
+        "the timeline has events of all three entries"
+    );
+    let position = |number| lines.iter().position(|line| line.kind.number() == number);
+    let order: Vec<_> = [200, 212, 203, 204, 205, 207].map(position).to_vec();
     assert!(
         order.iter().all(Option::is_some) && order.is_sorted(),
         "{lines:#?}"
     );
-    assert!(place(211) < place(201), "kept before it is claimed");
+    assert!(
+        position(211) < position(201),
+        "a replica stores the claim before the key counts as claimed"
+    );
     assert!(
         lines.iter().all(|line| !line.to_string().contains("hello")),
-        "no content"
+        "no event holds content of the request"
     );
 }
--- a/crates/curlewlift/tests/leaving_servers.rs
+++ b/crates/curlewlift/tests/leaving_servers.rs
@@ -1,4 +1,5 @@
-//! Backend servers that leave by the platform's list get no new work (rows M1, M2).
+//! Servers that the platform lists as leaving are drained, so that they get no new requests. The
+//! platform may repeat an older list: it must not change the state of a server.
 
 mod support;
 
@@ -10,7 +11,7 @@
 use curlewlift_lab::standin::Platform;
 
 #[test]
-fn listed_leaving() {
+fn listed_as_leaving() {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(1)
         .enable_all()
@@ -20,10 +21,10 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let rpc = listener.local_addr().expect("an address");
     let control = Control::new("c1".parse().expect("a name"), listener)
-        .data(support::folder("listed_leaving"))
+        .data(support::folder("listed_as_leaving"))
         .found(true)
         .platform(Some(platform.address()));
-    let control = control.start().expect("it starts");
+    let control = control.start().expect("the control replica starts");
     let operator = Operator::new("root".parse().expect("a name"), "", vec![rpc]);
     for (number, line) in [
         "create service s model=m",
@@ -35,20 +36,20 @@
     {
         operator
             .run(number as u64 + 1, line)
-            .expect("it is applied");
+            .expect("the command is applied");
     }
     let leaving = || {
         let rows = operator.run(0, "show servers where state = leaving columns name as json");
-        rows.expect("it answers")
+        rows.expect("the operator gets an answer")
     };
-    let wait_for = |wanted: &str| {
+    let wait_for = |expected: &str| {
         for _ in 0..200 {
-            if leaving() == wanted {
+            if leaving() == expected {
                 return;
             }
             std::thread::sleep(Duration::from_millis(50));
         }
-        panic!("leaving: {}", leaving());
+        panic!("servers that are leaving: {}", leaving());
     };
     platform.tell(5, &[("x", true), ("y", false)]);
     wait_for("{\"name\":\"x\"}\n");
@@ -57,10 +58,10 @@
     wait_for("{\"name\":\"x\"}\n");
     platform.tell(6, &[("y", true)]);
     wait_for("{\"name\":\"x\"}\n{\"name\":\"y\"}\n");
-    // Two at once: each drain is a command of its own.
+    // Two servers in one list: each drain is a command of its own.
     for (number, name) in [(10, "a"), (11, "b")] {
         let line = format!("create server {name} service=s address=127.0.0.1:3 hall=h");
-        operator.run(number, &line).expect("it is applied");
+        operator.run(number, &line).expect("the command is applied");
     }
     platform.tell(7, &[("a", true), ("b", true), ("y", true)]);
     wait_for("{\"name\":\"a\"}\n{\"name\":\"b\"}\n{\"name\":\"x\"}\n{\"name\":\"y\"}\n");
--- a/crates/curlewlift/tests/planned_stop.rs
+++ b/crates/curlewlift/tests/planned_stop.rs
@@ -1,4 +1,5 @@
-//! A planned stop of an entry cuts nothing off (row M4).
+//! The planned stop of an entry. Callers may use its address for a while after the stop begins, and
+//! long responses may still be streamed: none of these requests may fail or be cut off.
 
 mod support;
 
@@ -10,38 +11,43 @@
 use support::Small;
 
 #[test]
-fn serves_on() {
-    let mut small = Small::start("serves_on", 1, 4, 2);
-    let to = small.site.entry(0);
+fn serves_until_end() {
+    let mut small = Small::start("serves_until_end", 1, 4, 2);
+    let address = small.site.entry(0);
     let ann = small.ann.clone();
     let long = small.runtime.spawn(async move {
-        ann.post(to, &[], Client::chat("m", "long", 600, true))
+        ann.post(address, &[], Client::chat("m", "long", 600, true))
             .await
     });
     std::thread::sleep(Duration::from_millis(200));
     let process = small.site.stop_entry(0);
-    let short = small
-        .ann
-        .post(to, &[], Client::chat("m", "kept the address", 3, false));
+    let short = small.ann.post(
+        address,
+        &[],
+        Client::chat("m", "kept the address", 3, false),
+    );
     assert_eq!(small.runtime.block_on(short).status, 200);
-    let long = small.runtime.block_on(long).expect("the caller goes on");
+    let long = small
+        .runtime
+        .block_on(long)
+        .expect("the caller task finishes");
     assert_eq!(long.body.matches("\"delta\"").count(), 600);
     assert!(long.body.ends_with("code=0 outcome=run\n\n"));
-    process.wait().expect("it ends well");
+    process.wait().expect("the entry stops without an error");
     small.site.wait_for_view(3);
 }
 
 #[test]
-fn leaves_answers() {
-    let mut small = Small::start("leaves_answers", 1, 4, 1);
-    let gone = small.site.entry(0).to_string();
+fn address_withdrawn() {
+    let mut small = Small::start("address_withdrawn", 1, 4, 1);
+    let stopped = small.site.entry(0).to_string();
     small.site.run("stop host e1");
     small.site.wait_for_view_of(&[1, 2, 3], 3);
     let path = "/curlewlift/addresses";
-    let answer = small
+    let response = small
         .ann
         .send(small.site.entry(1), Method::GET, path, &[], "");
-    let answer = small.runtime.block_on(answer);
-    assert_eq!(answer.status, 200);
-    assert!(!answer.body.contains(&gone), "{}", answer.body);
+    let response = small.runtime.block_on(response);
+    assert_eq!(response.status, 200);
+    assert!(!response.body.contains(&stopped), "{}", response.body);
 }
--- a/crates/curlewlift/tests/request_keys.rs
+++ b/crates/curlewlift/tests/request_keys.rs
@@ -1,4 +1,6 @@
-//! Request keys: one dispatch for a key, whichever entry is asked (rows D2, D3, D8, D9).
+//! Request keys. A caller that retries with the same key, at the same or another entry, must get
+//! the response of the first request, and the request must run only once. Another body under the
+//! same key is refused, and keys of different customers are independent.
 
 mod support;
 
@@ -9,42 +11,42 @@
 
 use support::Small;
 
-const KEY: &str = "idempotency-key";
+const KEY_HEADER: &str = "idempotency-key";
 
 #[test]
-fn same_instant() {
-    let small = Small::start("same_instant", 1, 3, 2);
+fn concurrent_requests() {
+    let small = Small::start("concurrent_requests", 1, 3, 2);
     let body = Client::chat("m", "hello", 40, false);
-    let ask = |entry: usize| {
+    let send_to = |entry: usize| {
         let ann = small.ann.clone();
-        let to = small.site.entry(entry);
+        let address = small.site.entry(entry);
         let body = body.clone();
-        async move { ann.post(to, &[(KEY, "k1")], body).await }
+        async move { ann.post(address, &[(KEY_HEADER, "k1")], body).await }
     };
-    let (one, two) = small
+    let (first, second) = small
         .runtime
-        .block_on(async { tokio::join!(ask(0), ask(1)) });
+        .block_on(async { tokio::join!(send_to(0), send_to(1)) });
     assert_eq!(
-        (one.status, two.status),
+        (first.status, second.status),
         (200, 200),
         "{} {}",
-        one.body,
-        two.body
+        first.body,
+        second.body
     );
-    assert_eq!(one.body, two.body);
+    assert_eq!(first.body, second.body);
     assert_eq!(small.most_runs(), 1);
 }
 
 #[test]
-fn resend_elsewhere() {
-    let small = Small::start("resend_elsewhere", 1, 3, 1);
+fn retry_elsewhere() {
+    let small = Small::start("retry_elsewhere", 1, 3, 1);
     let body = Client::chat("m", "hello", 5, true);
-    let headers = [(KEY, "k1")];
+    let headers = [(KEY_HEADER, "k1")];
     let first = small.ann.post(small.site.entry(0), &headers, body.clone());
     let first = small.runtime.block_on(first);
-    let again = small.ann.post(small.site.entry(2), &headers, body);
-    let again = small.runtime.block_on(again);
-    assert_eq!(first.body, again.body);
+    let retry = small.ann.post(small.site.entry(2), &headers, body);
+    let retry = small.runtime.block_on(retry);
+    assert_eq!(first.body, retry.body);
     assert_eq!(small.most_runs(), 1);
     let path = "/curlewlift/requests/k1";
     let state = small
@@ -57,25 +59,26 @@
 #[test]
 fn other_body() {
     let small = Small::start("other_body", 1, 3, 1);
-    let headers = [(KEY, "k1")];
-    let one = small.ann.post(
+    let headers = [(KEY_HEADER, "k1")];
+    let first = small.ann.post(
         small.site.entry(0),
         &headers,
         Client::chat("m", "a", 3, false),
     );
-    assert_eq!(small.runtime.block_on(one).status, 200);
+    assert_eq!(small.runtime.block_on(first).status, 200);
     for entry in 0..3 {
         let body = Client::chat("m", "b", 3, false);
-        let two = small
-            .runtime
-            .block_on(small.ann.post(small.site.entry(entry), &headers, body));
+        let refused =
+            small
+                .runtime
+                .block_on(small.ann.post(small.site.entry(entry), &headers, body));
         assert_eq!(
-            (two.status, two.header("curlewlift-code")),
+            (refused.status, refused.header("curlewlift-code")),
             (422, "5001"),
             "{}",
-            two.body
+            refused.body
         );
-        assert_eq!(two.header("curlewlift-outcome"), "not-run");
+        assert_eq!(refused.header("curlewlift-outcome"), "not-run");
     }
     assert_eq!(small.engines[0].tally().runs.len(), 1);
 }
@@ -83,17 +86,20 @@
 #[test]
 fn two_customers() {
     let small = Small::start("two_customers", 1, 3, 1);
-    let headers = [(KEY, "k1")];
+    let headers = [(KEY_HEADER, "k1")];
     let body = Client::chat("m", "hello", 3, false);
     let ann = small
         .runtime
         .block_on(small.ann.post(small.site.entry(0), &headers, body.clone()));
     let path = "/curlewlift/requests/k1";
-    let look = small
+    let state = small
         .ben
         .send(small.site.entry(0), Method::GET, path, &[], "");
-    let look = small.runtime.block_on(look);
-    assert_eq!((look.status, look.header("curlewlift-code")), (404, "5004"));
+    let state = small.runtime.block_on(state);
+    assert_eq!(
+        (state.status, state.header("curlewlift-code")),
+        (404, "5004")
+    );
     let ben = small
         .runtime
         .block_on(small.ben.post(small.site.entry(0), &headers, body));
@@ -102,63 +108,68 @@
 }
 
 #[test]
-fn caller_returns() {
-    let small = Small::start("caller_returns", 1, 3, 1);
+fn retry_after_disconnect() {
+    let small = Small::start("retry_after_disconnect", 1, 3, 1);
     let body = Client::chat("m", "hello", 200, true);
-    let headers = [(KEY, "k1")];
+    let headers = [(KEY_HEADER, "k1")];
     let first = small.ann.post(small.site.entry(0), &headers, body.clone());
-    let left = small
+    let timed_out = small
         .runtime
         .block_on(async { tokio::time::timeout(Duration::from_millis(150), first).await });
-    assert!(left.is_err(), "the caller goes away in the middle");
-    let again = small
+    assert!(
+        timed_out.is_err(),
+        "the caller disconnects before the response is complete"
+    );
+    let retry = small
         .runtime
         .block_on(small.ann.post(small.site.entry(1), &headers, body));
-    assert_eq!(again.body.matches("\"delta\"").count(), 200);
-    assert!(again.body.ends_with("code=0 outcome=run\n\n"));
+    assert_eq!(retry.body.matches("\"delta\"").count(), 200);
+    assert!(retry.body.ends_with("code=0 outcome=run\n\n"));
     assert_eq!(small.most_runs(), 1);
 }
 
 #[test]
-fn drawn_key() {
-    let mut small = Small::start("drawn_key", 1, 3, 1);
+fn generated_key() {
+    let mut small = Small::start("generated_key", 1, 3, 1);
     let body = Client::chat("m", "hello", 5, false);
     let first = small
         .runtime
         .block_on(small.ann.post(small.site.entry(0), &[], body.clone()));
     let key = first.header("curlewlift-key").to_owned();
-    let headers = [(KEY, key.as_str())];
+    let headers = [(KEY_HEADER, key.as_str())];
     for entry in 0..3 {
-        let again = small
+        let retry = small
             .ann
             .post(small.site.entry(entry), &headers, body.clone());
-        let again = small.runtime.block_on(again);
-        assert_eq!(again.body, first.body, "entry {entry}");
+        let retry = small.runtime.block_on(retry);
+        assert_eq!(retry.body, first.body, "the response from entry {entry}");
         let path = format!("/curlewlift/requests/{key}");
         let state = small
             .ann
             .send(small.site.entry(entry), Method::GET, &path, &[], "");
         let state = small.runtime.block_on(state);
         assert!(state.body.contains("\"outcome\":\"run\""), "{}", state.body);
-        let answer = format!("{path}/answer");
-        let answer = small
+        let answer_path = format!("{path}/answer");
+        let response = small
+            .ann
+            .send(small.site.entry(entry), Method::GET, &answer_path, &[], "");
+        assert_eq!(small.runtime.block_on(response).body, first.body);
+        let other_body = Client::chat("m", "other", 5, false);
+        let refused = small
             .ann
-            .send(small.site.entry(entry), Method::GET, &answer, &[], "");
-        assert_eq!(small.runtime.block_on(answer).body, first.body);
-        let other = Client::chat("m", "other", 5, false);
-        let other = small.ann.post(small.site.entry(entry), &headers, other);
+            .post(small.site.entry(entry), &headers, other_body);
         assert_eq!(
-            small.runtime.block_on(other).header("curlewlift-code"),
+            small.runtime.block_on(refused).header("curlewlift-code"),
             "5001"
         );
     }
     assert_eq!(small.most_runs(), 1);
-    let unseen = Client::chat("m", "unseen", 5, false);
-    let unseen = small
+    let unread_body = Client::chat("m", "unseen", 5, false);
+    let unread = small
         .runtime
-        .block_on(small.ann.post(small.site.entry(0), &[], unseen));
-    let key = unseen.header("curlewlift-key").to_owned();
-    let headers = [(KEY, key.as_str())];
+        .block_on(small.ann.post(small.site.entry(0), &[], unread_body));
+    let key = unread.header("curlewlift-key").to_owned();
+    let headers = [(KEY_HEADER, key.as_str())];
     let body = Client::chat("m", "unseen", 5, false);
     small.site.kill_entry(0);
     small.site.wait_for_view(2);
@@ -168,7 +179,7 @@
     assert_eq!(
         lost.header("curlewlift-code"),
         "5003",
-        "its entry is gone: {}",
+        "the entry that generated the key has crashed: {}",
         lost.body
     );
     assert_eq!(lost.header("curlewlift-outcome"), "unknown");
--- a/crates/curlewlift/tests/reused_connections.rs
+++ b/crates/curlewlift/tests/reused_connections.rs
@@ -1,4 +1,5 @@
-//! A kept connection that the server closes as a request is written (row D4).
+//! A reused connection that the server closes while a request is sent. The request may have run, so
+//! it must not be sent again. Requests that may run only once get a new connection each.
 
 mod support;
 
@@ -14,33 +15,34 @@
 use axum::http::Method;
 use support::Small;
 
-/// A server that answers the first request of each connection, reads the second and closes.
+/// Starts a server that responds to the first request of each connection, reads the second one and
+/// closes the connection. Returns its address and the count of requests that it has read.
 fn closing_server() -> (SocketAddr, Arc<AtomicU32>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
     let count = Arc::new(AtomicU32::new(0));
-    let counted = Arc::clone(&count);
+    let thread_count = Arc::clone(&count);
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let counted = Arc::clone(&counted);
-            std::thread::spawn(move || serve(stream, &counted));
+            let request_count = Arc::clone(&thread_count);
+            std::thread::spawn(move || serve(stream, &request_count));
         }
     });
     (address, count)
 }
 
 fn serve(mut stream: TcpStream, count: &AtomicU32) {
-    for answer in [true, false] {
-        let mut read = Vec::new();
-        while !read.ends_with(b"body") {
-            let mut part = [0; 1_024];
-            match stream.read(&mut part) {
+    for responds in [true, false] {
+        let mut request = Vec::new();
+        while !request.ends_with(b"body") {
+            let mut buffer = [0; 1_024];
+            match stream.read(&mut buffer) {
                 Ok(0) | Err(_) => return,
-                Ok(length) => read.extend_from_slice(&part[..length]),
+                Ok(length) => request.extend_from_slice(&buffer[..length]),
             }
         }
         count.fetch_add(1, Ordering::Relaxed);
-        if answer {
+        if responds {
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
         }
     }
@@ -53,9 +55,9 @@
     small.site.run("create service odd sole=[\"POST /sole\"]");
     small.site.server("o1", "odd", address, "");
     small.site.wait_in_force();
-    let to = small.site.entry(0);
+    let entry = small.site.entry(0);
     let post = |path: &str| {
-        let reply = small.ann.send(to, Method::POST, path, &[], "body");
+        let reply = small.ann.send(entry, Method::POST, path, &[], "body");
         small.runtime.block_on(reply)
     };
     assert_eq!(post("/services/odd/a").body, "ok");
@@ -69,13 +71,13 @@
     assert_eq!(
         count.load(Ordering::Relaxed),
         2,
-        "it was sent once, and not again"
+        "the second request was sent once and not again"
     );
     for _ in 0..3 {
         assert_eq!(
             post("/services/odd/sole").body,
             "ok",
-            "a connection of its own"
+            "each request gets a new connection"
         );
     }
 }
--- a/crates/curlewlift/tests/slow_senders.rs
+++ b/crates/curlewlift/tests/slow_senders.rs
@@ -1,4 +1,5 @@
-//! Callers that begin and do not go on, and floods of keys (row L8).
+//! Callers that harm only themselves: connections that never complete their request, and one
+//! customer that sends many requests at once. Other customers must be served as usual.
 
 mod support;
 
@@ -12,14 +13,14 @@
 fn others_unharmed() {
     let small = Small::start("others_unharmed", 1, 1, 1);
     let entry = small.site.entry(0);
-    let begun: Vec<_> = (0..300)
+    let incomplete: Vec<_> = (0..300)
         .map(|number| {
             let mut stream = TcpStream::connect(entry).expect("connected");
-            let part: &[u8] = match number % 2 {
+            let beginning: &[u8] = match number % 2 {
                 0 => b"POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\n",
                 _ => b"POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer key-ben\r\ncontent-length: 900\r\n\r\n{",
             };
-            stream.write_all(part).expect("written");
+            stream.write_all(beginning).expect("written");
             stream
         })
         .collect();
@@ -28,7 +29,7 @@
         let reply = small.runtime.block_on(small.ann.post(entry, &[], body));
         assert_eq!(reply.status, 200, "{}", reply.body);
     }
-    drop(begun);
+    drop(incomplete);
 }
 
 #[test]
@@ -37,7 +38,7 @@
     small.site.run("change customer ben open=5 rate=100000");
     small.site.wait_in_force();
     let entry = small.site.entry(0);
-    let ask = |number: usize| {
+    let send = |number: usize| {
         let ben = small.ben.clone();
         let key = format!("flood-{number}");
         async move {
@@ -45,14 +46,14 @@
             ben.post(entry, &[("idempotency-key", &key)], body).await
         }
     };
-    let flood = futures::future::join_all((0..200).map(ask));
-    let replies = small.runtime.block_on(flood);
+    let all = futures::future::join_all((0..200).map(send));
+    let replies = small.runtime.block_on(all);
     let limited = replies
         .iter()
         .filter(|reply| reply.header("curlewlift-code") == "2003")
         .count();
-    assert!(limited > 100, "{limited} of 200 were refused");
+    assert!(limited > 100, "{limited} of 200 requests were refused");
     let body = Client::chat("m", "calm", 2, false);
-    let calm = small.runtime.block_on(small.ann.post(entry, &[], body));
-    assert_eq!(calm.status, 200, "the other customer is unharmed");
+    let reply = small.runtime.block_on(small.ann.post(entry, &[], body));
+    assert_eq!(reply.status, 200, "the other customer is still served");
 }
--- a/crates/curlewlift/tests/whole_path.rs
+++ b/crates/curlewlift/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! A request's way from a caller through an entry to an engine and back.
+//! Requests from a caller through an entry to a backend server and back: streamed, whole and plain.
 
 mod support;
 
@@ -7,8 +7,8 @@
 use support::Small;
 
 #[test]
-fn streams_chat() {
-    let small = Small::start("streams_chat", 1, 1, 1);
+fn streamed_chat() {
+    let small = Small::start("streamed_chat_path", 1, 1, 1);
     let body = Client::chat("m", "hello", 5, true);
     let reply = small
         .runtime
@@ -25,8 +25,8 @@
 }
 
 #[test]
-fn answers_whole() {
-    let small = Small::start("answers_whole", 1, 1, 1);
+fn whole_chat() {
+    let small = Small::start("whole_chat", 1, 1, 1);
     let body = Client::chat("m", "hello", 5, false);
     let reply = small
         .runtime
@@ -37,8 +37,8 @@
 }
 
 #[test]
-fn passes_plain() {
-    let small = Small::start("passes_plain", 1, 1, 1);
+fn plain_call() {
+    let small = Small::start("plain_call_path", 1, 1, 1);
     let method = "PUT".parse().expect("a method");
     let path = "/services/pay/a/b?c=d";
     let entry = small.site.entry(0);
