--- a/crates/curlewlift/src/entry/http.rs
+++ b/crates/curlewlift/src/entry/http.rs
@@ -88,7 +88,7 @@
     let (parts, body) = http.into_parts();
     let path = parts.uri.path().to_owned();
     let read = |node: &Node, sender, headers: &HeaderMap, body| {
-        parse::completion(node, sender, &path, headers, body)
+        parse::parse_completion(node, sender, &path, headers, body)
     };
     serve(&node, &parts.headers, body, read).await
 }
@@ -111,7 +111,7 @@
             headers: parse::forwarded_headers(headers),
             body,
         };
-        parse::plain(node, sender, &service, call, headers)
+        parse::parse_plain_call(node, sender, &service, call, headers)
     };
     serve(&node, &parts.headers, body, read).await
 }
--- a/crates/curlewlift/src/entry/parse.rs
+++ b/crates/curlewlift/src/entry/parse.rs
@@ -53,7 +53,10 @@
 }
 
 /// The value of a header that may be given only once.
-fn single<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, Refusal> {
+fn single_header<'a>(
+    headers: &'a HeaderMap,
+    name: &HeaderName,
+) -> Result<Option<&'a str>, Refusal> {
     let mut values = headers.get_all(name).iter();
     let Some(first) = values.next() else {
         return Ok(None);
@@ -70,8 +73,8 @@
 }
 
 /// The request key in the headers, or else a generated one, and whether the headers have one.
-fn key(node: &Node, headers: &HeaderMap) -> Result<(String, bool), Refusal> {
-    let Some(text) = single(headers, &KEY_HEADER)? else {
+fn request_key(node: &Node, headers: &HeaderMap) -> Result<(String, bool), Refusal> {
+    let Some(text) = single_header(headers, &KEY_HEADER)? else {
         return Ok((issue::generate(&node.member), false));
     };
     if text.is_empty() || text.len() > MAX_KEY_BYTES {
@@ -82,13 +85,13 @@
 }
 
 /// The view in the stamp of a key: it begins with `vNUMBER.`, as the address response gives it.
-pub(super) fn stamp(key: &str) -> Option<id::View> {
+pub(super) fn view_stamp(key: &str) -> Option<id::View> {
     let (number, _) = key.strip_prefix('v')?.split_once('.')?;
     number.parse().ok()
 }
 
-fn deadline(headers: &HeaderMap) -> Result<Duration, Refusal> {
-    let Some(text) = single(headers, &DEADLINE_HEADER)? else {
+fn time_to_deadline(headers: &HeaderMap) -> Result<Duration, Refusal> {
+    let Some(text) = single_header(headers, &DEADLINE_HEADER)? else {
         return Ok(DEFAULT_DEADLINE);
     };
     let millis: i64 = text.parse().map_err(|_| {
@@ -104,7 +107,7 @@
 }
 
 /// Parses a chat or text completion.
-pub(super) fn completion(
+pub(super) fn parse_completion(
     node: &Node,
     sender: Sender,
     path: &str,
@@ -119,7 +122,7 @@
             "the body must be a JSON object",
         ));
     };
-    let model = object.get("model").ok_or_else(|| missing("model"))?;
+    let model = object.get("model").ok_or_else(|| missing_field("model"))?;
     let model = model
         .as_str()
         .ok_or_else(|| wrong_type("model", "a string"))?;
@@ -131,7 +134,7 @@
         )
     };
     let (service, _) = snapshot.service(model).ok_or_else(unknown)?;
-    let stream = flag(object, "stream")?;
+    let stream = bool_field(object, "stream")?;
     let output = output_limit(object)?;
     let texts = prompt_texts(object)?;
     let characters: usize = texts.iter().map(String::len).sum();
@@ -147,15 +150,15 @@
     } else {
         ResponseMode::Whole
     };
-    request.prompt = tokens(characters);
+    request.prompt = estimate_tokens(characters);
     request.output = output;
     let scope = (!request.rights.shared_prefixes).then_some(request.customer.as_str());
-    request.prefixes = prefixes(scope, &texts);
+    request.prefixes = prompt_prefixes(scope, &texts);
     Ok(request)
 }
 
 /// Parses a call of a service that serves no model.
-pub(super) fn plain(
+pub(super) fn parse_plain_call(
     node: &Node,
     sender: Sender,
     service: &str,
@@ -187,11 +190,11 @@
     headers: &HeaderMap,
     call: Call,
 ) -> Result<Request, Refusal> {
-    let (key_text, keyed) = key(node, headers)?;
-    let time_left = deadline(headers)?;
+    let (key_text, keyed) = request_key(node, headers)?;
+    let time_left = time_to_deadline(headers)?;
     Ok(Request {
         key: id::Key::new(&sender.customer, &key_text),
-        stamp: stamp(&key_text),
+        stamp: view_stamp(&key_text),
         key_text,
         keyed,
         customer: sender.customer,
@@ -200,7 +203,7 @@
         sole: false,
         mode: ResponseMode::Whole,
         digest: digest(&call),
-        prompt: tokens(call.body.len()),
+        prompt: estimate_tokens(call.body.len()),
         call,
         output: Tokens(1),
         prefixes: Vec::new(),
@@ -243,7 +246,7 @@
     twox_hash::XxHash64::oneshot(0, &text)
 }
 
-fn flag(object: &serde_json::Map<String, Value>, name: &str) -> Result<bool, Refusal> {
+fn bool_field(object: &serde_json::Map<String, Value>, name: &str) -> Result<bool, Refusal> {
     match object.get(name) {
         None | Some(Value::Null) => Ok(false),
         Some(Value::Bool(flag)) => Ok(*flag),
@@ -276,7 +279,9 @@
             .ok_or_else(|| wrong_type("prompt", "a string"))?;
         return Ok(vec![text.to_owned()]);
     }
-    let messages = object.get("messages").ok_or_else(|| missing("messages"))?;
+    let messages = object
+        .get("messages")
+        .ok_or_else(|| missing_field("messages"))?;
     let messages = messages
         .as_array()
         .ok_or_else(|| wrong_type("messages", "a list"))?;
@@ -295,14 +300,14 @@
 
 /// The prefixes of a prompt that a server may have cached, longest first. With a `scope`, only
 /// requests of that customer share them.
-fn prefixes(scope: Option<&str>, texts: &[String]) -> Vec<Prefix> {
+fn prompt_prefixes(scope: Option<&str>, texts: &[String]) -> Vec<Prefix> {
     let mut hash = twox_hash::XxHash64::oneshot(0, scope.unwrap_or_default().as_bytes());
     let mut length = 0;
     let mut all = Vec::with_capacity(texts.len());
     for text in texts {
         hash = twox_hash::XxHash64::oneshot(hash, text.as_bytes());
         length += text.len();
-        let length = tokens(length);
+        let length = estimate_tokens(length);
         all.push(Prefix { hash, length });
     }
     all.reverse();
@@ -310,11 +315,11 @@
     all
 }
 
-fn tokens(bytes: usize) -> Tokens {
+fn estimate_tokens(bytes: usize) -> Tokens {
     Tokens((bytes / BYTES_PER_TOKEN + 1) as u64)
 }
 
-fn missing(field: &str) -> Refusal {
+fn missing_field(field: &str) -> Refusal {
     Refusal::new(
         Code::MissingField,
         format!("the body must have the field `{field}`"),
--- a/crates/curlewlift/src/entry/run.rs
+++ b/crates/curlewlift/src/entry/run.rs
@@ -49,7 +49,7 @@
         node.timeline.note(
             Line::new(Kind::Repeated)
                 .key(request.key)
-                .detail("kept here"),
+                .detail("stored here"),
         );
         return Ok(stored.attach_reader());
     }
--- a/crates/curlewlift/src/rpc/call.rs
+++ b/crates/curlewlift/src/rpc/call.rs
@@ -27,7 +27,7 @@
     pub(crate) line: String,
 }
 
-/// Request of `renew`: a periodic call of an entry, a replica or a gateway.
+/// Request of `renew`: heartbeats of entries and replicas, and calls of gateways.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum RenewCall {
     /// An entry renews its lease; the reply is a [`curlewlift_core::view::Grant`].
