--- a/crates/curlewlift/src/entry/store.rs
+++ b/crates/curlewlift/src/entry/store.rs
@@ -17,7 +17,7 @@
 
 use crate::rpc::ResponseChunk;
 
-/// Maximum number of bytes that a streamed response may be ahead of its readers.
+/// Maximum number of bytes that a streamed response may be ahead of its furthest reader.
 const READER_WINDOW_BYTES: usize = 128 << 10;
 
 /// Maximum size of a response, in bytes.
@@ -139,7 +139,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Waits while the readers are [`READER_WINDOW_BYTES`] or more behind.
+    /// Waits while even the furthest reader is [`READER_WINDOW_BYTES`] or more behind.
     pub(super) async fn wait_for_room(&self) {
         loop {
             let progress = self.reader_progress.notified();
