--- a/crates/curlewlift/src/control/distribution.rs
+++ b/crates/curlewlift/src/control/distribution.rs
@@ -30,7 +30,7 @@
             return Ok(redirect);
         }
         if let Some(chunk) = state.borrow_mut().next_chunk(host, number, from)? {
-            return Ok(HubReply::Piece(Some(chunk)));
+            return Ok(HubReply::Chunk(Some(chunk)));
         }
         // Each free slot wakes the gateway that has waited longest.
         let free_fetch_slot = Rc::clone(&state.borrow().free_fetch_slot);
@@ -38,7 +38,7 @@
             .await
             .is_err()
         {
-            return Ok(HubReply::Piece(None));
+            return Ok(HubReply::Chunk(None));
         }
     }
 }
--- a/crates/curlewlift/src/control/evacuations.rs
+++ b/crates/curlewlift/src/control/evacuations.rs
@@ -29,7 +29,7 @@
     let line = Line::new(Kind::EvacuationOrdered)
         .detail(format_args!("hall={hall} action={action} code={code}"));
     state.borrow().timeline.note(line);
-    result.map(|()| HubReply::Ordered)
+    result.map(|()| HubReply::OrderAccepted)
 }
 
 /// Proposes the order, and waits until it is committed.
--- a/crates/curlewlift/src/control/hub.rs
+++ b/crates/curlewlift/src/control/hub.rs
@@ -32,23 +32,23 @@
 /// Responds to a gateway's call; a replica that does not lead names the leader instead.
 pub(super) async fn respond(state: &Shared, call: HubCall) -> Result<HubReply, Refusal> {
     // Every replica accepts introductions and draws; all other calls are for the leader.
-    let needs_leader = !matches!(call, HubCall::Introduce(_) | HubCall::Draw(_));
+    let needs_leader = !matches!(call, HubCall::Introduce(_) | HubCall::ChargeQuota(_));
     if needs_leader && let Some(redirect) = redirect_unless_leading(&state.borrow()) {
         return Ok(redirect);
     }
     match call {
-        HubCall::Ask(poll) => respond_to_poll(state, *poll).await,
-        HubCall::Want(request) => super::slots::request_slot(state, *request).await,
-        HubCall::Tell(report) => super::slots::report(state, &report),
-        HubCall::Piece { host, number, from } => {
+        HubCall::Poll(poll) => respond_to_poll(state, *poll).await,
+        HubCall::RequestSlot(request) => super::slots::request_slot(state, *request).await,
+        HubCall::Report(report) => super::slots::report(state, &report),
+        HubCall::FetchChunk { host, number, from } => {
             super::distribution::chunk(state, &host, number, from).await
         }
         HubCall::Publish(publication) => publish(state, publication).await,
         // With many gateways, those with a replica in their process are never standbys.
-        HubCall::Draw(_) => Ok(HubReply::Drawn(false)),
-        HubCall::Read => read_table(state).await,
-        HubCall::Rollout(order) => super::rollouts::order(state, order).await,
-        HubCall::RolloutOf(service) => super::rollouts::read(state, &service).await,
+        HubCall::ChargeQuota(_) => Ok(HubReply::QuotaCharged(false)),
+        HubCall::ReadTable => read_table(state).await,
+        HubCall::StartRollout(order) => super::rollouts::order(state, order).await,
+        HubCall::ReadRollout(service) => super::rollouts::read(state, &service).await,
         HubCall::Evacuate(order) => super::evacuations::order(state, order).await,
         HubCall::Introduce(hosts) => Ok(add_known_hosts(&state.borrow(), hosts)),
     }
@@ -115,7 +115,7 @@
     }
     let leader = state.replica.get_leader();
     let other = leader.filter(|leader| *leader != state.replica.get_host());
-    Some(HubReply::Elsewhere {
+    Some(HubReply::NotLeader {
         leader: other.cloned(),
         control: member_hosts(state),
     })
@@ -132,7 +132,7 @@
     if let Some(gateways) = &state.gateways {
         gateways.known.add(hosts);
     }
-    HubReply::Told
+    HubReply::Acknowledged
 }
 
 /// Responds to a poll at once if there is an update, or else when there is one or the poll times out.
@@ -175,7 +175,7 @@
     reply.control_hosts = control;
     reply.fetches_list = hub.fetcher(&host, now).as_ref() == Some(&poll.host);
     reply.leader = Some(host);
-    Ok(HubReply::News(Box::new(reply)))
+    Ok(HubReply::Update(Box::new(reply)))
 }
 
 /// Processes the reports in a poll; returns true if it can be responded to at once.
--- a/crates/curlewlift/src/control/slots.rs
+++ b/crates/curlewlift/src/control/slots.rs
@@ -70,7 +70,7 @@
     if let Some(redirect) = hub::redirect_unless_leading(&state.borrow()) {
         return Ok(redirect);
     }
-    Ok(HubReply::Place(grant.ok().and_then(Result::ok)))
+    Ok(HubReply::Slot(grant.ok().and_then(Result::ok)))
 }
 
 /// Waits until the hub has a server list.
@@ -96,11 +96,11 @@
     }
     let (ticket, displaced) = match hub.request_slot(request, now) {
         SlotDecision::Queued(ticket, displaced) => (ticket, displaced),
-        SlotDecision::NoServers => return Ok(Enqueued::Decided(HubReply::Place(None))),
-        SlotDecision::Rejected(why) => return Ok(Enqueued::Decided(HubReply::Withheld(why))),
+        SlotDecision::NoServers => return Ok(Enqueued::Decided(HubReply::Slot(None))),
+        SlotDecision::Rejected(why) => return Ok(Enqueued::Decided(HubReply::Rejected(why))),
         SlotDecision::NoRetry => return Ok(Enqueued::Decided(HubReply::NoRetry)),
         SlotDecision::QuotaExceeded(refilled) => {
-            return Ok(Enqueued::Decided(HubReply::Beyond(refilled)));
+            return Ok(Enqueued::Decided(HubReply::QuotaExceeded(refilled)));
         }
     };
     let (sender, grant) = oneshot::channel();
@@ -121,7 +121,7 @@
     let hub = state.hub.as_mut().ok_or_else(hub::not_ready)?;
     hub.report(report, now);
     state.grant_slots();
-    Ok(HubReply::Told)
+    Ok(HubReply::Acknowledged)
 }
 
 impl State {
--- a/crates/curlewlift/src/gateway/discovery.rs
+++ b/crates/curlewlift/src/gateway/discovery.rs
@@ -53,10 +53,12 @@
     let reply = match rpc::decode(body)? {
         RenewCall::Hub(HubCall::Introduce(hosts)) => {
             node.known_replicas.add(hosts);
-            HubReply::Told
+            HubReply::Acknowledged
         }
-        RenewCall::Hub(HubCall::Draw(charge)) => HubReply::Drawn(node.acquire_quota(&charge)),
-        RenewCall::Hub(_) => HubReply::Elsewhere {
+        RenewCall::Hub(HubCall::ChargeQuota(charge)) => {
+            HubReply::QuotaCharged(node.acquire_quota(&charge))
+        }
+        RenewCall::Hub(_) => HubReply::NotLeader {
             leader: node.hub.borrow().leader.clone(),
             control: node.known_replicas.get(),
         },
@@ -95,7 +97,7 @@
         .call(seed, Method::Renew, &call, CALL_TIMEOUT)
         .await;
     match reply {
-        Ok(HubReply::Elsewhere { control, .. }) => node.known_replicas.add(control),
+        Ok(HubReply::NotLeader { control, .. }) => node.known_replicas.add(control),
         Ok(_) => {}
         Err(why) => log::debug!("announcing the control replicas to {seed} failed: {why}"),
     }
--- a/crates/curlewlift/src/gateway/hub_slots.rs
+++ b/crates/curlewlift/src/gateway/hub_slots.rs
@@ -91,7 +91,7 @@
         return HubDecision::Undecided;
     };
     let slot_request = node.slot_request(context, request, charge, wait_limit);
-    let call = RenewCall::Hub(HubCall::Want(Box::new(slot_request)));
+    let call = RenewCall::Hub(HubCall::RequestSlot(Box::new(slot_request)));
     let sent_at = node.now();
     let call = node
         .rpc
@@ -101,14 +101,14 @@
         () = node.wait_for_hub_timeout() => None,
     };
     match reply {
-        Some(Ok(HubReply::Place(Some(grant)))) => {
+        Some(Ok(HubReply::Slot(Some(grant)))) => {
             // After this host was suspended, the slot may have been granted to others meanwhile.
             let is_late = node.now().since(sent_at) > wait_limit + DELIVERY_MARGIN;
             node.accept_grant(context, grant, request.prompt, is_late)
         }
-        Some(Ok(HubReply::Place(None))) => HubDecision::NoSlot,
-        Some(Ok(HubReply::Beyond(retry_after))) => HubDecision::QuotaExceeded(retry_after),
-        Some(Ok(HubReply::Withheld(why))) => HubDecision::Rejected(why),
+        Some(Ok(HubReply::Slot(None))) => HubDecision::NoSlot,
+        Some(Ok(HubReply::QuotaExceeded(retry_after))) => HubDecision::QuotaExceeded(retry_after),
+        Some(Ok(HubReply::Rejected(why))) => HubDecision::Rejected(why),
         Some(Ok(HubReply::NoRetry)) => HubDecision::NoRetry,
         Some(Ok(_)) => node.doubt_hub("the replica that was asked does not lead"),
         Some(Err(why)) => node.doubt_hub(&why.to_string()),
@@ -298,7 +298,7 @@
             observations: node.quarantine.borrow().get_evidence().unacknowledged().0,
             limit_reports: node.limits.borrow().pending_reports(),
         };
-        let call = RenewCall::Hub(HubCall::Tell(report));
+        let call = RenewCall::Hub(HubCall::Report(report));
         let result: Result<HubReply, Refusal> = node
             .rpc
             .call(address, Method::Renew, &call, REPORT_TIMEOUT)
--- a/crates/curlewlift/src/gateway/leader_calls.rs
+++ b/crates/curlewlift/src/gateway/leader_calls.rs
@@ -49,7 +49,7 @@
 ///
 /// [`Code::Unreachable`] if no replica is certain to lead.
 pub(crate) async fn read(node: &Node, environment: &Environment) -> Result<Publication, Refusal> {
-    match call_leader(node, environment, HubCall::Read).await? {
+    match call_leader(node, environment, HubCall::ReadTable).await? {
         HubReply::Table(publication) => Ok(publication),
         _ => Err(no_leader()),
     }
@@ -65,8 +65,8 @@
     environment: &Environment,
     order: Order,
 ) -> Result<(), Refusal> {
-    match call_leader(node, environment, HubCall::Rollout(order)).await? {
-        HubReply::Ordered => Ok(()),
+    match call_leader(node, environment, HubCall::StartRollout(order)).await? {
+        HubReply::OrderAccepted => Ok(()),
         _ => Err(no_leader()),
     }
 }
@@ -82,7 +82,7 @@
     order: evacuation::Order,
 ) -> Result<(), Refusal> {
     match call_leader(node, environment, HubCall::Evacuate(order)).await? {
-        HubReply::Ordered => Ok(()),
+        HubReply::OrderAccepted => Ok(()),
         _ => Err(no_leader()),
     }
 }
@@ -97,7 +97,7 @@
     environment: &Environment,
     service: id::Service,
 ) -> Result<Option<(Version, Phase)>, Refusal> {
-    match call_leader(node, environment, HubCall::RolloutOf(service)).await? {
+    match call_leader(node, environment, HubCall::ReadRollout(service)).await? {
         HubReply::Rollout(rollout) => Ok(rollout),
         _ => Err(no_leader()),
     }
@@ -127,7 +127,7 @@
             .call(address, Method::Renew, &call, remaining)
             .await;
         match reply {
-            Ok(HubReply::Elsewhere { leader, control }) => {
+            Ok(HubReply::NotLeader { leader, control }) => {
                 node.known_replicas.add(control);
                 named_leader = leader;
             }
--- a/crates/curlewlift/src/gateway/local_quota.rs
+++ b/crates/curlewlift/src/gateway/local_quota.rs
@@ -36,13 +36,13 @@
 }
 
 async fn acquire_at(node: &Node, address: SocketAddr, charge: &Charge) -> bool {
-    let call = RenewCall::Hub(HubCall::Draw(charge.clone()));
+    let call = RenewCall::Hub(HubCall::ChargeQuota(charge.clone()));
     let reply: Result<HubReply, Refusal> = node
         .rpc
         .call(address, Method::Renew, &call, CALL_TIMEOUT)
         .await;
     match reply {
-        Ok(HubReply::Drawn(acquired)) => acquired,
+        Ok(HubReply::QuotaCharged(acquired)) => acquired,
         Ok(_) => false,
         Err(why) => {
             log::debug!("call to standby {address} failed: {why}");
--- a/crates/curlewlift/src/gateway/sync.rs
+++ b/crates/curlewlift/src/gateway/sync.rs
@@ -111,7 +111,7 @@
     let poll = build_poll(node);
     let (_, last_observation) = node.quarantine.borrow().get_evidence().unacknowledged();
     let last_limit_report = node.limits.borrow().get_last_number();
-    let call = RenewCall::Hub(HubCall::Ask(Box::new(poll)));
+    let call = RenewCall::Hub(HubCall::Poll(Box::new(poll)));
     let reply: Result<HubReply, Refusal> =
         node.rpc.call(address, Method::Renew, &call, timeout).await;
     match reply {
@@ -119,7 +119,7 @@
         Ok(_) if node.now().since(sent_at) > timeout => {
             Err(format!("the reply from {address} came too late"))
         }
-        Ok(HubReply::News(reply)) => {
+        Ok(HubReply::Update(reply)) => {
             node.quarantine
                 .borrow_mut()
                 .acknowledge(reply.hub_id, last_observation);
@@ -135,7 +135,7 @@
             apply_reply(node, environment, address, sent_at, *reply);
             Ok(())
         }
-        Ok(HubReply::Elsewhere { leader, control }) => {
+        Ok(HubReply::NotLeader { leader, control }) => {
             node.known_replicas.add(control);
             let why = format!("{address} does not lead");
             let is_same_leader = leader == node.hub.borrow().leader;
--- a/crates/curlewlift/src/gateway/tables.rs
+++ b/crates/curlewlift/src/gateway/tables.rs
@@ -100,7 +100,7 @@
 
     async fn request_chunk(&self, node: &Node) -> Option<Chunk> {
         let address = node.hub.borrow().address?;
-        let call = RenewCall::Hub(HubCall::Piece {
+        let call = RenewCall::Hub(HubCall::FetchChunk {
             host: node.host.clone(),
             number: self.number,
             from: self.text.len(),
@@ -110,7 +110,7 @@
             .call(address, Method::Renew, &call, CALL_TIMEOUT)
             .await;
         match reply {
-            Ok(HubReply::Piece(chunk)) => chunk,
+            Ok(HubReply::Chunk(chunk)) => chunk,
             Ok(_) => None,
             Err(why) => {
                 log::debug!("fetching a table chunk from {address} failed: {why}");
