--- a/crates/core/src/limit/local.rs
+++ b/crates/core/src/limit/local.rs
@@ -236,7 +236,7 @@
         let mut limits = incarnations.filter_map(|key| self.get(key));
         // The same hub gave a later grant without a token only after it had learned that the limit was lifted.
         limits.any(|limit| {
-            grant_id.hub != self.table_version.0 || grant_id.number <= limit.last_unaware_grant
+            grant_id.hub_id != self.table_version.0 || grant_id.number <= limit.last_unaware_grant
         })
     }
 
--- a/crates/core/src/limit/table.rs
+++ b/crates/core/src/limit/table.rs
@@ -151,7 +151,7 @@
     fn apply_report(&mut self, report: &Report, last_grant: u64, now: Instant) -> bool {
         let entry = self.entries.get_mut(&report.key);
         let is_newer = |entry: &Entry| {
-            report.grant_id.hub == self.hub && report.grant_id.number > entry.newer_after_grant
+            report.grant_id.hub_id == self.hub && report.grant_id.number > entry.newer_after_grant
         };
         let Some(rate) = report.rate else {
             // A response that may be older than the limit does not lift it.
@@ -162,7 +162,7 @@
             }
             return is_lifted;
         };
-        let confirmed = report.grant_id.hub == self.hub;
+        let confirmed = report.grant_id.hub_id == self.hub;
         if let Some(entry) = entry {
             entry.limit.confirmed |= confirmed;
             // If the two rates may have been announced in either order, the lower one applies.
--- a/crates/core/tests/support/gateways.rs
+++ b/crates/core/tests/support/gateways.rs
@@ -104,7 +104,7 @@
             known_table: 1,
             server_list_version: 1,
             last_reply: self.got,
-            ..messages::question(&self.host)
+            ..messages::poll(&self.host)
         }
     }
 }
@@ -179,7 +179,7 @@
             homes: Homes::default(),
         };
         let table = Table::new(curlewlift_core::route::Parts {
-            number: self.table,
+            version: self.table,
             rules: Vec::new(),
             services: [].into(),
             limits: Limits::default(),
@@ -483,6 +483,6 @@
     SlotRequest {
         time_left: Duration::from_secs(10),
         charge: Some(charge),
-        ..messages::want(host)
+        ..messages::slot_request(host)
     }
 }
--- a/crates/core/tests/support/limited.rs
+++ b/crates/core/tests/support/limited.rs
@@ -276,7 +276,7 @@
         let servers = self.engines.iter().enumerate();
         let servers = servers.map(|(place, engine)| Server {
             slots: SLOTS,
-            ..super::lives::life(&format!("s{place}"), engine.life)
+            ..super::incarnations::incarnation(&format!("s{place}"), engine.life)
         });
         servers.map(Arc::new).collect()
     }
@@ -419,7 +419,7 @@
             let question = Poll {
                 limit_reports: node.limits.pending_reports(),
                 limits_version: node.limits.get_table_version(),
-                ..messages::question(&node.host)
+                ..messages::poll(&node.host)
             };
             self.talks.push(Talk {
                 gateway: place,
@@ -622,7 +622,7 @@
         let node = &self.nodes[place];
         let want = SlotRequest {
             tried: tried.to_vec(),
-            ..messages::want(&node.host)
+            ..messages::slot_request(&node.host)
         };
         // It is sent to whoever leads at the address that answered last.
         let hub = self.hub.as_mut().filter(|_| !node.cut);
@@ -765,7 +765,7 @@
         let any_lifts = self.flaw == Some(Flaw::AnyLifts);
         let mark = match self.nodes[place].hub {
             Some((hub, _)) if any_lifts => GrantId {
-                hub,
+                hub_id: hub,
                 number: u64::MAX,
             },
             _ => mark,
