--- a/crates/core/tests/allowances.rs
+++ b/crates/core/tests/allowances.rs
@@ -11,10 +11,10 @@
 use curlewlift_core::quota::Limiter;
 use curlewlift_core::route::Quota;
 
-use support::gateways::ALLOWANCE;
+use support::gateways::QUOTA;
 use support::gateways::TOLERANCE;
 use support::gateways::World;
-use support::gateways::ann;
+use support::gateways::customer;
 use support::requests::at;
 
 fn seconds(seconds: u64) -> Duration {
@@ -24,8 +24,8 @@
 #[test]
 fn within_quota() {
     let mut world = World::new(12, 1);
-    world.go_on(seconds(2), 0.0);
-    world.go_on(seconds(20), 50_000.0);
+    world.run_for(seconds(2), 0.0);
+    world.run_for(seconds(20), 50_000.0);
     // Everything is admitted.
     assert!(world.total > 950_000, "admitted: {}", world.total);
 }
@@ -34,9 +34,13 @@
 fn far_beyond_quota() {
     for seed in 0..40 {
         let mut world = World::new(12, seed);
-        world.go_on(seconds(3), 30_000.0);
-        world.go_on(seconds(12), 10.0 * 33_000.0);
-        assert!(world.is_kept(), "seed {seed}: {} in a window", world.most);
+        world.run_for(seconds(3), 30_000.0);
+        world.run_for(seconds(12), 10.0 * 33_000.0);
+        assert!(
+            world.is_within_bound(),
+            "seed {seed}: {} in a window",
+            world.max_admitted
+        );
         assert!(
             world.total > 700_000,
             "seed {seed}: the quota is not used up: {}",
@@ -56,34 +60,46 @@
     let quota = Quota {
         rate: 276_000.0,
         burst: 276_000.0,
-        ..ALLOWANCE
+        ..QUOTA
     };
     for seed in 0..20 {
         let mut world = World::with(70, seed, quota);
-        world.go_on(seconds(10), 0.4 * quota.rate);
-        world.go_on(seconds(10), 6.0 * quota.rate);
-        assert!(world.is_kept(), "seed {seed}: {} in a window", world.most);
+        world.run_for(seconds(10), 0.4 * quota.rate);
+        world.run_for(seconds(10), 6.0 * quota.rate);
+        assert!(
+            world.is_within_bound(),
+            "seed {seed}: {} in a window",
+            world.max_admitted
+        );
     }
 }
 
 #[test]
 fn many_gateways() {
     let mut world = World::new(88, 5);
-    world.go_on(seconds(3), 30_000.0);
-    world.go_on(seconds(12), 10.0 * 33_000.0);
-    assert!(world.is_kept(), "{} in a window", world.most);
+    world.run_for(seconds(3), 30_000.0);
+    world.run_for(seconds(12), 10.0 * 33_000.0);
+    assert!(
+        world.is_within_bound(),
+        "{} in a window",
+        world.max_admitted
+    );
 }
 
 #[test]
 fn half_cut_off() {
     for seed in 0..40 {
         let mut world = World::new(12, seed);
-        world.go_on(seconds(3), 120_000.0);
+        world.run_for(seconds(3), 120_000.0);
         (0..6).for_each(|index| world.cut(index, true));
-        world.go_on(seconds(8), 250_000.0);
+        world.run_for(seconds(8), 250_000.0);
         (0..6).for_each(|index| world.cut(index, false));
-        world.go_on(seconds(8), 250_000.0);
-        assert!(world.is_kept(), "seed {seed}: {} in a window", world.most);
+        world.run_for(seconds(8), 250_000.0);
+        assert!(
+            world.is_within_bound(),
+            "seed {seed}: {} in a window",
+            world.max_admitted
+        );
     }
 }
 
@@ -92,12 +108,12 @@
 fn cut_off_not_charged() {
     for seed in 0..20 {
         let mut world = World::new(12, seed);
-        world.go_on(seconds(10), 30_000.0);
+        world.run_for(seconds(10), 30_000.0);
         (0..6).for_each(|index| world.cut(index, true));
-        world.go_on(seconds(7), 30_000.0);
+        world.run_for(seconds(7), 30_000.0);
         (0..6).for_each(|index| world.cut(index, false));
         let before = world.total;
-        world.go_on(seconds(2), 30_000.0);
+        world.run_for(seconds(2), 30_000.0);
         let admitted = world.total - before;
         assert!(
             admitted > 50_000,
@@ -111,16 +127,20 @@
 fn without_leader() {
     for seed in 0..20 {
         let mut world = World::new(12, seed);
-        world.go_on(seconds(20), 30_000.0);
-        world.end_hub();
+        world.run_for(seconds(20), 30_000.0);
+        world.stop_hub();
         let before = world.total;
-        world.go_on(seconds(8), 30_000.0);
+        world.run_for(seconds(8), 30_000.0);
         let admitted = world.total - before;
         assert!(
             admitted > 90_000,
             "seed {seed}: admitted {admitted} of 240000"
         );
-        assert!(world.is_kept(), "seed {seed}: {} in a window", world.most);
+        assert!(
+            world.is_within_bound(),
+            "seed {seed}: {} in a window",
+            world.max_admitted
+        );
     }
 }
 
@@ -134,19 +154,23 @@
     let quota = Quota {
         rate: 276_000.0,
         burst: 276_000.0,
-        ..ALLOWANCE
+        ..QUOTA
     };
     for seed in 0..5 {
         let mut world = World::with(200, seed, quota);
-        world.go_on(seconds(20), 0.4 * quota.rate);
-        world.end_hub();
+        world.run_for(seconds(20), 0.4 * quota.rate);
+        world.stop_hub();
         // For a while the last response is still recent, so gateways wait for the hub, which does not answer.
-        world.go_on(Duration::from_millis(500), 0.0);
+        world.run_for(Duration::from_millis(500), 0.0);
         let before = world.total;
-        world.go_on(Duration::from_millis(1_300), 0.4 * quota.rate);
+        world.run_for(Duration::from_millis(1_300), 0.4 * quota.rate);
         let admitted = world.total - before;
         assert!(admitted > 40_000, "seed {seed}: admitted {admitted}");
-        assert!(world.is_kept(), "seed {seed}: {} in a window", world.most);
+        assert!(
+            world.is_within_bound(),
+            "seed {seed}: {} in a window",
+            world.max_admitted
+        );
     }
 }
 
@@ -156,19 +180,23 @@
 fn suspended_gateways() {
     for seed in 0..100 {
         let mut world = World::new(12, seed);
-        world.go_on(seconds(12), 50_000.0);
+        world.run_for(seconds(12), 50_000.0);
         for round in 0..6 {
             for gateway in 0..8 {
                 let millis = 500 + (seed * 131 + gateway * 977 + round * 389) % 9_000;
                 let gateway = usize::try_from(gateway).expect("a small number");
                 world.suspend(gateway, Duration::from_millis(millis));
             }
-            world.go_on(seconds(1), 300_000.0);
+            world.run_for(seconds(1), 300_000.0);
             if round % 2 == seed % 2 {
-                world.new_hub();
+                world.replace_hub();
             }
-            world.go_on(Duration::from_millis(900 * round), 300_000.0);
-            assert!(world.is_kept(), "seed {seed}: {} in a window", world.most);
+            world.run_for(Duration::from_millis(900 * round), 300_000.0);
+            assert!(
+                world.is_within_bound(),
+                "seed {seed}: {} in a window",
+                world.max_admitted
+            );
         }
     }
 }
@@ -177,12 +205,16 @@
 fn leader_changes() {
     for seed in 0..40 {
         let mut world = World::new(12, seed);
-        world.go_on(seconds(3), 120_000.0);
+        world.run_for(seconds(3), 120_000.0);
         for _ in 0..6 {
-            world.go_on(seconds(2), 250_000.0);
-            world.new_hub();
+            world.run_for(seconds(2), 250_000.0);
+            world.replace_hub();
         }
-        assert!(world.is_kept(), "seed {seed}: {} in a window", world.most);
+        assert!(
+            world.is_within_bound(),
+            "seed {seed}: {} in a window",
+            world.max_admitted
+        );
     }
 }
 
@@ -190,23 +222,27 @@
 #[test]
 fn lowered_quota() {
     let mut world = World::new(12, 3);
-    world.go_on(seconds(10), 55_000.0);
-    world.limit(Quota {
+    world.run_for(seconds(10), 55_000.0);
+    world.change_quota(Quota {
         rate: 20_000.0,
         burst: 20_000.0,
-        ..ALLOWANCE
+        ..QUOTA
     });
     let before = world.total;
-    world.go_on(seconds(2), 55_000.0);
+    world.run_for(seconds(2), 55_000.0);
     let admitted = world.total - before;
     assert!(
         admitted > 30_000,
         "earlier use is charged to the lower quota: admitted {admitted}"
     );
-    world.go_on(seconds(8), 55_000.0);
-    world.most = 0;
-    world.go_on(seconds(8), 55_000.0);
-    assert!(world.is_kept(), "{} in a window", world.most);
+    world.run_for(seconds(8), 55_000.0);
+    world.max_admitted = 0;
+    world.run_for(seconds(8), 55_000.0);
+    assert!(
+        world.is_within_bound(),
+        "{} in a window",
+        world.max_admitted
+    );
     let admitted = world.total - before;
     assert!(admitted > 18 * 20_000, "admitted {admitted}");
 }
@@ -218,20 +254,24 @@
     let count = std::env::var("HISTORIES").map_or(60, |count| count.parse().expect("a number"));
     for (seed, gateways) in (0..count).zip([3, 12, 30, 70].into_iter().cycle()) {
         let mut world = World::new(gateways, seed);
-        world.no_place = 10;
-        world.go_on(seconds(2), 60_000.0);
+        world.unserved_percent = 10;
+        world.run_for(seconds(2), 60_000.0);
         for _ in 0..40 {
-            world.disturb();
-            let load = world.any_load();
-            world.go_on(Duration::from_millis(700), load);
+            world.inject_fault();
+            let load = world.random_load();
+            world.run_for(Duration::from_millis(700), load);
         }
-        assert!(world.is_kept(), "seed {seed}: {} in a window", world.most);
+        assert!(
+            world.is_within_bound(),
+            "seed {seed}: {} in a window",
+            world.max_admitted
+        );
     }
 }
 
 fn charge(cost: u64) -> Charge {
     Charge {
-        customer: ann(),
+        customer: customer(),
         cost,
     }
 }
@@ -240,7 +280,7 @@
 fn limiter(hub_share: f64) -> Limiter {
     let mut limiter = Limiter::new(TOLERANCE);
     limiter.set_hub_share(hub_share, at(0));
-    limiter.set_quotas([(&ann(), ALLOWANCE)].into_iter(), at(0));
+    limiter.set_quotas([(&customer(), QUOTA)].into_iter(), at(0));
     limiter
 }
 
--- a/crates/core/tests/quarantine_bounds.rs
+++ b/crates/core/tests/quarantine_bounds.rs
@@ -19,10 +19,10 @@
 use curlewlift_core::quarantine::Rejection;
 use curlewlift_core::quarantine::Tracker;
 
-use support::ending::CONTACT;
-use support::ending::Came;
-use support::ending::Play;
-use support::ending::World;
+use support::crashes::Behavior;
+use support::crashes::CONTACT_TIME;
+use support::crashes::SendOutcome;
+use support::crashes::World;
 
 /// How often gateways in contact with the hub may send a request after three servers have crashed under it.
 const MAX_SENT_AFTER_QUARANTINE: usize = 3;
@@ -43,19 +43,19 @@
     let until = world.now + time;
     let mut number = world.now.0;
     while world.now < until {
-        let gateway = world.draw(12);
-        world.ask(gateway, &crashing_request(), Play::End);
+        let gateway = world.random_below(12);
+        world.send_request(gateway, &crashing_request(), Behavior::Crash);
         for _ in 0..3 {
             number += 1;
-            let gateway = world.draw(12);
+            let gateway = world.random_below(12);
             let other = identity("ben", &number.to_string());
-            world.ask(gateway, &other, Play::Answer);
+            world.send_request(gateway, &other, Behavior::Answer);
         }
-        for retried in std::mem::take(&mut world.broken) {
-            let gateway = world.draw(12);
-            world.ask(gateway, &retried, Play::Answer);
+        for retried in std::mem::take(&mut world.interrupted) {
+            let gateway = world.random_below(12);
+            world.send_request(gateway, &retried, Behavior::Answer);
         }
-        world.go_on(interval);
+        world.run_for(interval);
     }
 }
 
@@ -69,12 +69,12 @@
             Duration::from_secs(20),
             Duration::from_millis(200),
         );
-        let crashed = world.ended[&crashing_request()].len();
+        let crashed = world.crashes[&crashing_request()].len();
         assert!(
             (CRASHES_TO_QUARANTINE..=CRASHES_TO_QUARANTINE + 2).contains(&crashed),
             "seed {seed}: {crashed} servers crashed"
         );
-        let sent = world.sent_past(&crashing_request(), Duration::ZERO);
+        let sent = world.count_sent_after(&crashing_request(), Duration::ZERO);
         assert_eq!(sent, 0, "seed {seed}: sent after the third crash");
     }
 }
@@ -84,30 +84,30 @@
 fn simultaneous_requests() {
     let mut world = World::new(3);
     for gateway in 0..12 {
-        world.ask(gateway, &crashing_request(), Play::End);
+        world.send_request(gateway, &crashing_request(), Behavior::Crash);
     }
-    world.go_on(Duration::from_secs(2));
-    let before = world.ended[&crashing_request()].len();
+    world.run_for(Duration::from_secs(2));
+    let before = world.crashes[&crashing_request()].len();
     send_requests(
         &mut world,
         Duration::from_secs(10),
         Duration::from_millis(50),
     );
-    assert_eq!(world.ended[&crashing_request()].len(), before);
+    assert_eq!(world.crashes[&crashing_request()].len(), before);
 }
 
 /// Hubs change, messages are lost, gateways are cut off, suspended and restarted, and all processes crash, in any
-/// order: after the third crash, gateways that have been in contact with the hub for [`CONTACT`] send the request no
-/// more than three times.
+/// order: after the third crash, gateways that have been in contact with the hub for [`CONTACT_TIME`] send the request
+/// no more than three times.
 #[test]
 fn any_history() {
     for seed in 0..400 {
         let mut world = World::new(seed);
         for _ in 0..12 {
-            if world.draw(2) == 0 {
-                world.disturb();
+            if world.random_below(2) == 0 {
+                world.inject_fault();
             }
-            let time = Duration::from_millis(200 + world.draw(2_000) as u64);
+            let time = Duration::from_millis(200 + world.random_below(2_000) as u64);
             send_requests(&mut world, time, Duration::from_millis(150));
         }
         world.heal();
@@ -116,7 +116,7 @@
             Duration::from_secs(8),
             Duration::from_millis(150),
         );
-        let sent = world.sent_past(&crashing_request(), CONTACT);
+        let sent = world.count_sent_after(&crashing_request(), CONTACT_TIME);
         assert!(
             sent <= MAX_SENT_AFTER_QUARANTINE,
             "seed {seed}: sent {sent} times"
@@ -131,7 +131,7 @@
     for seed in 0..200 {
         let mut world = World::new(seed);
         while world
-            .ended
+            .crashes
             .get(&crashing_request())
             .is_none_or(|crashes| crashes.len() < CRASHES_TO_QUARANTINE)
         {
@@ -142,9 +142,9 @@
             );
         }
         match seed % 3 {
-            0 => world.lose_all(),
-            1 => world.change_hub(),
-            _ => (0..3).for_each(|_| world.disturb()),
+            0 => world.restart_all(),
+            1 => world.replace_hub(),
+            _ => (0..3).for_each(|_| world.inject_fault()),
         }
         send_requests(
             &mut world,
@@ -157,7 +157,7 @@
             Duration::from_secs(12),
             Duration::from_millis(100),
         );
-        let sent = world.sent_past(&crashing_request(), CONTACT);
+        let sent = world.count_sent_after(&crashing_request(), CONTACT_TIME);
         assert!(
             sent <= MAX_SENT_AFTER_QUARANTINE,
             "seed {seed}: sent {sent} times"
@@ -174,17 +174,17 @@
         let frequent = identity("ben", "hot");
         let mut outcomes = Vec::new();
         for _ in 0..100 {
-            let gateway = world.draw(12);
-            world.ask(gateway, &crashing_request(), Play::End);
-            outcomes.push(world.ask(gateway, &frequent, Play::Answer));
-            for retried in std::mem::take(&mut world.broken) {
+            let gateway = world.random_below(12);
+            world.send_request(gateway, &crashing_request(), Behavior::Crash);
+            outcomes.push(world.send_request(gateway, &frequent, Behavior::Answer));
+            for retried in std::mem::take(&mut world.interrupted) {
                 if retried != frequent {
-                    outcomes.push(world.ask(gateway, &retried, Play::Answer));
+                    outcomes.push(world.send_request(gateway, &retried, Behavior::Answer));
                 }
             }
-            world.go_on(Duration::from_millis(100));
+            world.run_for(Duration::from_millis(100));
         }
-        let quarantined = Came::Withheld(Rejection::Quarantined);
+        let quarantined = SendOutcome::Rejected(Rejection::Quarantined);
         let rejected = outcomes
             .iter()
             .filter(|outcome| **outcome == quarantined)
@@ -192,7 +192,7 @@
         assert!(rejected <= 5, "seed {seed}: rejected {rejected}");
         let sent = outcomes
             .iter()
-            .filter(|outcome| **outcome == Came::Sent)
+            .filter(|outcome| **outcome == SendOutcome::Sent)
             .count();
         assert!(
             sent * 10 >= outcomes.len() * 8,
--- a/crates/core/tests/server_limits.rs
+++ b/crates/core/tests/server_limits.rs
@@ -7,9 +7,9 @@
 
 use std::time::Duration;
 
-use support::limited::Flaw;
-use support::limited::SERVERS;
-use support::limited::World;
+use support::limits::Flaw;
+use support::limits::SERVERS;
+use support::limits::World;
 
 fn s(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
@@ -24,11 +24,11 @@
 /// Runs a history of half a minute with a disturbance every 100 to 1,200 ms.
 fn history(seed: u64, flaw: Option<Flaw>) -> World {
     let mut world = World::new(seed, flaw);
-    world.go_on(s(1), 1);
+    world.run_for(s(1), 1);
     for round in 0..50 {
-        world.disturb();
+        world.inject_fault();
         let time = Duration::from_millis(100 + (seed * 7 + round) % 12 * 100);
-        world.go_on(time, 1 + seed % 4);
+        world.run_for(time, 1 + seed % 4);
     }
     world
 }
@@ -39,13 +39,13 @@
     for seed in 0..histories(40) {
         let world = history(seed, None);
         assert!(
-            world.beyond <= 0.0,
+            world.max_excess <= 0.0,
             "seed {seed}: limit exceeded by {}",
-            world.beyond
+            world.max_excess
         );
-        assert_eq!(world.undrawn, 0, "seed {seed}: sent without a token");
+        assert_eq!(world.sent_uncharged, 0, "seed {seed}: sent without a token");
         assert!(world.served > 0, "seed {seed}: nothing was served");
-        limited += world.limited;
+        limited += world.sent_to_limited;
     }
     assert!(
         limited > 1_000,
@@ -57,14 +57,14 @@
 #[test]
 fn flaws_detected() {
     for flaw in [
-        Flaw::NoLookAtPlace,
-        Flaw::NoLastLook,
-        Flaw::Alone,
-        Flaw::AnyLifts,
+        Flaw::NoCheckAtGrant,
+        Flaw::NoCheckBeforeSending,
+        Flaw::IgnoresLimitsWithoutHub,
+        Flaw::AnyResponseLiftsLimit,
     ] {
         let is_detected = |seed| {
             let world = history(seed, Some(flaw));
-            world.beyond > 0.0 || world.undrawn > 0
+            world.max_excess > 0.0 || world.sent_uncharged > 0
         };
         assert!(
             (0..histories(200)).any(is_detected),
@@ -78,12 +78,12 @@
 fn used_in_full() {
     for seed in 0..10 {
         let mut world = World::new(seed, None);
-        world.go_on(s(1), 1);
-        world.name(SERVERS, Some("3"));
-        world.go_on(s(5), 1);
-        let before = world.limited;
-        world.go_on(s(20), 1);
-        let served = f64::from(world.limited - before);
+        world.run_for(s(1), 1);
+        world.set_limits(SERVERS, Some("3"));
+        world.run_for(s(5), 1);
+        let before = world.sent_to_limited;
+        world.run_for(s(20), 1);
+        let served = f64::from(world.sent_to_limited - before);
         let accepted = 3.0 * 9.0 * 20.0;
         assert!(
             served >= 0.95 * accepted,
@@ -101,12 +101,12 @@
 fn lifted_soon() {
     for (seed, limit) in ["0", "0.2", "1", "3"].into_iter().enumerate() {
         let mut world = World::new(seed as u64, None);
-        world.go_on(s(1), 1);
-        world.name(SERVERS, Some(limit));
-        world.go_on(s(6), 1);
+        world.run_for(s(1), 1);
+        world.set_limits(SERVERS, Some(limit));
+        world.run_for(s(6), 1);
         assert!(world.is_limited_anywhere(), "limit {limit} is unknown");
-        world.name(SERVERS, None);
-        world.go_on(s(12), 1);
+        world.set_limits(SERVERS, None);
+        world.run_for(s(12), 1);
         assert!(!world.is_limited_anywhere(), "limit {limit} stays");
     }
 }
@@ -115,8 +115,8 @@
 #[test]
 fn rejected_early() {
     let mut world = World::new(1, None);
-    world.go_on(s(1), 1);
-    world.name(SERVERS, Some("0.2"));
-    world.go_on(s(5), 1);
+    world.run_for(s(1), 1);
+    world.set_limits(SERVERS, Some("0.2"));
+    world.run_for(s(5), 1);
     assert!(world.refused > 0);
 }
--- a/crates/core/tests/server_notices.rs
+++ b/crates/core/tests/server_notices.rs
@@ -11,11 +11,11 @@
 use curlewlift_core::pool::Notice;
 use curlewlift_core::pool::Notices;
 
+use support::backoff::Flaw;
+use support::backoff::SERVERS;
+use support::backoff::SLOTS_PER_SERVER;
+use support::backoff::World;
 use support::incarnations::incarnation;
-use support::resting::Flaw;
-use support::resting::SERVERS;
-use support::resting::SLOTS;
-use support::resting::World;
 
 /// How many requests of one gateway may arrive at a server during a backoff, apart from those already in flight.
 const MAX_REQUESTS_IN_BACKOFF: u32 = 2;
@@ -36,9 +36,9 @@
 fn history(seed: u64, flaw: Option<Flaw>) -> World {
     let mut world = World::new(seed, flaw);
     for round in 0..40 {
-        world.disturb();
+        world.inject_fault();
         let time = Duration::from_millis(100 + (seed + round) % 6 * 100);
-        world.go_on(time, 1 + seed % 8);
+        world.run_for(time, 1 + seed % 8);
     }
     world
 }
@@ -49,13 +49,13 @@
     for seed in 0..histories(40) {
         let world = history(seed, None);
         assert!(
-            world.most <= MAX_REQUESTS_IN_BACKOFF,
+            world.max_in_backoff <= MAX_REQUESTS_IN_BACKOFF,
             "seed {seed}: {}",
-            world.most
+            world.max_in_backoff
         );
-        assert_eq!(world.after_leaving, 0, "seed {seed}");
+        assert_eq!(world.sent_after_draining, 0, "seed {seed}");
         assert!(world.served > 0, "seed {seed}");
-        backoffs += world.rests;
+        backoffs += world.backoffs;
     }
     assert!(backoffs > 1_000, "{backoffs}");
 }
@@ -63,10 +63,14 @@
 /// The simulation detects each flaw that is put into the gateways on purpose.
 #[test]
 fn flaws_found() {
-    for flaw in [Flaw::NoLookAtPlace, Flaw::NoLastLook, Flaw::InTheList] {
+    for flaw in [
+        Flaw::NoCheckAtGrant,
+        Flaw::NoCheckBeforeSending,
+        Flaw::StateInServerList,
+    ] {
         let is_found = |seed| {
             let world = history(seed, Some(flaw));
-            world.most > MAX_REQUESTS_IN_BACKOFF || world.after_leaving > 0
+            world.max_in_backoff > MAX_REQUESTS_IN_BACKOFF || world.sent_after_draining > 0
         };
         assert!((0..histories(200)).any(is_found), "{flaw:?}");
     }
@@ -79,13 +83,13 @@
 fn no_burst_after_backoff() {
     for seed in 0..20 {
         let mut world = World::new(seed, None);
-        world.go_on(s(2), 3);
-        world.ask_for_rest(SERVERS, Some(3_000), 100);
-        world.go_on(Duration::from_millis(2_600), 3);
+        world.run_for(s(2), 3);
+        world.set_backoff(SERVERS, Some(3_000), 100);
+        world.run_for(Duration::from_millis(2_600), 3);
         let backoff_end = world.now;
-        world.go_on(Duration::from_millis(1_500), 3);
-        let burst = world.crowd(backoff_end, Duration::from_millis(100));
-        assert!(burst < SLOTS, "seed {seed}: {burst}");
+        world.run_for(Duration::from_millis(1_500), 3);
+        let burst = world.max_arrivals(backoff_end, Duration::from_millis(100));
+        assert!(burst < SLOTS_PER_SERVER, "seed {seed}: {burst}");
     }
 }
 
--- /dev/null
+++ b/crates/core/tests/support/crashes.rs
@@ -0,0 +1,474 @@
+//! Simulates gateways, a hub, a log and servers, with requests that crash every server that runs them.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+use curlewlift_core::clock::Instant;
+use curlewlift_core::gateway::Gateway;
+use curlewlift_core::gateway::Hub;
+use curlewlift_core::gateway::Poll;
+use curlewlift_core::gateway::Report;
+use curlewlift_core::gateway::Server;
+use curlewlift_core::gateway::ServerList;
+use curlewlift_core::gateway::SlotDecision;
+use curlewlift_core::gateway::SlotRequest;
+use curlewlift_core::gateway::Tuning;
+use curlewlift_core::id;
+use curlewlift_core::quarantine::Identity;
+use curlewlift_core::quarantine::List;
+use curlewlift_core::quarantine::LocalTracker;
+use curlewlift_core::quarantine::Observation;
+use curlewlift_core::quarantine::Rejection;
+use curlewlift_core::quarantine::Step;
+use curlewlift_core::state::Publication;
+use rand_chacha::ChaCha8Rng;
+use rand_chacha::rand_core::Rng;
+use rand_chacha::rand_core::SeedableRng;
+
+use super::messages;
+
+const STEP: Duration = Duration::from_millis(10);
+const GATEWAYS: usize = 12;
+const SERVERS: usize = 9;
+/// How long a server stays down after a crash.
+const SERVER_DOWNTIME: Duration = Duration::from_secs(3);
+/// How long a quarantine step takes to be committed to the log.
+const COMMIT_DELAY: Duration = Duration::from_millis(20);
+/// How long a gateway must have been in contact with the hub before its attempts count against the bound.
+pub(crate) const CONTACT_TIME: Duration = Duration::from_secs(3);
+
+/// What a request does to its server.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) enum Behavior {
+    /// Crashes it.
+    Crash,
+    /// Gets a complete response.
+    Answer,
+}
+
+struct Node {
+    host: id::Host,
+    quarantine: LocalTracker,
+    /// Since when it has been in contact with the hub; none without contact.
+    connected_since: Option<Instant>,
+    cut: bool,
+    /// Until when it is suspended.
+    suspended: Option<Instant>,
+}
+
+impl Node {
+    fn new(index: usize) -> Self {
+        Self {
+            host: format!("g{index}").parse().expect("a valid name"),
+            quarantine: LocalTracker::default(),
+            connected_since: None,
+            cut: false,
+            suspended: None,
+        }
+    }
+}
+
+/// A request that a server runs.
+struct Running {
+    gateway: usize,
+    identity: Identity,
+    server: Arc<str>,
+    permit: Option<u64>,
+    behavior: Behavior,
+    ends_at: Instant,
+}
+
+/// How an attempt to send a request ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum SendOutcome {
+    Sent,
+    Rejected(Rejection),
+    NoServer,
+}
+
+pub(crate) struct World {
+    pub(crate) now: Instant,
+    nodes: Vec<Node>,
+    hub: Option<Hub>,
+    next_hub: Option<Instant>,
+    list: List,
+    commit: Option<(Instant, Vec<Step>)>,
+    /// The incarnation of each server, and until when it is down.
+    servers: Vec<(u64, Instant)>,
+    running: Vec<Running>,
+    random: ChaCha8Rng,
+    /// Percentage of messages that are lost.
+    pub(crate) loss_percent: u64,
+    /// When servers crashed under each request.
+    pub(crate) crashes: BTreeMap<Identity, Vec<Instant>>,
+    /// When each request was sent by gateways that had been in contact for [`CONTACT_TIME`].
+    pub(crate) sent: BTreeMap<Identity, Vec<Instant>>,
+    /// Harmless requests that were interrupted by the crash of their server.
+    pub(crate) interrupted: Vec<Identity>,
+}
+
+impl World {
+    pub(crate) fn new(seed: u64) -> Self {
+        let mut world = Self {
+            now: Instant::default() + CONTACT_TIME,
+            nodes: (0..GATEWAYS).map(Node::new).collect(),
+            hub: None,
+            next_hub: None,
+            list: List::default(),
+            commit: None,
+            servers: vec![(0, Instant::default()); SERVERS],
+            running: Vec::new(),
+            random: ChaCha8Rng::seed_from_u64(seed),
+            loss_percent: 0,
+            crashes: BTreeMap::new(),
+            sent: BTreeMap::new(),
+            interrupted: Vec::new(),
+        };
+        world.start_hub();
+        world.run_for(CONTACT_TIME * 2);
+        world
+    }
+
+    pub(crate) fn random_below(&mut self, below: usize) -> usize {
+        usize::try_from(self.random.next_u64() % below as u64).expect("fits in usize")
+    }
+
+    fn name(&self, index: usize) -> Arc<str> {
+        format!("s{index}-{}", self.servers[index].0).into()
+    }
+
+    fn server_list(&self) -> Arc<ServerList> {
+        let up = (0..SERVERS).filter(|index| self.servers[*index].1 <= self.now);
+        let servers = up.map(|index| Server {
+            incarnation: self.name(index),
+            name: self.name(index),
+            started_ms: 0,
+            version: "v1".parse().expect("a valid version"),
+            service: "chat".parse().expect("a valid name"),
+            address: "127.0.0.1:1".parse().expect("a valid address"),
+            hall: "a".into(),
+            slots: 1_000,
+            leaving: false,
+            cold: false,
+        });
+        Arc::new(ServerList::new(servers.collect()))
+    }
+
+    fn start_hub(&mut self) {
+        let number = self.random.next_u64();
+        let mut hub = Hub::new(Tuning::default(), self.now).with_id(number);
+        hub.apply_quarantine(&self.list, self.now);
+        hub.set_server_list(self.server_list());
+        self.hub = Some(hub);
+    }
+
+    /// Stops the hub; another one starts within 2 s.
+    pub(crate) fn replace_hub(&mut self) {
+        self.hub = None;
+        let pause = Duration::from_millis(self.random_below(2_000) as u64);
+        self.next_hub = Some(self.now + pause);
+        if let Some((_, steps)) = self.commit.take()
+            && self.random_below(2) == 0
+        {
+            for step in &steps {
+                self.list.apply(step);
+            }
+        }
+        self.nodes
+            .iter_mut()
+            .for_each(|node| node.connected_since = None);
+    }
+
+    /// Restarts all processes; they keep only what was committed to the log.
+    pub(crate) fn restart_all(&mut self) {
+        self.replace_hub();
+        self.running.clear();
+        self.nodes = (0..GATEWAYS).map(Node::new).collect();
+    }
+
+    /// Injects a random fault.
+    pub(crate) fn inject_fault(&mut self) {
+        let index = self.random_below(GATEWAYS);
+        match self.random_below(6) {
+            0 => self.replace_hub(),
+            1 => self.restart_all(),
+            2 => self.nodes[index].cut = !self.nodes[index].cut,
+            3 => {
+                self.nodes[index] = Node::new(index);
+                self.running.retain(|running| running.gateway != index);
+            }
+            4 => {
+                let length = Duration::from_millis(500 + self.random_below(6_000) as u64);
+                self.nodes[index].suspended = Some(self.now + length);
+                self.nodes[index].connected_since = None;
+            }
+            _ => self.loss_percent = self.random_below(50) as u64,
+        }
+    }
+
+    /// Ends message loss, cut links and suspensions.
+    pub(crate) fn heal(&mut self) {
+        self.loss_percent = 0;
+        for node in &mut self.nodes {
+            node.cut = false;
+            node.suspended = None;
+        }
+    }
+
+    pub(crate) fn run_for(&mut self, time: Duration) {
+        let until = self.now + time;
+        while self.now < until {
+            self.now = self.now + STEP;
+            self.advance_hub();
+            self.finish_due();
+            (0..GATEWAYS).for_each(|index| self.sync(index));
+        }
+    }
+
+    fn advance_hub(&mut self) {
+        let now = self.now;
+        if self.next_hub.is_some_and(|at| at <= now) {
+            self.next_hub = None;
+            self.start_hub();
+        }
+        let server_list = self.server_list();
+        let Some(hub) = &mut self.hub else {
+            return;
+        };
+        if hub.get_server_list().version != server_list.version {
+            hub.set_server_list(server_list);
+        }
+        if let Some((_, steps)) = self.commit.take_if(|(due, _)| *due <= now) {
+            for step in &steps {
+                self.list.apply(step);
+            }
+            hub.apply_quarantine(&self.list, now);
+        }
+        hub.tick(now);
+        let steps = hub.propose_quarantine_steps(now);
+        if !steps.is_empty() {
+            self.commit = Some((now + COMMIT_DELAY, steps));
+        }
+    }
+
+    /// Completes the requests that are due, or crashes their servers.
+    fn finish_due(&mut self) {
+        let now = self.now;
+        let due = |running: &mut Running| running.ends_at <= now;
+        let due: Vec<_> = self.running.extract_if(.., due).collect();
+        for running in due {
+            if running.behavior == Behavior::Answer {
+                self.complete(running);
+            } else if self.is_up(&running.server) {
+                self.crash_server(running);
+            }
+        }
+    }
+
+    fn is_up(&self, server: &Arc<str>) -> bool {
+        (0..SERVERS).any(|index| self.name(index) == *server)
+    }
+
+    fn complete(&mut self, running: Running) {
+        let now = self.now;
+        let quarantine = &mut self.nodes[running.gateway].quarantine;
+        quarantine.record_completion(running.identity, running.permit, now);
+        self.report(running.gateway);
+    }
+
+    fn crash_server(&mut self, cause: Running) {
+        let now = self.now;
+        let index = (0..SERVERS).find(|index| self.name(*index) == cause.server);
+        let index = index.expect("the server is up");
+        self.servers[index].0 += 1;
+        self.servers[index].1 = now + SERVER_DOWNTIME;
+        let crash_times = self.crashes.entry(cause.identity.clone()).or_default();
+        crash_times.push(now);
+        let server = Arc::clone(&cause.server);
+        let runs_there = |running: &mut Running| running.server == server;
+        let mut stopped: Vec<_> = self.running.extract_if(.., runs_there).collect();
+        stopped.push(cause);
+        for stopped in stopped {
+            let quarantine = &mut self.nodes[stopped.gateway].quarantine;
+            quarantine.record_crash(stopped.identity.clone(), stopped.permit, &server, now);
+            self.report(stopped.gateway);
+            if stopped.behavior == Behavior::Answer {
+                self.interrupted.push(stopped.identity);
+            }
+        }
+    }
+
+    /// Whether a message between a gateway and the hub arrives this time.
+    fn is_reachable(&mut self, index: usize) -> bool {
+        let is_dropped = (self.random_below(100) as u64) < self.loss_percent;
+        let (node, now) = (&self.nodes[index], self.now);
+        let is_awake = node.suspended.is_none_or(|until| until <= now);
+        self.hub.is_some() && !node.cut && is_awake && !is_dropped
+    }
+
+    fn report(&mut self, index: usize) {
+        if !self.is_reachable(index) {
+            return;
+        }
+        let node = &self.nodes[index];
+        let report = Report {
+            observations: node.quarantine.get_evidence().unacknowledged().0,
+            ..messages::report(&node.host)
+        };
+        if let Some(hub) = &mut self.hub {
+            hub.report(&report, self.now);
+        }
+    }
+
+    /// Makes a gateway poll the hub, ten times a second on average.
+    fn sync(&mut self, index: usize) {
+        if self.random_below(10) != 0 {
+            return;
+        }
+        if !self.is_reachable(index) {
+            let node = &mut self.nodes[index];
+            if self.hub.is_none() || node.cut || node.suspended.is_some() {
+                node.connected_since = None;
+            }
+            return;
+        }
+        let node = &mut self.nodes[index];
+        node.suspended = None;
+        let (observed, upto) = node.quarantine.get_evidence().unacknowledged();
+        let poll = poll(node, observed);
+        let Some(hub) = &mut self.hub else {
+            return;
+        };
+        hub.on_poll(&poll, self.now);
+        let reply = hub.reply(&poll, &Publication::default(), self.now);
+        // The reply is lost as often as the poll.
+        if !self.is_reachable(index) {
+            return;
+        }
+        let node = &mut self.nodes[index];
+        node.quarantine.acknowledge(reply.hub_id, upto);
+        if let Some(update) = &reply.quarantine {
+            node.quarantine.apply_update(update);
+        }
+        node.connected_since.get_or_insert(self.now);
+    }
+
+    /// Sends a request to a gateway.
+    pub(crate) fn send_request(
+        &mut self,
+        index: usize,
+        identity: &Identity,
+        behavior: Behavior,
+    ) -> SendOutcome {
+        let is_awake = self.nodes[index].suspended.is_none();
+        if !is_awake {
+            return SendOutcome::NoServer;
+        }
+        let outcome = if self.nodes[index].connected_since.is_some() && self.is_reachable(index) {
+            self.request_grant(index, identity)
+        } else {
+            self.choose_locally(index, identity)
+        };
+        match outcome {
+            Ok((server, permit)) => {
+                self.send(index, identity, behavior, server, permit);
+                SendOutcome::Sent
+            }
+            Err(outcome) => outcome,
+        }
+    }
+
+    fn request_grant(
+        &mut self,
+        index: usize,
+        identity: &Identity,
+    ) -> Result<(Arc<str>, Option<u64>), SendOutcome> {
+        let node = &self.nodes[index];
+        let slot_request = slot_request(node, identity);
+        let now = self.now;
+        let hub = self.hub.as_mut().expect("the hub is reachable");
+        let ticket = match hub.request_slot(slot_request, now) {
+            SlotDecision::Queued(ticket, _) => ticket,
+            SlotDecision::Rejected(why) => return Err(SendOutcome::Rejected(why)),
+            _ => return Err(SendOutcome::NoServer),
+        };
+        let served = hub.grant_slots(now).into_iter();
+        let mut grants = served.filter(|(served, _)| *served == ticket);
+        if let Some((_, grant)) = grants.next() {
+            return Ok((grant.server.incarnation, grant.permit));
+        }
+        hub.cancel(&ticket, now);
+        Err(SendOutcome::NoServer)
+    }
+
+    fn choose_locally(
+        &mut self,
+        index: usize,
+        identity: &Identity,
+    ) -> Result<(Arc<str>, Option<u64>), SendOutcome> {
+        if !self.nodes[index].quarantine.may_send(identity) {
+            return Err(SendOutcome::Rejected(Rejection::Quarantined));
+        }
+        let server = self.random_below(SERVERS);
+        let is_up = self.servers[server].1 <= self.now;
+        if is_up {
+            Ok((self.name(server), None))
+        } else {
+            Err(SendOutcome::NoServer)
+        }
+    }
+
+    fn send(
+        &mut self,
+        index: usize,
+        identity: &Identity,
+        behavior: Behavior,
+        server: Arc<str>,
+        permit: Option<u64>,
+    ) {
+        let duration = Duration::from_millis(30 + self.random_below(800) as u64);
+        let connected_since = self.nodes[index].connected_since;
+        if connected_since.is_some_and(|since| self.now.since(since) >= CONTACT_TIME) {
+            let sent = self.sent.entry(identity.clone()).or_default();
+            sent.push(self.now);
+        }
+        self.running.push(Running {
+            gateway: index,
+            identity: identity.clone(),
+            server,
+            permit,
+            behavior,
+            ends_at: self.now + duration,
+        });
+    }
+
+    /// How often gateways in contact sent a request later than `after` its third crash.
+    pub(crate) fn count_sent_after(&self, identity: &Identity, after: Duration) -> usize {
+        let third_crash = self.crashes.get(identity).and_then(|times| times.get(2));
+        let (Some(third_crash), Some(sent)) = (third_crash, self.sent.get(identity)) else {
+            return 0;
+        };
+        sent.iter().filter(|at| **at > *third_crash + after).count()
+    }
+}
+
+fn poll(node: &Node, observations: Vec<Observation>) -> Poll {
+    Poll {
+        gateway: Gateway {
+            hall: "a".into(),
+            callers: "127.0.0.1:80".parse().expect("a valid address"),
+        },
+        quarantine_version: node.quarantine.get_version(),
+        observations,
+        ..messages::poll(&node.host)
+    }
+}
+
+fn slot_request(node: &Node, identity: &Identity) -> SlotRequest {
+    SlotRequest {
+        identity: identity.clone(),
+        observations: node.quarantine.get_evidence().unacknowledged_for(identity),
+        ..messages::slot_request(&node.host)
+    }
+}
--- a/crates/core/tests/support/gateways.rs
+++ b/crates/core/tests/support/gateways.rs
@@ -1,4 +1,4 @@
-//! Gateways and a hub in one thread, on links that delay, lose and cut, with a log that remembers the parts.
+//! Simulates gateways and a hub over links that delay, lose and block messages, with a log that stores the shares.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -36,168 +36,170 @@
 /// A step of the simulation.
 const STEP: Duration = Duration::from_millis(10);
 
-/// After how long an answer is not waited for any more.
-const CALL: Duration = Duration::from_millis(600);
+/// How long a gateway waits for a reply.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How old the hub's last word may be for it to be asked about a request.
-const HEARD: Duration = Duration::from_millis(500);
+/// The maximum age of the hub's last reply for a gateway to send requests to the hub.
+const HUB_REPLY_MAX_AGE: Duration = Duration::from_millis(500);
 
-/// How many deputies a gateway asks.
-const ASKED: usize = 3;
+/// How many standbys a gateway asks to admit a request.
+const MAX_STANDBYS_ASKED: usize = 3;
 
-/// How long a change of the parts takes to stand in the log.
-const COMMIT: Duration = Duration::from_millis(30);
+/// How long a change of the shares takes to be committed to the log.
+const COMMIT_DELAY: Duration = Duration::from_millis(30);
 
-pub(crate) const ALLOWANCE: Quota = Quota {
+/// The quota of the customer.
+pub(crate) const QUOTA: Quota = Quota {
     unit: Unit::Tokens(200),
     rate: 60_000.0,
     burst: 60_000.0,
 };
 
+/// The tolerance of the quota.
 pub(crate) const TOLERANCE: Tolerance = Tolerance {
     window: Duration::from_secs(8),
     ratio: 0.1,
     slack: 72_000.0,
 };
 
-/// The part of the tolerance that the hub and the gateways give out between them; beyond it nothing is let
-/// in, and so the deployment's own bound is never met.
-const CLAIMED: f64 = 0.9;
+/// The fraction of the tolerance that the hub and the gateways use between them. They admit nothing beyond it, so that
+/// the bound of the deployment is never reached.
+const ASSIGNED_TOLERANCE: f64 = 0.9;
 
-pub(crate) fn ann() -> id::Customer {
-    "ann".parse().expect("a name")
+pub(crate) fn customer() -> id::Customer {
+    "ann".parse().expect("a valid name")
 }
 
-/// One gateway, and the answer that is on its way to it.
+/// One gateway, and the reply in flight to it.
 struct Node {
     host: id::Host,
-    reserve: LocalLimiter,
-    got: u64,
-    heard: Option<Instant>,
-    asked: Instant,
-    answer: Option<(Instant, Reply)>,
+    limiter: LocalLimiter,
+    last_reply: u64,
+    reply_received: Option<Instant>,
+    asked_at: Instant,
+    reply: Option<(Instant, Reply)>,
     cut: bool,
-    /// Until when it is suspended: it does nothing, and finds what has come meanwhile when it wakes.
+    /// Until when it is suspended: it does nothing, and receives what has arrived meanwhile when it wakes.
     suspended: Instant,
 }
 
 impl Node {
-    fn new(place: usize, now: Instant) -> Self {
+    fn new(index: usize, now: Instant) -> Self {
         Self {
-            host: format!("g{place}").parse().expect("a name"),
-            reserve: LocalLimiter::new(TOLERANCE),
-            got: 0,
-            heard: None,
-            asked: now,
-            answer: None,
+            host: format!("g{index}").parse().expect("a valid name"),
+            limiter: LocalLimiter::new(TOLERANCE),
+            last_reply: 0,
+            reply_received: None,
+            asked_at: now,
+            reply: None,
             cut: false,
             suspended: now,
         }
     }
 
-    fn question(&self) -> Poll {
+    fn poll(&self) -> Poll {
         Poll {
             gateway: Gateway {
                 hall: "a".into(),
-                callers: "127.0.0.1:80".parse().expect("an address"),
+                callers: "127.0.0.1:80".parse().expect("a valid address"),
             },
             known_table: 1,
             server_list_version: 1,
-            last_reply: self.got,
+            last_reply: self.last_reply,
             ..messages::poll(&self.host)
         }
     }
 }
 
-/// Gateways, a hub, a log, and what was let in within the window.
+/// Gateways, a hub, a log, and the requests admitted within the window.
 pub(crate) struct World {
     nodes: Vec<Node>,
     hub: Option<Hub>,
-    /// When the next hub begins, where there is none.
+    /// When the next hub starts, if there is none.
     next_hub: Option<Instant>,
-    parts: Shares,
+    shares: Shares,
     commit: Option<(Instant, Shares)>,
     now: Instant,
     random: ChaCha8Rng,
-    /// Of a hundred answers so many are lost.
-    lost: u64,
-    /// Of a hundred requests so many find no server, and wait for one until they leave.
-    pub(crate) no_place: u64,
-    /// Those, with the moment at which they leave, and what they count.
+    /// Percentage of replies that are lost.
+    loss_percent: u64,
+    /// Percentage of requests that find no server, and stay queued until they leave.
+    pub(crate) unserved_percent: u64,
+    /// Those requests: when they leave, their tickets and their costs.
     waiting: Vec<(Instant, Ticket, u64)>,
-    table: u64,
-    let_in: VecDeque<(Instant, u64)>,
-    pub(crate) most: u64,
+    table_version: u64,
+    admitted: VecDeque<(Instant, u64)>,
+    pub(crate) max_admitted: u64,
     pub(crate) total: u64,
-    /// What is still to be asked for.
-    asked: f64,
-    allowance: Quota,
+    /// Tokens still to be requested at the given load.
+    tokens_due: f64,
+    quota: Quota,
 }
 
 impl World {
     pub(crate) fn new(count: usize, seed: u64) -> Self {
-        Self::with(count, seed, ALLOWANCE)
+        Self::with(count, seed, QUOTA)
     }
 
-    pub(crate) fn with(count: usize, seed: u64, allowance: Quota) -> Self {
+    pub(crate) fn with(count: usize, seed: u64, quota: Quota) -> Self {
         let now = Instant::default();
         let mut world = Self {
-            nodes: (0..count).map(|place| Node::new(place, now)).collect(),
+            nodes: (0..count).map(|index| Node::new(index, now)).collect(),
             hub: None,
             next_hub: None,
-            parts: Shares::default(),
+            shares: Shares::default(),
             commit: None,
             now,
             random: ChaCha8Rng::seed_from_u64(seed),
-            lost: 0,
-            no_place: 0,
+            loss_percent: 0,
+            unserved_percent: 0,
             waiting: Vec::new(),
-            table: 1,
-            let_in: VecDeque::new(),
-            most: 0,
+            table_version: 1,
+            admitted: VecDeque::new(),
+            max_admitted: 0,
             total: 0,
-            asked: 0.0,
-            allowance,
+            tokens_due: 0.0,
+            quota,
         };
-        world.begin_hub();
+        world.start_hub();
         if let Some(hub) = &mut world.hub {
             hub.mark_first_table(now);
         }
         world
     }
 
-    fn draw(&mut self, below: u64) -> u64 {
+    fn random_below(&mut self, below: u64) -> u64 {
         self.random.next_u64() % below
     }
 
-    fn adopt(&mut self) {
-        let account = CustomerPolicy {
-            name: ann(),
+    fn apply_table(&mut self) {
+        let policy = CustomerPolicy {
+            name: customer(),
             keys: Vec::new(),
             rank: None,
-            quota: self.allowance,
+            quota: self.quota,
             homes: Homes::default(),
         };
-        let table = Table::new(curlewlift_core::route::Parts {
-            version: self.table,
+        let table_version = Table::new(curlewlift_core::route::Parts {
+            version: self.table_version,
             rules: Vec::new(),
             services: [].into(),
             limits: Limits::default(),
-            customers: Some(vec![account]),
+            customers: Some(vec![policy]),
         });
         if let Some(hub) = &mut self.hub {
-            hub.apply_table(&table.expect("a table"), self.now);
+            hub.apply_table(&table_version.expect("a valid table"), self.now);
         }
     }
 
-    /// Another limit is in force everywhere.
-    pub(crate) fn limit(&mut self, allowance: Quota) {
-        self.allowance = allowance;
-        self.table += 1;
-        self.adopt();
+    /// Applies another quota everywhere.
+    pub(crate) fn change_quota(&mut self, quota: Quota) {
+        self.quota = quota;
+        self.table_version += 1;
+        self.apply_table();
     }
 
-    fn begin_hub(&mut self) {
+    fn start_hub(&mut self) {
         let tuning = Tuning {
             tolerance: TOLERANCE,
             ..Tuning::default()
@@ -208,192 +210,197 @@
             incarnation: "s".into(),
             name: "s".into(),
             started_ms: 0,
-            version: "v1".parse().expect("a version"),
-            service: "chat".parse().expect("a name"),
-            address: "127.0.0.1:1".parse().expect("an address"),
+            version: "v1".parse().expect("a valid version"),
+            service: "chat".parse().expect("a valid name"),
+            address: "127.0.0.1:1".parse().expect("a valid address"),
             hall: "a".into(),
             slots: 1_000_000,
             leaving: false,
             cold: false,
         };
         hub.set_server_list(Arc::new(ServerList::new(vec![server])));
-        hub.apply_standbys(&self.parts, self.now);
+        hub.apply_standbys(&self.shares, self.now);
         self.hub = Some(hub);
-        self.adopt();
+        self.apply_table();
     }
 
-    /// The hub ends, and no other begins.
-    pub(crate) fn end_hub(&mut self) {
+    /// Stops the hub without starting another.
+    pub(crate) fn stop_hub(&mut self) {
         self.hub = None;
         self.waiting.clear();
         self.next_hub = None;
-        // What is on its way into the log may get there or not.
-        if self.draw(2) == 0 {
+        // A change that is being committed may be lost.
+        if self.random_below(2) == 0 {
             self.commit = None;
         }
     }
 
-    /// The hub ends, and another begins soon.
-    pub(crate) fn new_hub(&mut self) {
-        self.end_hub();
-        let pause = Duration::from_millis(self.draw(1_200));
+    /// Stops the hub; another one starts within 1.2 s.
+    pub(crate) fn replace_hub(&mut self) {
+        self.stop_hub();
+        let pause = Duration::from_millis(self.random_below(1_200));
         self.next_hub = Some(self.now + pause);
     }
 
-    pub(crate) fn cut(&mut self, place: usize, cut: bool) {
-        self.nodes[place].cut = cut;
-        self.nodes[place].answer = None;
+    pub(crate) fn cut(&mut self, index: usize, cut: bool) {
+        self.nodes[index].cut = cut;
+        self.nodes[index].reply = None;
     }
 
-    /// A gateway is suspended for so long.
-    pub(crate) fn suspend(&mut self, place: usize, length: Duration) {
-        self.nodes[place].suspended = self.now + length;
+    /// Suspends a gateway for `length`.
+    pub(crate) fn suspend(&mut self, index: usize, length: Duration) {
+        self.nodes[index].suspended = self.now + length;
     }
 
-    /// Far beyond the allowance, about as much, or so little that buckets fill up.
-    pub(crate) fn any_load(&mut self) -> f64 {
-        match self.draw(4) {
+    /// Returns a load far above the quota, about equal to it, or so low that the token buckets fill up.
+    pub(crate) fn random_load(&mut self) -> f64 {
+        match self.random_below(4) {
             0 => 5_000.0,
             1 => 60_000.0,
             _ => 400_000.0,
         }
     }
 
-    /// Something happens.
-    pub(crate) fn disturb(&mut self) {
+    /// Injects a random fault.
+    pub(crate) fn inject_fault(&mut self) {
         let count = self.nodes.len() as u64;
-        let place = usize::try_from(self.draw(count)).expect("few");
-        match self.draw(8) {
-            0 => self.new_hub(),
-            1 => self.lost = self.draw(60),
-            // Its process is started anew.
-            2 => self.nodes[place] = Node::new(place, self.now),
-            // All of them are.
-            3 if self.draw(4) == 0 => {
-                for place in 0..self.nodes.len() {
-                    self.nodes[place] = Node::new(place, self.now);
+        let index = usize::try_from(self.random_below(count)).expect("fits in usize");
+        match self.random_below(8) {
+            0 => self.replace_hub(),
+            1 => self.loss_percent = self.random_below(60),
+            // The gateway restarts.
+            2 => self.nodes[index] = Node::new(index, self.now),
+            // All gateways restart.
+            3 if self.random_below(4) == 0 => {
+                for index in 0..self.nodes.len() {
+                    self.nodes[index] = Node::new(index, self.now);
                 }
-                self.new_hub();
+                self.replace_hub();
             }
-            // Another host comes in its place, for good.
+            // Another host replaces it for good.
             4 => {
-                let name = 1_000 + usize::try_from(self.draw(1_000_000)).expect("few");
-                self.nodes[place] = Node::new(name, self.now);
+                let name =
+                    1_000 + usize::try_from(self.random_below(1_000_000)).expect("fits in usize");
+                self.nodes[index] = Node::new(name, self.now);
             }
             5 => {
-                for place in 0..self.nodes.len() {
-                    let cut = self.draw(3) == 0;
-                    self.cut(place, cut);
+                for index in 0..self.nodes.len() {
+                    let cut = self.random_below(3) == 0;
+                    self.cut(index, cut);
                 }
             }
-            6 => (0..self.nodes.len()).for_each(|place| self.cut(place, false)),
-            _ => self.cut(place, true),
+            6 => (0..self.nodes.len()).for_each(|index| self.cut(index, false)),
+            _ => self.cut(index, true),
         }
     }
 
-    /// Time passes, with `load` tokens a second asked for in all.
-    pub(crate) fn go_on(&mut self, time: Duration, load: f64) {
+    /// Runs the simulation for `time`, with `load` tokens per second requested in total.
+    pub(crate) fn run_for(&mut self, time: Duration, load: f64) {
         let until = self.now + time;
         while self.now < until {
             self.now = self.now + STEP;
-            self.lead();
-            (0..self.nodes.len()).for_each(|place| self.sync(place));
-            self.wait();
-            self.ask(load);
+            self.advance_hub();
+            (0..self.nodes.len()).for_each(|index| self.sync(index));
+            self.update_waiting();
+            self.send_requests(load);
         }
     }
 
-    fn lead(&mut self) {
+    fn advance_hub(&mut self) {
         let now = self.now;
         if self.next_hub.is_some_and(|at| at <= now) {
             self.next_hub = None;
-            // A new leader has applied all that stands in the log.
-            if let Some((_, parts)) = self.commit.take() {
-                self.parts = parts;
+            // A new leader has applied the whole log.
+            if let Some((_, shares)) = self.commit.take() {
+                self.shares = shares;
             }
-            self.begin_hub();
+            self.start_hub();
         }
         let Some(hub) = &mut self.hub else {
             return;
         };
         if let Some((due, _)) = &self.commit
             && *due <= now
-            && let Some((_, parts)) = self.commit.take()
+            && let Some((_, shares)) = self.commit.take()
         {
-            self.parts = parts;
-            hub.apply_standbys(&self.parts, now);
+            self.shares = shares;
+            hub.apply_standbys(&self.shares, now);
         }
         hub.tick(now);
-        if let Some(parts) = hub.propose_standbys(now) {
-            self.commit = Some((now + COMMIT, parts));
+        if let Some(shares) = hub.propose_standbys(now) {
+            self.commit = Some((now + COMMIT_DELAY, shares));
         }
     }
 
-    /// A gateway takes an answer that has come, gives up one that is late, asks anew.
-    fn sync(&mut self, place: usize) {
-        let (now, lost) = (self.now, self.lost);
-        let (is_lost, delay) = (self.draw(100) < lost, self.draw(100));
-        let slow = self.draw(40) == 0;
-        let node = &mut self.nodes[place];
+    /// Makes a gateway apply a reply that has arrived, discard one that is late, or poll again.
+    fn sync(&mut self, index: usize) {
+        let (now, loss_percent) = (self.now, self.loss_percent);
+        let (is_lost, delay) = (
+            self.random_below(100) < loss_percent,
+            self.random_below(100),
+        );
+        let slow = self.random_below(40) == 0;
+        let node = &mut self.nodes[index];
         if now < node.suspended {
             return;
         }
-        if let Some((due, reply)) = node.answer.take() {
+        if let Some((due, reply)) = node.reply.take() {
             if due <= now && !node.cut {
-                node.got = reply.number;
-                node.heard = Some(now);
-                node.reserve
-                    .set_share(reply.admission_share, node.asked, now);
-            } else if now.since(node.asked) < CALL {
-                node.answer = Some((due, reply));
+                node.last_reply = reply.number;
+                node.reply_received = Some(now);
+                node.limiter
+                    .set_share(reply.admission_share, node.asked_at, now);
+            } else if now.since(node.asked_at) < REPLY_TIMEOUT {
+                node.reply = Some((due, reply));
             }
             return;
         }
         let (Some(hub), false) = (&mut self.hub, node.cut) else {
             return;
         };
-        node.asked = now;
-        let question = node.question();
-        hub.on_poll(&question, now);
-        let reply = hub.reply(&question, &Publication::default(), now);
+        node.asked_at = now;
+        let poll = node.poll();
+        hub.on_poll(&poll, now);
+        let reply = hub.reply(&poll, &Publication::default(), now);
         let delay = if slow { delay * 8 } else { delay };
         let due = if is_lost {
-            now + CALL * 2
+            now + REPLY_TIMEOUT * 2
         } else {
             now + Duration::from_millis(40 + delay)
         };
-        node.answer = Some((due, reply));
+        node.reply = Some((due, reply));
     }
 
-    fn ask(&mut self, load: f64) {
-        self.asked += load * STEP.as_secs_f64();
-        while self.asked > 0.0 {
-            let cost = 200 + self.draw(5_000);
-            let place = usize::try_from(self.draw(self.nodes.len() as u64)).expect("few");
+    fn send_requests(&mut self, load: f64) {
+        self.tokens_due += load * STEP.as_secs_f64();
+        while self.tokens_due > 0.0 {
+            let cost = 200 + self.random_below(5_000);
+            let index =
+                usize::try_from(self.random_below(self.nodes.len() as u64)).expect("fits in usize");
             #[allow(clippy::cast_precision_loss)]
             {
-                self.asked -= cost as f64;
+                self.tokens_due -= cost as f64;
             }
-            if self.lets_in(place, cost) {
-                self.count(cost);
+            if self.is_admitted(index, cost) {
+                self.record_admitted(cost);
             }
         }
-        while let Some((at, _)) = self.let_in.front()
+        while let Some((at, _)) = self.admitted.front()
             && self.now.since(*at) >= TOLERANCE.window
         {
-            self.let_in.pop_front();
+            self.admitted.pop_front();
         }
-        let sum = self.let_in.iter().map(|(_, cost)| cost).sum();
-        self.most = self.most.max(sum);
+        let sum = self.admitted.iter().map(|(_, cost)| cost).sum();
+        self.max_admitted = self.max_admitted.max(sum);
     }
 
-    fn count(&mut self, cost: u64) {
-        self.let_in.push_back((self.now, cost));
+    fn record_admitted(&mut self, cost: u64) {
+        self.admitted.push_back((self.now, cost));
         self.total += cost;
     }
 
-    /// Those that wait get a place after all, or leave.
-    fn wait(&mut self) {
+    /// Grants slots to queued requests, or cancels those that leave.
+    fn update_waiting(&mut self) {
         let now = self.now;
         let Some(hub) = &mut self.hub else {
             return;
@@ -403,49 +410,51 @@
             .into_iter()
             .map(|(ticket, _)| ticket)
             .collect();
-        let mut spent = Vec::new();
-        self.waiting.retain(|(leaves, ticket, cost)| {
+        let mut admitted_costs = Vec::new();
+        self.waiting.retain(|(leaves_at, ticket, cost)| {
             if served.contains(ticket) {
-                spent.push(*cost);
+                admitted_costs.push(*cost);
                 return false;
             }
-            if *leaves <= now {
+            if *leaves_at <= now {
                 hub.cancel(ticket, now);
             }
-            *leaves > now
+            *leaves_at > now
         });
-        for cost in spent {
-            self.count(cost);
+        for cost in admitted_costs {
+            self.record_admitted(cost);
         }
     }
 
-    /// Whether a request is let in: by the hub where it is heard, else by the gateway alone.
-    fn lets_in(&mut self, place: usize, cost: u64) -> bool {
+    /// Whether a request is admitted: by the hub if it is reachable, otherwise without it.
+    fn is_admitted(&mut self, index: usize, cost: u64) -> bool {
         let now = self.now;
-        let gets_none = self.draw(100) < self.no_place;
-        let leaves = now + Duration::from_millis(self.draw(1_000));
-        let node = &mut self.nodes[place];
+        let is_unserved = self.random_below(100) < self.unserved_percent;
+        let leaves_at = now + Duration::from_millis(self.random_below(1_000));
+        let node = &mut self.nodes[index];
         if now < node.suspended {
             return false;
         }
         let charge = Charge {
-            customer: ann(),
+            customer: customer(),
             cost,
         };
-        let heard = node.heard.is_some_and(|heard| now.since(heard) < HEARD);
-        let (Some(hub), true) = (&mut self.hub, heard && !node.cut) else {
-            return self.lets_in_alone(place, &charge);
+        let is_reply_recent = node
+            .reply_received
+            .is_some_and(|reply_received| now.since(reply_received) < HUB_REPLY_MAX_AGE);
+        let (Some(hub), true) = (&mut self.hub, is_reply_recent && !node.cut) else {
+            return self.is_admitted_locally(index, &charge);
         };
-        let mut want = want(&node.host, charge);
-        if gets_none {
-            want.tried = vec!["s".into()];
-            want.avoid = vec![("s".into(), Duration::from_secs(10))];
+        let mut slot_request = slot_request(&node.host, charge);
+        if is_unserved {
+            slot_request.tried = vec!["s".into()];
+            slot_request.avoid = vec![("s".into(), Duration::from_secs(10))];
         }
-        let SlotDecision::Queued(ticket, _) = hub.request_slot(want, now) else {
+        let SlotDecision::Queued(ticket, _) = hub.request_slot(slot_request, now) else {
             return false;
         };
-        if gets_none {
-            self.waiting.push((leaves, ticket, cost));
+        if is_unserved {
+            self.waiting.push((leaves_at, ticket, cost));
             return false;
         }
         hub.grant_slots(now)
@@ -453,33 +462,34 @@
             .any(|(served, _)| *served == ticket)
     }
 
-    /// Whether a request is let in without the hub: by the gateway, or by a deputy that it reaches.
-    fn lets_in_alone(&mut self, place: usize, charge: &Charge) -> bool {
-        let (now, allowance) = (self.now, self.allowance);
-        if self.nodes[place].reserve.acquire(charge, &allowance, now) {
+    /// Whether a request is admitted without the hub: by the gateway, or by a standby that it reaches.
+    fn is_admitted_locally(&mut self, index: usize, charge: &Charge) -> bool {
+        let (now, quota) = (self.now, self.quota);
+        if self.nodes[index].limiter.acquire(charge, &quota, now) {
             return true;
         }
-        let from = usize::try_from(self.draw(self.nodes.len() as u64)).expect("few");
-        let (before, after) = self.nodes.split_at_mut(from);
-        let deputies = after.iter_mut().chain(before);
+        let start =
+            usize::try_from(self.random_below(self.nodes.len() as u64)).expect("fits in usize");
+        let (before, after) = self.nodes.split_at_mut(start);
+        let standbys = after.iter_mut().chain(before);
         let awake = |node: &&mut Node| !node.cut && node.suspended <= now;
-        let deputies = deputies.filter(|node| node.reserve.get_share(now) > 0.0);
-        let deputies = deputies.filter(awake);
-        let mut asked = deputies.take(ASKED);
-        asked.any(|deputy| deputy.reserve.acquire(charge, &allowance, now))
+        let standbys = standbys.filter(|node| node.limiter.get_share(now) > 0.0);
+        let standbys = standbys.filter(awake);
+        let mut candidates = standbys.take(MAX_STANDBYS_ASKED);
+        candidates.any(|standby| standby.limiter.acquire(charge, &quota, now))
     }
 
-    /// Whether no window had more than the hub and the gateways claim to let in.
-    pub(crate) fn is_kept(&self) -> bool {
-        let window = self.allowance.rate * TOLERANCE.window.as_secs_f64() + self.allowance.burst;
-        let bound = window + (window * TOLERANCE.ratio + TOLERANCE.slack) * CLAIMED;
+    /// Whether no window admitted more than the hub and the gateways allow.
+    pub(crate) fn is_within_bound(&self) -> bool {
+        let window = self.quota.rate * TOLERANCE.window.as_secs_f64() + self.quota.burst;
+        let bound = window + (window * TOLERANCE.ratio + TOLERANCE.slack) * ASSIGNED_TOLERANCE;
         #[allow(clippy::cast_precision_loss)]
-        let most = self.most as f64;
-        most <= bound
+        let max_admitted = self.max_admitted as f64;
+        max_admitted <= bound
     }
 }
 
-fn want(host: &id::Host, charge: Charge) -> SlotRequest {
+fn slot_request(host: &id::Host, charge: Charge) -> SlotRequest {
     SlotRequest {
         time_left: Duration::from_secs(10),
         charge: Some(charge),
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -1,14 +1,14 @@
-//! Seen the tests share.
+//! Simulations and builders that the tests share.
 
 #![allow(dead_code)]
 
-pub(crate) mod ending;
+pub(crate) mod backoff;
+pub(crate) mod crashes;
 pub(crate) mod gateways;
 pub(crate) mod history;
 pub(crate) mod incarnations;
-pub(crate) mod limited;
+pub(crate) mod limits;
 pub(crate) mod members;
 pub(crate) mod messages;
 pub(crate) mod replicas;
 pub(crate) mod requests;
-pub(crate) mod resting;
