--- a/crates/core/benches/decision.rs
+++ b/crates/core/benches/decision.rs
@@ -1,5 +1,5 @@
-//! Speed of one decision: an ask into a full queue and the grant of another, by servers and by
-//! what waits.
+//! Measures one scheduling decision: a request is added to a full queue and another one is granted, by number of
+//! servers and of queued requests.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -21,12 +21,14 @@
 use curlewlift_core::unit::Rate;
 use curlewlift_core::unit::Tokens;
 
-/// Customers, as in the size to design for.
+/// The number of customers of the deployment size that the design aims at.
 const CUSTOMERS: u64 = 470;
 
-/// Data halls and generations of hardware.
+/// The number of data halls.
 const HALLS: usize = 6;
-const PREFILL: [u64; 3] = [8_000, 4_000, 2_000];
+
+/// Prompt tokens per second of each hardware generation.
+const PREFILL_RATES: [u64; 3] = [8_000, 4_000, 2_000];
 
 struct Bench {
     queue: Queue,
@@ -37,12 +39,12 @@
     now: Instant,
 }
 
-fn spec(place: usize) -> Spec {
+fn server_spec(index: usize) -> Spec {
     Spec {
-        name: format!("m{place}").parse().expect("a name"),
-        hall: format!("h{}", place % HALLS).parse().expect("a name"),
+        name: format!("m{index}").parse().expect("a valid name"),
+        hall: format!("h{}", index % HALLS).parse().expect("a valid name"),
         slots: 16,
-        prefill: Rate(PREFILL[place % 3]),
+        prefill: Rate(PREFILL_RATES[index % 3]),
         decode: Rate(40),
     }
 }
@@ -50,35 +52,36 @@
 impl Bench {
     fn new(servers: usize, waiting: usize) -> Self {
         let mut fleet = Fleet::default();
-        fleet.set_servers((0..servers).map(spec).collect(), Instant::default());
-        let customers = (0..CUSTOMERS).map(|n| format!("u{n}").parse().expect("a name"));
+        fleet.set_servers((0..servers).map(server_spec).collect(), Instant::default());
+        let customers = (0..CUSTOMERS).map(|n| format!("u{n}").parse().expect("a valid name"));
         let mut bench = Self {
             queue: Queue::new(fleet, Tokens(u64::MAX)),
             customers: customers.collect(),
-            host: "e1".parse().expect("a name"),
+            host: "e1".parse().expect("a valid name"),
             number: 0,
             running: std::collections::VecDeque::new(),
             now: Instant::default(),
         };
         while bench.queue.waiting_count() < waiting {
-            bench.ask();
+            bench.submit();
         }
         bench
     }
 
-    fn ask(&mut self) {
+    fn submit(&mut self) {
         self.number += 1;
-        let far = self.now + Duration::from_secs(100_000) + Duration::from_micros(self.number);
-        let place = usize::try_from(self.number % CUSTOMERS).expect("small");
-        let ask = Request {
+        let far_deadline =
+            self.now + Duration::from_secs(100_000) + Duration::from_micros(self.number);
+        let index = usize::try_from(self.number % CUSTOMERS).expect("fits");
+        let request = Request {
             ticket: Ticket {
                 host: self.host.clone(),
                 number: id::Ticket(self.number),
             },
-            customer: self.customers[place].clone(),
+            customer: self.customers[index].clone(),
             weight: 1,
             max_waiting: u32::MAX,
-            rank: u8::try_from(self.number % 4).expect("small"),
+            rank: u8::try_from(self.number % 4).expect("fits"),
             prompt: Tokens(200 + self.number % 500),
             max_output: Tokens(200),
             prefixes: vec![Prefix {
@@ -86,14 +89,14 @@
                 length: Tokens(100),
             }],
             attempt: 0,
-            first_token_deadline: far,
-            deadline: far,
+            first_token_deadline: far_deadline,
+            deadline: far_deadline,
         };
-        self.queue.submit(ask, self.now);
-        self.take();
+        self.queue.submit(request, self.now);
+        self.take_grants();
     }
 
-    fn take(&mut self) {
+    fn take_grants(&mut self) {
         for action in self.queue.take_actions() {
             if let Action::Grant { ticket, .. } = action {
                 self.running.push_back(ticket);
@@ -101,10 +104,10 @@
         }
     }
 
-    /// One ask, and the life of one that runs: three events and one choice.
-    fn turn(&mut self) {
+    /// Submits a request and finishes a running one: three events and one choice of a server.
+    fn run_request(&mut self) {
         self.now = self.now + Duration::from_micros(260);
-        self.ask();
+        self.submit();
         let Some(ticket) = self.running.pop_front() else {
             return;
         };
@@ -118,7 +121,7 @@
             },
             self.now,
         );
-        self.take();
+        self.take_grants();
     }
 }
 
@@ -128,7 +131,7 @@
         for waiting in [10, 1_000, 100_000] {
             let mut bench = Bench::new(servers, waiting);
             let name = BenchmarkId::new(format!("{servers} servers"), waiting);
-            group.bench_function(name, |b| b.iter(|| black_box(&mut bench).turn()));
+            group.bench_function(name, |b| b.iter(|| black_box(&mut bench).run_request()));
         }
     }
     group.finish();
--- a/crates/core/benches/places.rs
+++ b/crates/core/benches/places.rs
@@ -1,5 +1,5 @@
-//! Speed of a hub's turn: a request that asks for a place, a gateway's report that another has ended, and
-//! the places that are given, with all servers full and 400 requests waiting.
+//! Measures the work of a hub per request: a slot request, a gateway's report that another request has ended, and the
+//! slots granted, with all servers full and 400 requests queued.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -30,62 +30,62 @@
 
 const GATEWAYS: usize = 300;
 
-const WAITING: usize = 400;
+const QUEUED_REQUESTS: usize = 400;
 
-const SLOTS: u32 = 2;
+const SLOTS_PER_SERVER: u32 = 2;
 
 struct Fleet {
     hub: Hub,
     hosts: Vec<id::Host>,
-    /// What each gateway has in flight.
+    /// Requests in flight of each gateway, by server.
     in_flight: Vec<BTreeMap<Arc<str>, u32>>,
-    marks: Vec<GrantId>,
-    /// Whose request waits.
+    last_grants: Vec<GrantId>,
+    /// The gateway of each queued request.
     waiting: HashMap<Ticket, usize>,
     running: VecDeque<(usize, Arc<str>)>,
-    asked: usize,
+    request_count: usize,
     now: Instant,
 }
 
 impl Fleet {
     fn new(servers: usize) -> Self {
-        let listing = ServerList::new((0..servers).map(server).collect());
+        let server_list = ServerList::new((0..servers).map(server).collect());
         let now = Instant::default();
         let mut hub = Hub::new(Tuning::default(), now).with_id(7);
-        hub.set_server_list(Arc::new(listing));
-        let hosts = (0..GATEWAYS).map(|place| format!("g{place}").parse().expect("a name"));
+        hub.set_server_list(Arc::new(server_list));
+        let hosts = (0..GATEWAYS).map(|index| format!("g{index}").parse().expect("a valid name"));
         let mut fleet = Self {
             hub,
             hosts: hosts.collect(),
             in_flight: vec![BTreeMap::new(); GATEWAYS],
-            marks: vec![GrantId::default(); GATEWAYS],
+            last_grants: vec![GrantId::default(); GATEWAYS],
             waiting: HashMap::new(),
             running: VecDeque::new(),
-            asked: 0,
+            request_count: 0,
             now,
         };
-        let room = servers * (SLOTS as usize + 1);
-        for number in 0..room + WAITING {
-            fleet.ask();
-            if number % 300 == 0 || number + WAITING > room {
-                fleet.serve();
+        let capacity = servers * (SLOTS_PER_SERVER as usize + 1);
+        for number in 0..capacity + QUEUED_REQUESTS {
+            fleet.request_slot();
+            if number % 300 == 0 || number + QUEUED_REQUESTS > capacity {
+                fleet.grant_slots();
             }
         }
-        for place in 0..GATEWAYS {
-            fleet.report(place);
+        for index in 0..GATEWAYS {
+            fleet.report(index);
         }
         fleet
     }
 
-    fn ask(&mut self) {
-        self.asked += 1;
-        let place = self.asked % GATEWAYS;
-        let want = SlotRequest {
-            host: self.hosts[place].clone(),
+    fn request_slot(&mut self) {
+        self.request_count += 1;
+        let index = self.request_count % GATEWAYS;
+        let slot_request = SlotRequest {
+            host: self.hosts[index].clone(),
             hall: "a".into(),
             rule: None,
-            service: "chat".parse().expect("a name"),
-            rank: u8::try_from(self.asked % 4).expect("small").into(),
+            service: "chat".parse().expect("a valid name"),
+            rank: u8::try_from(self.request_count % 4).expect("fits").into(),
             waited: Duration::ZERO,
             useful_for: Duration::from_secs(100_000),
             wait_limit: Duration::from_secs(100_000),
@@ -100,37 +100,38 @@
             backing_off: Vec::new(),
             allowed_halls: None,
         };
-        let SlotDecision::Queued(ticket, last) = self.hub.request_slot(want, self.now) else {
-            panic!("no place in line");
+        let SlotDecision::Queued(ticket, replaced) = self.hub.request_slot(slot_request, self.now)
+        else {
+            panic!("the slot request is not queued");
         };
-        self.waiting.insert(ticket, place);
-        if let Some(last) = last {
-            self.waiting.remove(&last);
+        self.waiting.insert(ticket, index);
+        if let Some(replaced) = replaced {
+            self.waiting.remove(&replaced);
         }
     }
 
-    fn serve(&mut self) {
+    fn grant_slots(&mut self) {
         for (ticket, grant) in self.hub.grant_slots(self.now) {
-            let place = self.waiting.remove(&ticket).expect("it waits");
+            let index = self.waiting.remove(&ticket).expect("the request is queued");
             let incarnation = grant.server.incarnation;
-            *self.in_flight[place]
+            *self.in_flight[index]
                 .entry(Arc::clone(&incarnation))
                 .or_default() += 1;
-            self.marks[place] = grant.id;
-            self.running.push_back((place, incarnation));
+            self.last_grants[index] = grant.id;
+            self.running.push_back((index, incarnation));
         }
     }
 
-    fn report(&mut self, place: usize) {
-        let loads = self.in_flight[place].iter();
+    fn report(&mut self, index: usize) {
+        let loads = self.in_flight[index].iter();
         let loads = loads.map(|(incarnation, requests)| Load {
             incarnation: Arc::clone(incarnation),
             requests: *requests,
             prefill_tokens: Tokens(0),
         });
         let report = Report {
-            host: self.hosts[place].clone(),
-            last_grant: self.marks[place],
+            host: self.hosts[index].clone(),
+            last_grant: self.last_grants[index],
             loads: loads.collect(),
             ended: Vec::new(),
             observations: Vec::new(),
@@ -139,49 +140,49 @@
         self.hub.report(&report, self.now);
     }
 
-    /// One request comes, and one ends.
-    fn turn(&mut self) {
+    /// A request arrives, and another one ends.
+    fn run_request(&mut self) {
         self.now = self.now + Duration::from_micros(260);
-        self.ask();
-        self.serve();
+        self.request_slot();
+        self.grant_slots();
         black_box(self.hub.reject_doomed(self.now));
-        let Some((place, incarnation)) = self.running.pop_front() else {
+        let Some((index, incarnation)) = self.running.pop_front() else {
             return;
         };
-        if let Some(requests) = self.in_flight[place].get_mut(&incarnation) {
+        if let Some(requests) = self.in_flight[index].get_mut(&incarnation) {
             *requests -= 1;
         }
-        self.in_flight[place].retain(|_, requests| *requests > 0);
-        self.report(place);
-        self.serve();
+        self.in_flight[index].retain(|_, requests| *requests > 0);
+        self.report(index);
+        self.grant_slots();
         black_box(self.hub.reject_doomed(self.now));
     }
 }
 
-fn server(place: usize) -> Server {
+fn server(index: usize) -> Server {
     Server {
-        incarnation: format!("i-{place:010}").into(),
-        name: format!("i-{place:010}").into(),
+        incarnation: format!("i-{index:010}").into(),
+        name: format!("i-{index:010}").into(),
         started_ms: 0,
-        version: "v1".parse().expect("a version"),
-        service: "chat".parse().expect("a name"),
-        address: "127.0.0.1:1".parse().expect("an address"),
+        version: "v1".parse().expect("a valid version"),
+        service: "chat".parse().expect("a valid name"),
+        address: "127.0.0.1:1".parse().expect("a valid address"),
         hall: "a".into(),
-        slots: SLOTS,
+        slots: SLOTS_PER_SERVER,
         leaving: false,
         cold: false,
     }
 }
 
-fn turns(c: &mut Criterion) {
+fn slot_grants(c: &mut Criterion) {
     let mut group = c.benchmark_group("place");
     for servers in [100, 1_000, 3_000, 10_000] {
         let mut fleet = Fleet::new(servers);
         let name = BenchmarkId::from_parameter(servers);
-        group.bench_function(name, |b| b.iter(|| fleet.turn()));
+        group.bench_function(name, |b| b.iter(|| fleet.run_request()));
     }
     group.finish();
 }
 
-criterion_group!(benches, turns);
+criterion_group!(benches, slot_grants);
 criterion_main!(benches);
