--- a/crates/curlewlift/tests/bad_input.rs
+++ b/crates/curlewlift/tests/bad_input.rs
@@ -5,14 +5,14 @@
 use axum::http::Method;
 use curlewlift_lab::client::Client;
 
-use support::Small;
+use support::SmallSystem;
 
 /// Method, path, headers, body, and the code that must come.
 type Case<'a> = (Method, &'a str, Vec<(&'a str, &'a str)>, &'a str, &'a str);
 
 #[test]
 fn numbered_refusals() {
-    let small = Small::start("numbered_refusals", 1, 1, 1);
+    let small = SmallSystem::start("numbered_refusals", 1, 1, 1);
     let entry = small.site.entry(0);
     let chat = "/v1/chat/completions";
     let good = Client::chat("m", "hi", 1, false);
--- a/crates/curlewlift/tests/broken_answers.rs
+++ b/crates/curlewlift/tests/broken_answers.rs
@@ -6,11 +6,11 @@
 use curlewlift_lab::client::Client;
 use curlewlift_lab::standin::Faults;
 
-use support::Small;
+use support::SmallSystem;
 
 #[test]
 fn broken_stream() {
-    let small = Small::start("broken_stream", 1, 1, 1);
+    let small = SmallSystem::start("broken_stream", 1, 1, 1);
     small.engines[0].set_faults(Faults {
         break_after: Some(300),
         ..Faults::default()
@@ -26,12 +26,12 @@
         reply.body
     );
     assert!(reply.body.ends_with("code=0 outcome=run\n\n"));
-    assert_eq!(small.most_runs(), 1);
+    assert_eq!(small.max_runs(), 1);
 }
 
 #[test]
 fn lost_stream() {
-    let small = Small::start("lost_stream", 1, 1, 1);
+    let small = SmallSystem::start("lost_stream", 1, 1, 1);
     small.engines[0].set_faults(Faults {
         break_after: Some(300),
         lose: true,
@@ -48,7 +48,7 @@
 
 #[test]
 fn short_answer() {
-    let small = Small::start("short_answer", 1, 1, 1);
+    let small = SmallSystem::start("short_answer", 1, 1, 1);
     small.engines[0].set_faults(Faults {
         short: true,
         ..Faults::default()
@@ -68,7 +68,7 @@
 
 #[test]
 fn refusing_server() {
-    let small = Small::start("refusing_server", 1, 1, 2);
+    let small = SmallSystem::start("refusing_server", 1, 1, 2);
     small.engines[0].set_faults(Faults {
         refuse: true,
         ..Faults::default()
@@ -95,7 +95,7 @@
 
 #[test]
 fn own_answers() {
-    let small = Small::start("own_answers", 1, 2, 1);
+    let small = SmallSystem::start("own_answers", 1, 2, 1);
     let ask = |number: u64| {
         let ann = small.ann.clone();
         let to = small.site.entry(usize::from(number.is_multiple_of(2)));
@@ -115,7 +115,7 @@
 
 #[test]
 fn refused_connection() {
-    let mut small = Small::start("refused_connection", 1, 1, 1);
+    let mut small = SmallSystem::start("refused_connection", 1, 1, 1);
     // A port that was free a moment ago, and where nobody listens.
     let free = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = free.local_addr().expect("an address");
--- a/crates/curlewlift/tests/dead_entry.rs
+++ b/crates/curlewlift/tests/dead_entry.rs
@@ -6,13 +6,13 @@
 
 use axum::http::Method;
 
-use support::Small;
+use support::SmallSystem;
 
 const PATH: &str = "/services/pay/charge";
 
 #[test]
 fn charge_once() {
-    let mut small = Small::start("charge_once", 1, 4, 1);
+    let mut small = SmallSystem::start("charge_once", 1, 4, 1);
     small.plain.set_delay(Duration::from_secs(2));
     let headers = [("idempotency-key", "c1")];
     let (ann, to) = (small.ann.clone(), small.site.entry(0));
@@ -48,7 +48,7 @@
 
 #[test]
 fn others_go_on() {
-    let mut small = Small::start("others_go_on", 1, 4, 2);
+    let mut small = SmallSystem::start("others_go_on", 1, 4, 2);
     small.site.kill_entry(3);
     let body = curlewlift_lab::client::Client::chat("m", "hello", 3, false);
     for entry in 0..3 {
@@ -61,7 +61,7 @@
 
 #[test]
 fn copies_gone() {
-    let mut small = Small::start("copies_gone", 1, 4, 1);
+    let mut small = SmallSystem::start("copies_gone", 1, 4, 1);
     let headers = [("idempotency-key", "c2")];
     let first = small
         .ann
--- a/crates/curlewlift/tests/golden_sessions.rs
+++ b/crates/curlewlift/tests/golden_sessions.rs
@@ -11,7 +11,7 @@
 use curlewlift_lab::client::Client;
 use curlewlift_lab::site::Site;
 
-use support::Small;
+use support::SmallSystem;
 use support::folder;
 use support::golden::Session;
 
@@ -19,69 +19,69 @@
 
 #[test]
 fn streamed_chat() {
-    let small = Small::start("streamed_chat", 1, 1, 1);
+    let small = SmallSystem::start("streamed_chat", 1, 1, 1);
     let mut session = Session::default();
     let body = Client::chat("m", "hello", 3, true);
-    session.did(&format!("POST /v1/chat/completions {body}"));
+    session.record_action(&format!("POST /v1/chat/completions {body}"));
     let headers = [(KEY, "k1")];
     let reply = small.ann.post(small.site.entry(0), &headers, body);
-    session.got(&small.runtime.block_on(reply));
+    session.record_response(&small.runtime.block_on(reply));
     session.check("streamed_chat");
 }
 
 #[test]
 fn plain_call() {
-    let small = Small::start("plain_call", 1, 1, 1);
+    let small = SmallSystem::start("plain_call", 1, 1, 1);
     let mut session = Session::default();
-    session.did("POST /services/pay/charge?room=7 120 EUR");
+    session.record_action("POST /services/pay/charge?room=7 120 EUR");
     let path = "/services/pay/charge?room=7";
     let to = small.site.entry(0);
     let reply = small
         .ann
         .send(to, Method::POST, path, &[(KEY, "c1")], "120 EUR");
-    session.got(&small.runtime.block_on(reply));
+    session.record_response(&small.runtime.block_on(reply));
     session.check("plain_call");
 }
 
 #[test]
 fn resend_elsewhere() {
-    let small = Small::start("golden_resend", 1, 3, 1);
+    let small = SmallSystem::start("golden_resend", 1, 3, 1);
     let mut session = Session::default();
     for (entry, prompt) in [(0, "hello"), (1, "hello"), (2, "other")] {
         let body = Client::chat("m", prompt, 2, false);
-        session.did(&format!(
+        session.record_action(&format!(
             "entry {}: POST /v1/chat/completions {body}",
             entry + 1
         ));
         let reply = small
             .ann
             .post(small.site.entry(entry), &[(KEY, "k1")], body);
-        session.got(&small.runtime.block_on(reply));
+        session.record_response(&small.runtime.block_on(reply));
     }
-    session.did("entry 2: GET /curlewlift/requests/k1");
+    session.record_action("entry 2: GET /curlewlift/requests/k1");
     let path = "/curlewlift/requests/k1";
     let state = small
         .ann
         .send(small.site.entry(1), Method::GET, path, &[], "");
-    session.got(&small.runtime.block_on(state));
+    session.record_response(&small.runtime.block_on(state));
     session.check("resend_elsewhere");
 }
 
 #[test]
 fn refused_request() {
-    let small = Small::start("refused_request", 1, 1, 1);
+    let small = SmallSystem::start("refused_request", 1, 1, 1);
     let mut session = Session::default();
     let body = Client::chat("m", "hello", 1_000, false);
-    session.did(&format!("POST /v1/chat/completions in 100 ms {body}"));
+    session.record_action(&format!("POST /v1/chat/completions in 100 ms {body}"));
     let headers = [(KEY, "k1"), ("curlewlift-deadline-ms", "100")];
     let reply = small.ann.post(small.site.entry(0), &headers, body);
-    session.got(&small.runtime.block_on(reply));
+    session.record_response(&small.runtime.block_on(reply));
     session.check("refused_request");
 }
 
 #[test]
 fn drained_servers() {
-    let mut small = Small::start("drained_servers", 1, 1, 2);
+    let mut small = SmallSystem::start("drained_servers", 1, 1, 2);
     let mut session = Session::default();
     for line in [
         "change service chat floor=1",
@@ -90,11 +90,11 @@
         "drain server m2",
         "show servers where service = chat columns name, state, slots",
     ] {
-        session.did(line);
+        session.record_action(line);
         let number = small.site.next_number();
         match small.site.operator().run(number, line) {
-            Ok(text) => session.said(&text),
-            Err(why) => session.said(&why.to_string()),
+            Ok(text) => session.record_lines(&text),
+            Err(why) => session.record_lines(&why.to_string()),
         }
     }
     small.site.wait_in_force();
@@ -108,7 +108,7 @@
         .iter()
         .map(|engine| engine.tally().runs.len())
         .collect();
-    session.said(&format!("requests run at m1 and m2 after that: {runs:?}"));
+    session.record_lines(&format!("requests run at m1 and m2 after that: {runs:?}"));
     session.check("drained_servers");
 }
 
@@ -160,7 +160,7 @@
             .iter()
             .map(|(name, value)| format!("{name}={value} "))
             .collect();
-        session.did(&format!(
+        session.record_action(&format!(
             "{}curlewlift {}",
             shown.concat(),
             arguments.join(" ")
@@ -171,8 +171,8 @@
             .envs(variables)
             .output()
             .expect("it runs");
-        session.said(&String::from_utf8_lossy(&output.stderr));
-        session.said(&format!("exit code {}", output.status.code().unwrap_or(-1)));
+        session.record_lines(&String::from_utf8_lossy(&output.stderr));
+        session.record_lines(&format!("exit code {}", output.status.code().unwrap_or(-1)));
     }
     session.check("bad_setting");
 }
@@ -191,10 +191,10 @@
     let eve = Operator::new("eve".parse().expect("a name"), "eve-key", control);
     let mut session = Session::default();
     let mut give = |name: &str, operator: &Operator, number: u64, line: &str| {
-        session.did(&format!("{name} {number}: {line}"));
+        session.record_action(&format!("{name} {number}: {line}"));
         match operator.run(number, line) {
-            Ok(text) => session.said(&text),
-            Err(why) => session.said(&why.to_string()),
+            Ok(text) => session.record_lines(&text),
+            Err(why) => session.record_lines(&why.to_string()),
         }
     };
     give("root", &ann, 100, "create tier live rank=0");
@@ -225,7 +225,7 @@
 
 #[test]
 fn one_story() {
-    let small = Small::start("one_story", 1, 3, 1);
+    let small = SmallSystem::start("one_story", 1, 3, 1);
     let body = Client::chat("m", "hello", 3, true);
     let reply = small.ann.post(small.site.entry(0), &[(KEY, "k1")], body);
     assert_eq!(small.runtime.block_on(reply).status, 200);
--- a/crates/curlewlift/tests/planned_stop.rs
+++ b/crates/curlewlift/tests/planned_stop.rs
@@ -7,11 +7,11 @@
 use axum::http::Method;
 use curlewlift_lab::client::Client;
 
-use support::Small;
+use support::SmallSystem;
 
 #[test]
 fn serves_on() {
-    let mut small = Small::start("serves_on", 1, 4, 2);
+    let mut small = SmallSystem::start("serves_on", 1, 4, 2);
     let to = small.site.entry(0);
     let ann = small.ann.clone();
     let long = small.runtime.spawn(async move {
@@ -33,7 +33,7 @@
 
 #[test]
 fn leaves_answers() {
-    let mut small = Small::start("leaves_answers", 1, 4, 1);
+    let mut small = SmallSystem::start("leaves_answers", 1, 4, 1);
     let gone = small.site.entry(0).to_string();
     small.site.run("stop host e1");
     small.site.wait_for_view_of(&[1, 2, 3], 3);
--- a/crates/curlewlift/tests/platform/client.rs
+++ b/crates/curlewlift/tests/platform/client.rs
@@ -1,4 +1,4 @@
-//! A caller that writes and reads plain bytes.
+//! A caller that writes and reads plain HTTP over TCP.
 
 use std::io::Read;
 use std::io::Write;
@@ -6,18 +6,18 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// What came back.
+/// A response.
 #[derive(Debug, Default)]
 pub(crate) struct Answer {
     pub status: u16,
     pub head: String,
     pub body: String,
-    /// Whether the body came to its end.
+    /// Whether the body is complete.
     pub whole: bool,
 }
 
 impl Answer {
-    /// The value of a header.
+    /// Returns the value of a header.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().find_map(|line| {
             let (key, value) = line.split_once(':')?;
@@ -26,16 +26,20 @@
     }
 }
 
-/// Sends one request over a connection of its own, and reads the answer.
-pub(crate) fn ask(address: SocketAddr, head: &str, body: &str) -> Answer {
-    let mut stream = TcpStream::connect(address).expect("a connection");
-    let patience = Some(Duration::from_secs(20));
-    stream.set_read_timeout(patience).expect("a time-out");
+/// Sends one request over a new connection, and reads the response.
+pub(crate) fn send_request(address: SocketAddr, head: &str, body: &str) -> Answer {
+    let mut stream = TcpStream::connect(address).expect("the connection is accepted");
+    let timeout = Some(Duration::from_secs(20));
+    stream
+        .set_read_timeout(timeout)
+        .expect("the timeout is valid");
     let length = body.len();
     let request = format!("{head}\r\nContent-Length: {length}\r\nConnection: close\r\n\r\n{body}");
-    stream.write_all(request.as_bytes()).expect("written");
+    stream
+        .write_all(request.as_bytes())
+        .expect("the request is sent");
     let mut bytes = Vec::new();
-    // A connection that is reset ends the answer too; what came before counts.
+    // A reset connection ends the response too; the bytes before the reset are used.
     let _ = stream.read_to_end(&mut bytes);
     read(&bytes)
 }
@@ -63,21 +67,21 @@
     answer
 }
 
-/// The chunks of a body put together, and whether its end was there.
+/// Joins the chunks of a body; also says whether its end was received.
 fn chunks(mut rest: &str) -> (String, bool) {
     let mut body = String::new();
-    while let Some((length, after)) = rest.split_once("\r\n") {
+    while let Some((length, tail)) = rest.split_once("\r\n") {
         let Ok(length) = usize::from_str_radix(length, 16) else {
             break;
         };
         if length == 0 {
             return (body, true);
         }
-        let Some(chunk) = after.get(..length) else {
+        let Some(chunk) = tail.get(..length) else {
             break;
         };
         body.push_str(chunk);
-        rest = after.get(length + 2..).unwrap_or_default();
+        rest = tail.get(length + 2..).unwrap_or_default();
     }
     (body, false)
 }
--- a/crates/curlewlift/tests/platform/document.rs
+++ b/crates/curlewlift/tests/platform/document.rs
@@ -1,9 +1,9 @@
-//! A configuration as operators send it.
+//! A configuration document as operators send it.
 
 use serde_json::Value;
 use serde_json::json;
 
-/// Routes of each kind to the service `chat`, one to `pay`, two customers.
+/// Returns a document with routes of each kind to the service `chat`, and two customers.
 pub(crate) fn document(version: u64) -> Value {
     let route = |name: &str, kind: &str, resumable: bool, attempts: u8| {
         json!({
--- a/crates/curlewlift/tests/platform/engine.rs
+++ b/crates/curlewlift/tests/platform/engine.rs
@@ -1,4 +1,4 @@
-//! An engine that does what the request's `X-Play` header says.
+//! A stand-in for an engine that behaves as the `X-Play` header of the request says.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -17,28 +17,28 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// How long an engine is down that a request has ended.
-const DOWN: Duration = Duration::from_millis(300);
+/// How long an engine stays down after a crash.
+const CRASH_DOWNTIME: Duration = Duration::from_millis(300);
 
-/// After how long one closes a connection that is to be closed late.
-const LATE: Duration = Duration::from_millis(800);
+/// After how long `close-late` closes the connection.
+const LATE_CLOSE_DELAY: Duration = Duration::from_millis(800);
 
-/// How long after an engine has asked for rest or named a limit what was under way may still come.
-const UNDER_WAY: Duration = Duration::from_millis(500);
+/// How long requests that were in flight when an engine asked for backoff or announced a limit may still arrive.
+const IN_FLIGHT_GRACE: Duration = Duration::from_millis(500);
 
-/// How long after an engine has first named a limit all hosts are to have heard of it.
-const HEARD_OF: Duration = Duration::from_secs(3);
+/// How long after an engine first announced a limit all hosts must know it.
+const LIMIT_GRACE: Duration = Duration::from_secs(3);
 
-/// A request as it came.
+/// A request as the engine received it.
 #[derive(Clone, Debug)]
-pub(crate) struct Came {
+pub(crate) struct ReceivedRequest {
     pub at: Instant,
     /// The request line and the headers, in lower case but for the values.
     pub head: String,
     pub body: String,
 }
 
-impl Came {
+impl ReceivedRequest {
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().find_map(|line| {
             let (key, value) = line.split_once(':')?;
@@ -46,15 +46,15 @@
         })
     }
 
-    /// The host that sent it, by the part of its name before the first hyphen.
+    /// The host that sent it: the part of the attempt id before the first hyphen.
     pub(crate) fn host(&self) -> &str {
         let id = self.header("x-attempt-id").unwrap_or_default();
         id.split('-').next().unwrap_or_default()
     }
 }
 
-/// A time of rest that an engine has asked a host for.
-struct Rest {
+/// A backoff period that an engine has asked a host for.
+struct BackoffPeriod {
     host: String,
     from: Instant,
     length: Duration,
@@ -65,47 +65,47 @@
 pub(crate) struct Engine {
     pub id: String,
     pub address: SocketAddr,
-    came: Arc<Mutex<Vec<Came>>>,
-    left: Arc<Mutex<u32>>,
-    /// What it does with every request, whatever that says.
-    always: Option<&'static str>,
-    /// How often a request has ended it.
-    ended: Arc<AtomicU64>,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
+    abandoned: Arc<Mutex<u32>>,
+    /// How it handles every request, whatever the `X-Play` header says; none if it follows the header.
+    fixed_behavior: Option<&'static str>,
+    /// How often a request has crashed it.
+    crashes: Arc<AtomicU64>,
     /// Until when it is down.
-    down: Arc<Mutex<Option<Instant>>>,
-    /// What it is at work on.
-    open: Arc<Mutex<BTreeMap<u64, TcpStream>>>,
-    /// With what time of rest it turns everything away; none where it serves.
-    asks_for: Arc<Mutex<Option<String>>>,
-    rests: Arc<Mutex<Vec<Rest>>>,
-    /// Whether it says in its answers that it leaves.
-    leaves: Arc<AtomicBool>,
-    /// How many requests a second it names in its answers.
+    down_until: Arc<Mutex<Option<Instant>>>,
+    /// Connections with a request in progress.
+    connections: Arc<Mutex<BTreeMap<u64, TcpStream>>>,
+    /// The backoff that it asks for while it rejects all requests; none while it serves.
+    backoff: Arc<Mutex<Option<String>>>,
+    backoff_periods: Arc<Mutex<Vec<BackoffPeriod>>>,
+    /// Whether it says in its responses that it is draining.
+    draining: Arc<AtomicBool>,
+    /// The limit that it announces in its responses, in requests per second.
     limit: Arc<Mutex<Option<String>>>,
-    /// When it first named a limit, and when it first did so to each host.
-    named: Arc<Mutex<Named>>,
+    /// When it first announced its limit, in all and to each host.
+    announcements: Arc<Mutex<LimitAnnouncements>>,
 }
 
-/// To whom an engine has named a limit.
+/// When an engine first announced its limit, in all and to each host.
 #[derive(Clone, Debug, Default)]
-struct Named {
-    first: Option<Instant>,
+struct LimitAnnouncements {
+    first_at: Option<Instant>,
     by_host: BTreeMap<String, Instant>,
 }
 
-/// A connection that the engine is at work on; closed for good when this is dropped.
-struct Open {
+/// A connection with a request in progress; removed from the engine when dropped.
+struct Connection {
     engine: Engine,
     number: u64,
 }
 
-impl Open {
+impl Connection {
     fn new(engine: &Engine, stream: &TcpStream) -> Self {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
-        let stream = stream.try_clone().expect("a handle");
-        let mut open = engine.open.lock().expect("a lock");
-        open.insert(number, stream);
+        let stream = stream.try_clone().expect("the stream can be cloned");
+        let mut connections = engine.connections.lock().expect("the lock is not poisoned");
+        connections.insert(number, stream);
         Self {
             engine: engine.clone(),
             number,
@@ -113,10 +113,14 @@
     }
 }
 
-impl Drop for Open {
+impl Drop for Connection {
     fn drop(&mut self) {
-        let mut open = self.engine.open.lock().expect("a lock");
-        open.remove(&self.number);
+        let mut connections = self
+            .engine
+            .connections
+            .lock()
+            .expect("the lock is not poisoned");
+        connections.remove(&self.number);
     }
 }
 
@@ -125,27 +129,27 @@
         Self::start_with(id, None)
     }
 
-    /// An engine that does the same with every request.
-    pub(crate) fn start_always(id: &str, play: &'static str) -> Self {
-        Self::start_with(id, Some(play))
+    /// Starts an engine that handles every request in the same way.
+    pub(crate) fn start_always(id: &str, behavior: &'static str) -> Self {
+        Self::start_with(id, Some(behavior))
     }
 
-    fn start_with(id: &str, always: Option<&'static str>) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    fn start_with(id: &str, fixed_behavior: Option<&'static str>) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let engine = Self {
             id: id.to_owned(),
-            address: listener.local_addr().expect("an address"),
-            came: Arc::default(),
-            left: Arc::default(),
-            always,
-            ended: Arc::default(),
-            down: Arc::default(),
-            open: Arc::default(),
-            asks_for: Arc::default(),
-            rests: Arc::default(),
-            leaves: Arc::default(),
+            address: listener.local_addr().expect("the listener has an address"),
+            received: Arc::default(),
+            abandoned: Arc::default(),
+            fixed_behavior,
+            crashes: Arc::default(),
+            down_until: Arc::default(),
+            connections: Arc::default(),
+            backoff: Arc::default(),
+            backoff_periods: Arc::default(),
+            draining: Arc::default(),
             limit: Arc::default(),
-            named: Arc::default(),
+            announcements: Arc::default(),
         };
         let serving = engine.clone();
         std::thread::spawn(move || {
@@ -157,194 +161,244 @@
         engine
     }
 
-    /// What came so far.
-    pub(crate) fn came(&self) -> Vec<Came> {
-        self.came.lock().expect("a lock").clone()
+    /// Returns the requests received so far.
+    pub(crate) fn received(&self) -> Vec<ReceivedRequest> {
+        self.received
+            .lock()
+            .expect("the lock is not poisoned")
+            .clone()
     }
 
-    /// From now on it turns everything away and asks for that time of rest; with none it serves.
-    pub(crate) fn ask_for_rest(&self, time: Option<&str>) {
-        *self.asks_for.lock().expect("a lock") = time.map(ToOwned::to_owned);
+    /// Makes it reject all requests and ask for that backoff, in seconds; with none it serves.
+    pub(crate) fn set_backoff(&self, time: Option<&str>) {
+        *self.backoff.lock().expect("the lock is not poisoned") = time.map(ToOwned::to_owned);
     }
 
-    /// From now on it says in its answers that it leaves.
-    pub(crate) fn leave(&self) {
-        self.leaves.store(true, Ordering::SeqCst);
+    /// Makes it say in its responses that it is draining.
+    pub(crate) fn start_draining(&self) {
+        self.draining.store(true, Ordering::SeqCst);
     }
 
-    /// How many hosts it has asked for rest so far.
-    pub(crate) fn rested_from(&self) -> usize {
-        let rests = self.rests.lock().expect("a lock");
-        let hosts: BTreeSet<_> = rests.iter().map(|rest| &rest.host).collect();
+    /// Returns how many hosts it has asked for backoff.
+    pub(crate) fn count_backoff_hosts(&self) -> usize {
+        let backoff_periods = self
+            .backoff_periods
+            .lock()
+            .expect("the lock is not poisoned");
+        let hosts: BTreeSet<_> = backoff_periods.iter().map(|period| &period.host).collect();
         hosts.len()
     }
 
-    /// The most requests that came from a host in a time of rest that it was asked for, but for what was under
-    /// way.
-    pub(crate) fn disturbed(&self) -> usize {
-        let came = self.came();
-        let rests = self.rests.lock().expect("a lock");
-        let within = |rest: &Rest| {
-            let span = rest.from + UNDER_WAY..rest.from + rest.length;
-            let within = came.iter().filter(|came| span.contains(&came.at));
-            within.filter(|came| came.host() == rest.host).count()
+    /// Returns the maximum number of requests that a host sent within a backoff period, except those in flight at its
+    /// start.
+    pub(crate) fn max_in_backoff(&self) -> usize {
+        let requests = self.received();
+        let backoff_periods = self
+            .backoff_periods
+            .lock()
+            .expect("the lock is not poisoned");
+        let within = |period: &BackoffPeriod| {
+            let span = period.from + IN_FLIGHT_GRACE..period.from + period.length;
+            let within = requests.iter().filter(|request| span.contains(&request.at));
+            within
+                .filter(|request| request.host() == period.host)
+                .count()
         };
-        rests.iter().map(within).max().unwrap_or(0)
+        backoff_periods.iter().map(within).max().unwrap_or(0)
     }
 
-    /// From now on it names a limit in its answers, in requests a second; with none it names none.
-    pub(crate) fn name_limit(&self, limit: Option<&str>) {
-        *self.limit.lock().expect("a lock") = limit.map(ToOwned::to_owned);
-        *self.named.lock().expect("a lock") = Named::default();
+    /// Makes it announce a limit in its responses, in requests per second; with none it announces none.
+    pub(crate) fn set_limit(&self, limit: Option<&str>) {
+        *self.limit.lock().expect("the lock is not poisoned") = limit.map(ToOwned::to_owned);
+        *self.announcements.lock().expect("the lock is not poisoned") =
+            LimitAnnouncements::default();
     }
 
-    /// How many hosts it has named its limit to.
-    pub(crate) fn named_to(&self) -> usize {
-        self.named.lock().expect("a lock").by_host.len()
+    /// Returns how many hosts it has announced its limit to.
+    pub(crate) fn count_limit_hosts(&self) -> usize {
+        self.announcements
+            .lock()
+            .expect("the lock is not poisoned")
+            .by_host
+            .len()
     }
 
-    /// The most requests that came within `window` from hosts that it had named its limit to, but for what was under
-    /// way; from the time on at which all hosts are to have heard of it.
-    pub(crate) fn most_of_told(&self, window: Duration) -> usize {
-        let named = self.named.lock().expect("a lock").clone();
-        let Some(first) = named.first else {
+    /// Returns the maximum number of requests within `window` from hosts that it had announced its limit to, except
+    /// those in flight; counted from the time at which all hosts must know the limit.
+    pub(crate) fn max_from_informed(&self, window: Duration) -> usize {
+        let announcements = self
+            .announcements
+            .lock()
+            .expect("the lock is not poisoned")
+            .clone();
+        let Some(first_at) = announcements.first_at else {
             return 0;
         };
-        let came = self.came();
-        let was_told = |came: &&Came| {
-            let told = named.by_host.get(came.host());
-            told.is_some_and(|told| came.at >= *told + UNDER_WAY)
+        let requests = self.received();
+        let from_informed = |request: &&ReceivedRequest| {
+            let informed_at = announcements.by_host.get(request.host());
+            informed_at.is_some_and(|informed_at| request.at >= *informed_at + IN_FLIGHT_GRACE)
         };
-        let told: Vec<_> = came.iter().filter(was_told).map(|came| came.at).collect();
-        let ends = told.iter().filter(|end| **end >= first + HEARD_OF);
-        let within = |end: &Instant| {
-            let within = told
+        let arrivals: Vec<_> = requests
+            .iter()
+            .filter(from_informed)
+            .map(|request| request.at)
+            .collect();
+        let window_ends = arrivals
+            .iter()
+            .filter(|last| **last >= first_at + LIMIT_GRACE);
+        let within = |last: &Instant| {
+            let within = arrivals
                 .iter()
-                .filter(|at| **at <= *end && **at + window > *end);
+                .filter(|at| **at <= *last && **at + window > *last);
             within.count()
         };
-        ends.map(within).max().unwrap_or(0)
+        window_ends.map(within).max().unwrap_or(0)
     }
 
-    /// How often a request has ended it.
-    pub(crate) fn ended(&self) -> u64 {
-        self.ended.load(Ordering::SeqCst)
+    /// Returns how often a request has crashed it.
+    pub(crate) fn crash_count(&self) -> u64 {
+        self.crashes.load(Ordering::SeqCst)
     }
 
-    /// What it calls itself: another name after each end.
+    /// Returns the name of its present instance; it changes with each crash.
     pub(crate) fn name(&self) -> String {
-        match self.ended() {
+        match self.crash_count() {
             0 => self.id.clone(),
-            ended => format!("{}-{ended}", self.id),
+            crashes => format!("{}-{crashes}", self.id),
         }
     }
 
-    /// It ends with all that it is at work on, and is down for a while.
-    fn end(&self) {
-        self.ended.fetch_add(1, Ordering::SeqCst);
-        *self.down.lock().expect("a lock") = Some(Instant::now() + DOWN);
-        let open = std::mem::take(&mut *self.open.lock().expect("a lock"));
-        for stream in open.values() {
+    /// Crashes the engine: closes all connections, and stays down for [`CRASH_DOWNTIME`].
+    fn crash(&self) {
+        self.crashes.fetch_add(1, Ordering::SeqCst);
+        *self.down_until.lock().expect("the lock is not poisoned") =
+            Some(Instant::now() + CRASH_DOWNTIME);
+        let connections =
+            std::mem::take(&mut *self.connections.lock().expect("the lock is not poisoned"));
+        for stream in connections.values() {
             let _ = stream.shutdown(std::net::Shutdown::Both);
         }
     }
 
     fn is_down(&self) -> bool {
-        let down = self.down.lock().expect("a lock");
-        down.is_some_and(|until| Instant::now() < until)
+        let down_until = self.down_until.lock().expect("the lock is not poisoned");
+        down_until.is_some_and(|until| Instant::now() < until)
     }
 
-    /// How many callers left before their answer was whole.
-    pub(crate) fn left(&self) -> u32 {
-        *self.left.lock().expect("a lock")
+    /// Returns how many callers closed the connection before their response was complete.
+    pub(crate) fn abandoned_count(&self) -> u32 {
+        *self.abandoned.lock().expect("the lock is not poisoned")
     }
 
     fn serve(&self, stream: TcpStream) {
         if self.is_down() {
             return;
         }
-        let _open = Open::new(self, &stream);
-        let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
-        let Some(came) = request(&mut reader) else {
+        let _connection = Connection::new(self, &stream);
+        let mut reader = BufReader::new(stream.try_clone().expect("the stream can be cloned"));
+        let Some(request) = read_request(&mut reader) else {
             return;
         };
-        let meant = came.header("x-expect-instance").map(ToOwned::to_owned);
-        let id = came.header("x-attempt-id").unwrap_or_default().to_owned();
-        let play = self.always.or_else(|| came.header("x-play"));
-        let play = play.unwrap_or("answer").to_owned();
-        let after = came.header("last-event-id").and_then(|id| id.parse().ok());
-        if meant.as_deref() != Some(&self.name()) {
+        let expected_instance = request.header("x-expect-instance").map(ToOwned::to_owned);
+        let id = request
+            .header("x-attempt-id")
+            .unwrap_or_default()
+            .to_owned();
+        let behavior = self.fixed_behavior.or_else(|| request.header("x-play"));
+        let behavior = behavior.unwrap_or("answer").to_owned();
+        let last_event = request
+            .header("last-event-id")
+            .and_then(|id| id.parse().ok());
+        if expected_instance.as_deref() != Some(&self.name()) {
             answer(stream, 421, &id, "", "");
             return;
         }
-        let host = came.host().to_owned();
-        self.came.lock().expect("a lock").push(came);
-        let asks_for = self.asks_for.lock().expect("a lock").clone();
-        if let Some(time) = asks_for {
-            self.turn_away(stream, &id, &host, &time);
+        let host = request.host().to_owned();
+        self.received
+            .lock()
+            .expect("the lock is not poisoned")
+            .push(request);
+        let backoff = self
+            .backoff
+            .lock()
+            .expect("the lock is not poisoned")
+            .clone();
+        if let Some(time) = backoff {
+            self.reject(stream, &id, &host, &time);
         } else {
-            self.play(stream, &play, &id, &host, after);
+            self.behave(stream, &behavior, &id, &host, last_event);
         }
     }
 
-    /// Turns a request away, and asks its host for rest.
-    fn turn_away(&self, stream: TcpStream, id: &str, host: &str, time: &str) {
-        let more = format!("X-Not-Executed: 1\r\nRetry-After: {time}\r\n");
-        answer(stream, 503, id, &self.says(&more, host), "");
+    /// Rejects a request, and asks its host for backoff.
+    fn reject(&self, stream: TcpStream, id: &str, host: &str, time: &str) {
+        let headers = format!("X-Not-Executed: 1\r\nRetry-After: {time}\r\n");
+        answer(stream, 503, id, &self.common_headers(&headers, host), "");
         if let Ok(seconds) = time.parse() {
-            let rest = Rest {
+            let period = BackoffPeriod {
                 host: host.to_owned(),
                 from: Instant::now(),
                 length: Duration::from_secs_f64(seconds),
             };
-            self.rests.lock().expect("a lock").push(rest);
+            self.backoff_periods
+                .lock()
+                .expect("the lock is not poisoned")
+                .push(period);
         }
     }
 
-    /// These headers, with those that all its answers to a host have.
-    fn says(&self, more: &str, host: &str) -> String {
-        let mut says = more.to_owned();
-        if self.leaves.load(Ordering::SeqCst) {
-            says.push_str("Server-Leaving: 1\r\nConnection: close\r\n");
+    /// Returns `headers` with those that all its responses to a host have.
+    fn common_headers(&self, headers: &str, host: &str) -> String {
+        let mut common_headers = headers.to_owned();
+        if self.draining.load(Ordering::SeqCst) {
+            common_headers.push_str("Server-Leaving: 1\r\nConnection: close\r\n");
         }
-        if let Some(limit) = &*self.limit.lock().expect("a lock") {
+        if let Some(limit) = &*self.limit.lock().expect("the lock is not poisoned") {
             let now = Instant::now();
-            let mut named = self.named.lock().expect("a lock");
-            named.first.get_or_insert(now);
-            named.by_host.entry(host.to_owned()).or_insert(now);
-            says = format!("{says}Server-Limit: {limit}\r\n");
+            let mut announcements = self.announcements.lock().expect("the lock is not poisoned");
+            announcements.first_at.get_or_insert(now);
+            announcements.by_host.entry(host.to_owned()).or_insert(now);
+            common_headers = format!("{common_headers}Server-Limit: {limit}\r\n");
         }
-        says
+        common_headers
     }
 
-    fn play(&self, mut stream: TcpStream, play: &str, id: &str, host: &str, after: Option<u32>) {
-        // `first=PLAY`: only the engine with the lower name does so.
-        let play = match play.split_once('=') {
-            Some(("first", play)) if self.id == "i-1" => play,
+    fn behave(
+        &self,
+        mut stream: TcpStream,
+        behavior: &str,
+        id: &str,
+        host: &str,
+        last_event: Option<u32>,
+    ) {
+        // `first=PLAY`: only the engine `i-1` does so.
+        let behavior = match behavior.split_once('=') {
+            Some(("first", behavior)) if self.id == "i-1" => behavior,
             Some(_) => "answer",
-            None => play,
+            None => behavior,
         };
-        let signed = &self.says(SIGNED, host);
-        match play {
+        let signed = &self.common_headers(SIGNED, host);
+        match behavior {
             "shed" => answer(
                 stream,
                 503,
                 id,
-                &self.says("X-Not-Executed: 1\r\n", host),
+                &self.common_headers("X-Not-Executed: 1\r\n", host),
                 "",
             ),
             "fail" => answer(stream, 500, id, signed, "failed"),
             "foreign" => answer(stream, 200, "another", SIGNED, "another's"),
             "unsigned" => answer(stream, 200, id, "", "nobody's"),
             "close" => {}
-            "close-late" => std::thread::sleep(LATE),
+            "close-late" => std::thread::sleep(LATE_CLOSE_DELAY),
             "short" => {
                 let head = head(200, id, SIGNED);
                 let _ = write!(stream, "{head}Content-Length: 10\r\n\r\nhalf");
             }
             "surplus" => {
                 answer(
-                    stream.try_clone().expect("a handle"),
+                    stream.try_clone().expect("the stream can be cloned"),
                     200,
                     id,
                     SIGNED,
@@ -354,51 +408,53 @@
             }
             "crash" => {
                 events(&mut stream, id, signed, 1, Some(2));
-                self.end();
+                self.crash();
             }
-            "hang" => self.wait_for_leave(&mut stream),
-            "break" if after.is_none() => events(&mut stream, id, signed, 1, Some(3)),
+            "hang" => self.wait_for_close(&mut stream),
+            "break" if last_event.is_none() => events(&mut stream, id, signed, 1, Some(3)),
             "events" | "break" => {
-                let from = after.map_or(1, |after| after + 1);
+                let from = last_event.map_or(1, |last_event| last_event + 1);
                 events(&mut stream, id, signed, from, None);
             }
             _ => answer(stream, 200, id, signed, "done"),
         }
     }
 
-    /// Says nothing until the caller closes the connection.
-    fn wait_for_leave(&self, stream: &mut TcpStream) {
-        let patience = Some(Duration::from_secs(20));
-        stream.set_read_timeout(patience).expect("a time-out");
+    /// Sends nothing until the caller closes the connection.
+    fn wait_for_close(&self, stream: &mut TcpStream) {
+        let timeout = Some(Duration::from_secs(20));
+        stream
+            .set_read_timeout(timeout)
+            .expect("the timeout is valid");
         let mut byte = [0];
         if matches!(stream.read(&mut byte), Ok(0) | Err(_)) {
-            *self.left.lock().expect("a lock") += 1;
+            *self.abandoned.lock().expect("the lock is not poisoned") += 1;
         }
     }
 }
 
 const SIGNED: &str = "X-Response-Signature: sealed\r\n";
 
-fn head(status: u16, id: &str, more: &str) -> String {
-    format!("HTTP/1.1 {status} X\r\nX-Attempt-Id: {id}\r\n{more}")
+fn head(status: u16, id: &str, headers: &str) -> String {
+    format!("HTTP/1.1 {status} X\r\nX-Attempt-Id: {id}\r\n{headers}")
 }
 
-fn answer(mut stream: TcpStream, status: u16, id: &str, more: &str, body: &str) {
-    let head = head(status, id, more);
+fn answer(mut stream: TcpStream, status: u16, id: &str, headers: &str, body: &str) {
+    let head = head(status, id, headers);
     let length = body.len();
     let _ = write!(stream, "{head}Content-Length: {length}\r\n\r\n{body}");
 }
 
-/// Six events from `from` on; with `breaks` the stream is cut within that one.
-fn events(stream: &mut TcpStream, id: &str, more: &str, from: u32, breaks: Option<u32>) {
-    let head = head(200, id, more);
+/// Sends six events, from the number `from` on; with `cut_at` the stream breaks off within that event.
+fn events(stream: &mut TcpStream, id: &str, headers: &str, from: u32, cut_at: Option<u32>) {
+    let head = head(200, id, headers);
     let kind = "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
     let _ = write!(stream, "{head}{kind}");
     for number in from..=6 {
         let event = format!("id: {number}\ndata: e{number}\n\n");
-        if breaks == Some(number) {
-            let part = &event[..9];
-            let _ = write!(stream, "{:x}\r\n{part}\r\n", part.len());
+        if cut_at == Some(number) {
+            let prefix = &event[..9];
+            let _ = write!(stream, "{:x}\r\n{prefix}\r\n", prefix.len());
             return;
         }
         let _ = write!(stream, "{:x}\r\n{event}\r\n", event.len());
@@ -406,7 +462,7 @@
     let _ = write!(stream, "0\r\n\r\n");
 }
 
-fn request(reader: &mut BufReader<TcpStream>) -> Option<Came> {
+fn read_request(reader: &mut BufReader<TcpStream>) -> Option<ReceivedRequest> {
     let mut head = String::new();
     loop {
         let mut line = String::new();
@@ -418,16 +474,16 @@
         }
         head.push_str(&line);
     }
-    let mut came = Came {
+    let mut request = ReceivedRequest {
         at: Instant::now(),
         head,
         body: String::new(),
     };
-    let length = came
+    let length = request
         .header("content-length")
         .and_then(|text| text.parse().ok());
     let mut body = vec![0; length.unwrap_or(0)];
     reader.read_exact(&mut body).ok()?;
-    came.body = String::from_utf8_lossy(&body).into_owned();
-    Some(came)
+    request.body = String::from_utf8_lossy(&body).into_owned();
+    Some(request)
 }
--- a/crates/curlewlift/tests/platform/hosts.rs
+++ b/crates/curlewlift/tests/platform/hosts.rs
@@ -24,129 +24,132 @@
 use serde_json::json;
 
 use super::Engine;
-use super::Line;
-use super::ask;
+use super::SlowLink;
+use super::send_request;
 
-/// How long anything may take to come about; no test asserts a time below it.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// How long tests wait for any condition; no test asserts a shorter time.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Within what time a gateway is told what stands in the log: a question waits no longer for news.
-const TOLD: Duration = Duration::from_millis(300);
+/// How long a gateway may take to receive what was committed to the log: its poll waits no longer for updates.
+const UPDATE_DELAY: Duration = Duration::from_millis(300);
 
-/// What the platform's list holds, and who asked for it.
+/// The platform's server list, and the calls for it that were rejected.
 #[derive(Default)]
-struct Listed {
+struct ListState {
     entries: Vec<Value>,
-    /// The time after which to ask again, where every call is turned away.
-    again: Option<String>,
-    /// The calls that were turned away: over which connection each came, and when.
-    turned_away: Vec<(SocketAddr, Instant)>,
+    /// The `Retry-After` value, if every call is rejected.
+    retry_after: Option<String>,
+    /// The calls that were rejected: the caller's address and the time.
+    rejected_list_calls: Vec<(SocketAddr, Instant)>,
 }
 
-/// Ports, alike on all hosts.
+/// Ports, the same on all hosts.
 #[derive(Clone, Copy)]
 struct Ports {
     callers: u16,
     ready: u16,
     control: u16,
     directory: u16,
-    own: u16,
+    internal: u16,
 }
 
-/// Hosts, of which the first three have a disk, and the platform's list.
+/// Hosts, of which the first three have a disk, and the platform's server list.
 pub(crate) struct Hosts {
     folder: PathBuf,
-    /// The last number of the first host's address.
+    /// The last byte of the first host's address.
     first: u8,
     ports: Ports,
-    /// The places of the hosts that the settings name for a host to begin with.
+    /// The hosts that the settings name as seeds.
     seeds: Vec<usize>,
-    /// Hosts without a disk reach the others over this line.
-    line: Option<Line>,
+    /// The link over which hosts without a disk reach the others.
+    link: Option<SlowLink>,
     processes: Vec<Option<Process>>,
-    /// What the hosts' decisions go by.
+    /// The clocks of the hosts.
     clocks: Vec<Clock>,
     list: SocketAddr,
-    listed: Arc<Mutex<Listed>>,
-    /// The parts of the platform's rules that are in force.
-    in_force: &'static [&'static str],
+    server_list: Arc<Mutex<ListState>>,
+    /// The platform contracts that are enabled.
+    contracts: &'static [&'static str],
 }
 
 impl Hosts {
-    /// Three hosts with a disk, where versions are rolled out.
+    /// Starts three hosts with a disk and roll-outs enabled.
     pub(crate) fn start_rollouts(folder: PathBuf, engines: &[(&Engine, &str)]) -> Self {
         Self::start_with(folder, engines, 0, None, &["base", "rollout"])
     }
 
-    /// Three hosts with a disk.
+    /// Starts three hosts with a disk.
     pub(crate) fn start(folder: PathBuf, engines: &[(&Engine, &str)]) -> Self {
         Self::start_more(folder, engines, 0, None)
     }
 
-    /// Three hosts with a disk, and `more` without one, which reach the others over `line`.
+    /// Starts three hosts with a disk, and `without_disk` more that reach the others over a link of `link`
+    /// bytes per second.
     pub(crate) fn start_more(
         folder: PathBuf,
         engines: &[(&Engine, &str)],
-        more: u8,
-        line: Option<u64>,
+        without_disk: u8,
+        link: Option<u64>,
     ) -> Self {
-        Self::start_with(folder, engines, more, line, &["base"])
+        Self::start_with(folder, engines, without_disk, link, &["base"])
     }
 
     fn start_with(
         folder: PathBuf,
         engines: &[(&Engine, &str)],
-        more: u8,
-        line: Option<u64>,
-        in_force: &'static [&'static str],
+        without_disk: u8,
+        link: Option<u64>,
+        contracts: &'static [&'static str],
     ) -> Self {
-        let listed = engines
+        let server_list = engines
             .iter()
             .map(|(engine, service)| entry(engine, service, "ready"));
-        let listed = Listed {
-            entries: listed.collect(),
-            ..Listed::default()
+        let server_list = ListState {
+            entries: server_list.collect(),
+            ..ListState::default()
         };
-        let listed = Arc::new(Mutex::new(listed));
-        let first = NEXT.fetch_add(DISKS + more, Ordering::Relaxed);
+        let server_list = Arc::new(Mutex::new(server_list));
+        let first = NEXT_ADDRESS.fetch_add(DISK_COUNT + without_disk, Ordering::Relaxed);
         let ports = ports(first);
-        let replicas = (0..DISKS).map(|place| address(first, place.into(), ports.own));
-        let line = line.map(|rate| Line::lay(rate, &replicas.collect::<Vec<_>>()));
+        let replicas = (0..DISK_COUNT).map(|index| address(first, index.into(), ports.internal));
+        let link = link.map(|rate| SlowLink::open(rate, &replicas.collect::<Vec<_>>()));
         let mut hosts = Self {
             folder,
             first,
             ports,
-            seeds: (0..DISKS.into()).collect(),
-            line,
-            processes: (0..DISKS + more).map(|_| None).collect(),
-            clocks: (0..DISKS + more).map(|_| Clock::start()).collect(),
-            list: serve_list(Arc::clone(&listed)),
-            listed,
-            in_force,
+            seeds: (0..DISK_COUNT.into()).collect(),
+            link,
+            processes: (0..DISK_COUNT + without_disk).map(|_| None).collect(),
+            clocks: (0..DISK_COUNT + without_disk)
+                .map(|_| Clock::start())
+                .collect(),
+            list: serve_list(Arc::clone(&server_list)),
+            server_list,
+            contracts,
         };
-        for place in hosts.places() {
-            hosts.boot(place, true);
+        for index in hosts.indices() {
+            hosts.boot(index, true);
         }
         hosts
     }
 
-    /// All places.
-    pub(crate) fn places(&self) -> Range<usize> {
+    /// The indices of all hosts.
+    pub(crate) fn indices(&self) -> Range<usize> {
         0..self.processes.len()
     }
 
-    /// From now on the settings name these hosts to begin with.
-    pub(crate) fn name_seeds(&mut self, seeds: &[usize]) {
+    /// Makes the settings name these hosts as seeds.
+    pub(crate) fn set_seeds(&mut self, seeds: &[usize]) {
         self.seeds = seeds.to_vec();
-        for place in self.places() {
-            self.settings(place, false);
+        for index in self.indices() {
+            self.settings(index, false);
         }
     }
 
-    /// The platform says that an engine is leaving.
+    /// Marks an engine as draining in the server list.
     pub(crate) fn drain(&self, engine: &Engine) {
-        let mut listed = self.listed.lock().expect("a lock");
-        for entry in listed
+        let mut server_list = self.server_list.lock().expect("the lock is not poisoned");
+        for entry in server_list
             .entries
             .iter_mut()
             .filter(|entry| entry["id"] == engine.id)
@@ -155,152 +158,162 @@
         }
     }
 
-    /// The platform's list has these entries from now on.
+    /// Replaces the server list.
     pub(crate) fn list(&self, entries: Vec<Value>) {
-        self.listed.lock().expect("a lock").entries = entries;
+        self.server_list
+            .lock()
+            .expect("the lock is not poisoned")
+            .entries = entries;
     }
 
-    /// The platform turns all calls for the list away, and says when to ask again.
-    pub(crate) fn refuse_list(&self, again: &str) {
-        self.listed.lock().expect("a lock").again = Some(again.to_owned());
+    /// Makes the platform reject all calls for the list with this `Retry-After` value.
+    pub(crate) fn reject_list_calls(&self, retry_after: &str) {
+        self.server_list
+            .lock()
+            .expect("the lock is not poisoned")
+            .retry_after = Some(retry_after.to_owned());
     }
 
-    /// The calls for the list that were turned away: over which connection each came, and when.
-    pub(crate) fn turned_away(&self) -> Vec<(SocketAddr, Instant)> {
-        self.listed.lock().expect("a lock").turned_away.clone()
+    /// Returns the calls for the list that were rejected: the caller's address and the time.
+    pub(crate) fn rejected_list_calls(&self) -> Vec<(SocketAddr, Instant)> {
+        self.server_list
+            .lock()
+            .expect("the lock is not poisoned")
+            .rejected_list_calls
+            .clone()
     }
 
-    /// Starts a host with what its disk holds.
-    pub(crate) fn boot(&mut self, place: usize, first: bool) {
-        let path = self.settings(place, first);
-        let platform = Platform::new(path).expect("settings");
-        let platform = platform.clock(self.clocks[place].clone());
-        self.processes[place] = Some(platform.start().expect("it starts"));
+    /// Starts a host with the data on its disk.
+    pub(crate) fn boot(&mut self, index: usize, first: bool) {
+        let path = self.settings(index, first);
+        let platform = Platform::new(path).expect("the settings are valid");
+        let platform = platform.clock(self.clocks[index].clone());
+        self.processes[index] = Some(platform.start().expect("the host starts"));
     }
 
-    /// A host comes out of a suspension of that length: its timers have stood still, and its connections are
-    /// as they were.
-    pub(crate) fn suspend(&self, place: usize, length: Duration) {
-        self.clocks[place].suspend(length);
+    /// Makes a host resume after a suspension of `length`: its timers stood still, and its connections are unchanged.
+    pub(crate) fn suspend(&self, index: usize, length: Duration) {
+        self.clocks[index].suspend(length);
     }
 
-    /// A host's process is killed.
-    pub(crate) fn kill(&mut self, place: usize) {
-        if let Some(process) = self.processes[place].take() {
+    /// Kills a host's process.
+    pub(crate) fn kill(&mut self, index: usize) {
+        if let Some(process) = self.processes[index].take() {
             process.kill();
         }
     }
 
-    /// A host that is down loses its disk.
-    pub(crate) fn wipe(&self, place: usize) {
-        let disk = self.folder.join(format!("host-{place}")).join("data");
-        std::fs::remove_dir_all(disk).expect("it had one");
+    /// Deletes the disk of a host that is down.
+    pub(crate) fn wipe(&self, index: usize) {
+        let disk = self.folder.join(format!("host-{index}")).join("data");
+        std::fs::remove_dir_all(disk).expect("the host has a disk");
     }
 
-    /// A host is told to stop; gives its process to wait for.
-    pub(crate) fn stop(&mut self, place: usize) -> Process {
-        let process = self.processes[place].take().expect("it runs");
+    /// Asks a host to stop; returns its process to wait for.
+    pub(crate) fn stop(&mut self, index: usize) -> Process {
+        let process = self.processes[index].take().expect("the host is running");
         process.stop();
         process
     }
 
-    pub(crate) fn callers(&self, place: usize) -> SocketAddr {
-        address(self.first, place, self.ports.callers)
+    pub(crate) fn callers(&self, index: usize) -> SocketAddr {
+        address(self.first, index, self.ports.callers)
     }
 
-    pub(crate) fn control(&self, place: usize) -> SocketAddr {
-        address(self.first, place, self.ports.control)
+    pub(crate) fn control(&self, index: usize) -> SocketAddr {
+        address(self.first, index, self.ports.control)
     }
 
-    pub(crate) fn directory(&self, place: usize) -> SocketAddr {
-        address(self.first, place, self.ports.directory)
+    pub(crate) fn directory(&self, index: usize) -> SocketAddr {
+        address(self.first, index, self.ports.directory)
     }
 
-    /// Whether the replica on a host was let count since the last start of those that run, by their
-    /// time lines.
-    pub(crate) fn counts_again(&self, place: usize) -> bool {
-        let host = address(self.first, place, 0).ip().to_string();
-        let lines = self.time_line(Kind::ReplicaCounts);
+    /// Whether the replica on a host became a voter since the last start of the running replicas, according to their
+    /// events.
+    pub(crate) fn was_readmitted(&self, index: usize) -> bool {
+        let host = address(self.first, index, 0).ip().to_string();
+        let lines = self.timeline(Kind::ReplicaCounts);
         lines.iter().any(|line| line.detail == host)
     }
 
-    /// Whether all hosts that run hold a part of what gateways may do without the hub's word.
-    fn hold_parts(&self) -> bool {
-        let run = self.processes.iter().flatten().count();
-        let lines = self.time_line(Kind::PartsHeld);
+    /// Whether all running hosts hold a share of what gateways may do without the hub.
+    fn hold_shares(&self) -> bool {
+        let running = self.processes.iter().flatten().count();
+        let lines = self.timeline(Kind::PartsHeld);
         let Some(last) = lines.last() else {
             return false;
         };
         let held = |name: &str| {
             let mut fields = last.detail.split(' ');
             let held = fields.find_map(|field| field.strip_prefix(name));
-            held.is_some_and(|held| held.parse().is_ok_and(|held: usize| held >= run))
+            held.is_some_and(|held| held.parse().is_ok_and(|held: usize| held >= running))
         };
         held("held=") && held("deputies=")
     }
 
-    /// What decided the steps of roll-outs, by the time lines of the replicas that run.
+    /// Returns the reasons for the steps of roll-outs, according to the events of the running replicas.
     pub(crate) fn rollout_steps(&self) -> Vec<String> {
-        let lines = self.time_line(Kind::RolloutAdvanced);
+        let lines = self.timeline(Kind::RolloutAdvanced);
         lines.into_iter().map(|line| line.detail).collect()
     }
 
-    /// The lines of a kind at the control replicas that run.
-    fn time_line(&self, kind: Kind) -> Vec<event::Line> {
+    /// Returns the events of a kind at the running control replicas.
+    fn timeline(&self, kind: Kind) -> Vec<event::Line> {
         let filter = Filter {
             number: Some(kind.number()),
             ..Filter::default()
         };
-        let replicas = (0..DISKS.into()).map(|place| address(self.first, place, self.ports.own));
+        let replicas =
+            (0..DISK_COUNT.into()).map(|index| address(self.first, index, self.ports.internal));
         let replicas: Vec<_> = replicas.collect();
-        let (lines, _) = curlewlift::collect(&replicas, &filter).expect("collected");
+        let (lines, _) = curlewlift::collect(&replicas, &filter).expect("the events are collected");
         lines
     }
 
-    /// Whether a host takes callers.
-    pub(crate) fn is_ready(&self, place: usize) -> bool {
-        let address = address(self.first, place, self.ports.ready);
+    /// Whether a host accepts callers.
+    pub(crate) fn is_ready(&self, index: usize) -> bool {
+        let address = address(self.first, index, self.ports.ready);
         std::net::TcpStream::connect(address).is_ok()
-            && ask(address, "GET /api/readiness HTTP/1.1\r\nHost: x", "").status == 200
+            && send_request(address, "GET /api/readiness HTTP/1.1\r\nHost: x", "").status == 200
     }
 
-    /// Puts a configuration; gives the status.
-    pub(crate) fn put(&self, place: usize, document: &str) -> u16 {
+    /// Sends a configuration; returns the status.
+    pub(crate) fn put(&self, index: usize, document: &str) -> u16 {
         let head = "POST /api/config/put HTTP/1.1\r\nHost: x";
-        ask(self.control(place), head, document).status
+        send_request(self.control(index), head, document).status
     }
 
-    /// Puts a configuration until it is taken, and waits until it is in force at all hosts and they
-    /// hold their parts.
+    /// Sends a configuration until it is accepted, and waits until it is in effect at all hosts and they hold their
+    /// shares.
     pub(crate) fn configure(&self, document: &str) {
-        wait("the configuration is taken", || {
+        wait("the configuration is accepted", || {
             self.put(0, document) == 200
         });
-        wait("all are ready", || {
-            self.places()
-                .all(|place| self.processes[place].is_none() || self.is_ready(place))
+        wait("all hosts are ready", || {
+            self.indices()
+                .all(|index| self.processes[index].is_none() || self.is_ready(index))
         });
-        wait("all hold a part", || self.hold_parts());
-        std::thread::sleep(TOLD);
+        wait("all hosts hold a share", || self.hold_shares());
+        std::thread::sleep(UPDATE_DELAY);
     }
 
-    fn settings(&self, place: usize, first: bool) -> PathBuf {
-        let folder = self.folder.join(format!("host-{place}"));
-        std::fs::create_dir_all(&folder).expect("a folder");
+    fn settings(&self, index: usize, first: bool) -> PathBuf {
+        let folder = self.folder.join(format!("host-{index}"));
+        std::fs::create_dir_all(&folder).expect("the folder is created");
         let seeds: Vec<_> = self.seeds.iter().map(|seed| self.control(*seed)).collect();
-        let has_disk = place < usize::from(DISKS);
-        let line = self.line.as_ref().filter(|_| !has_disk);
-        let own = line.map_or(self.ports.own, Line::get_port);
-        let ready = address(self.first, place, self.ports.ready);
+        let has_disk = index < usize::from(DISK_COUNT);
+        let link = self.link.as_ref().filter(|_| !has_disk);
+        let internal = link.map_or(self.ports.internal, SlowLink::get_port);
+        let ready = address(self.first, index, self.ports.ready);
         let settings = json!({
-            "ip": address(self.first, place, 0).ip(), "zone": format!("hall-{place}"),
+            "ip": address(self.first, index, 0).ip(), "zone": format!("hall-{index}"),
             "zones": { "hall-0": "region-0", "hall-1": "region-1", "hall-2": "region-2" },
-            "internal_ports": [own, own],
+            "internal_ports": [internal, internal],
             "seeds": seeds, "bootstrap": first,
             "data_dir": has_disk.then(|| folder.join("data")),
             "listen": {
-                "front": self.callers(place), "ready": ready,
-                "control": self.control(place), "directory": self.directory(place),
+                "front": self.callers(index), "ready": ready,
+                "control": self.control(index), "directory": self.directory(index),
             },
             "fault_tolerance": { "machines": 1 },
             "bounds": {
@@ -309,60 +322,65 @@
                 "quota_slack": 0, "ttl_max_s": 5, "exposure_share": 0.1, "exposure_slack": 50,
             },
             "cloud": { "address": self.list },
-            "contracts": self.in_force, "some_later_field": true,
+            "contracts": self.contracts, "some_later_field": true,
         });
         let path = folder.join("settings.json");
-        std::fs::write(&path, settings.to_string()).expect("a file");
+        std::fs::write(&path, settings.to_string()).expect("the settings file is written");
         path
     }
 }
 
 impl Drop for Hosts {
     fn drop(&mut self) {
-        for place in self.places() {
-            self.kill(place);
+        for index in self.indices() {
+            self.kill(index);
         }
-        // What a test that fails has left is of use.
+        // The files of a failed test are kept for analysis.
         if !std::thread::panicking() {
             let _ = std::fs::remove_dir_all(&self.folder);
         }
     }
 }
 
-/// How many hosts have a disk.
-const DISKS: u8 = 3;
+/// The number of hosts with a disk.
+const DISK_COUNT: u8 = 3;
 
-/// The first of the addresses that the next test's hosts have, within the process.
-static NEXT: AtomicU8 = AtomicU8::new(1);
+/// The last byte of the next free host address of this process.
+static NEXT_ADDRESS: AtomicU8 = AtomicU8::new(1);
 
-/// Each test's hosts have addresses of their own, by the process's number and the test's: a port
-/// that is free there when it is looked for stays free.
-fn address(first: u8, place: usize, port: u16) -> SocketAddr {
+/// Returns the address of a host. The hosts of each test have addresses of their own, by process id and test, so that a
+/// port found to be free stays free.
+fn address(first: u8, index: usize, port: u16) -> SocketAddr {
     let process = std::process::id();
     let [_, high, low, _] = (process << 8).to_be_bytes();
-    let place = u8::try_from(place).expect("few");
-    SocketAddr::from(([127, high.max(1), low, first + place], port))
+    let index = u8::try_from(index).expect("fits in a byte");
+    SocketAddr::from(([127, high.max(1), low, first + index], port))
 }
 
-/// Five ports that are free now.
+/// Returns five free ports.
 fn ports(first: u8) -> Ports {
     let listeners: Vec<_> = (0..5)
-        .map(|_| TcpListener::bind(address(first, 0, 0)).expect("a port"))
+        .map(|_| TcpListener::bind(address(first, 0, 0)).expect("a port is free"))
         .collect();
     let ports: Vec<_> = listeners
         .iter()
-        .map(|listener| listener.local_addr().expect("an address").port())
+        .map(|listener| {
+            listener
+                .local_addr()
+                .expect("the listener has an address")
+                .port()
+        })
         .collect();
     Ports {
         callers: ports[0],
         ready: ports[1],
         control: ports[2],
         directory: ports[3],
-        own: ports[4],
+        internal: ports[4],
     }
 }
 
-/// An entry of the list.
+/// Returns an entry of the server list.
 pub(crate) fn entry(engine: &Engine, service: &str, state: &str) -> Value {
     json!({
         "id": engine.name(), "service": service, "address": engine.address, "zone": "hall-0",
@@ -370,21 +388,25 @@
     })
 }
 
-/// Answers the list, two entries a page.
-fn serve_list(listed: Arc<Mutex<Listed>>) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+/// Serves the server list, two entries per page.
+fn serve_list(server_list: Arc<Mutex<ListState>>) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    let address = listener.local_addr().expect("the listener has an address");
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let listed = Arc::clone(&listed);
+            let server_list = Arc::clone(&server_list);
             std::thread::spawn(move || {
-                let caller = stream.peer_addr().expect("a caller");
-                while let Some(path) = asked(&mut stream) {
+                let caller = stream.peer_addr().expect("the stream has a peer address");
+                while let Some(path) = read_path(&mut stream) {
                     let from: usize = path
                         .split_once("page_token=")
                         .and_then(|(_, token)| token.parse().ok())
                         .unwrap_or(0);
-                    let answer = list_answer(&mut listed.lock().expect("a lock"), caller, from);
+                    let answer = list_response(
+                        &mut server_list.lock().expect("the lock is not poisoned"),
+                        caller,
+                        from,
+                    );
                     let _ = stream.write_all(answer.as_bytes());
                 }
             });
@@ -393,24 +415,28 @@
     address
 }
 
-fn list_answer(listed: &mut Listed, caller: SocketAddr, from: usize) -> String {
-    if let Some(again) = &listed.again {
-        listed.turned_away.push((caller, Instant::now()));
-        return format!("HTTP/1.1 429 X\r\nRetry-After: {again}\r\nContent-Length: 0\r\n\r\n");
+fn list_response(server_list: &mut ListState, caller: SocketAddr, from: usize) -> String {
+    if let Some(retry_after) = &server_list.retry_after {
+        server_list
+            .rejected_list_calls
+            .push((caller, Instant::now()));
+        return format!(
+            "HTTP/1.1 429 X\r\nRetry-After: {retry_after}\r\nContent-Length: 0\r\n\r\n"
+        );
     }
-    let body = page(&listed.entries, from).to_string();
+    let body = page(&server_list.entries, from).to_string();
     let length = body.len();
     format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}")
 }
 
-fn page(listed: &[Value], from: usize) -> Value {
-    let end = (from + 2).min(listed.len());
-    let next = (end < listed.len()).then(|| end.to_string());
-    json!({ "instances": &listed[from..end], "next_token": next })
+fn page(server_list: &[Value], from: usize) -> Value {
+    let end = (from + 2).min(server_list.len());
+    let next = (end < server_list.len()).then(|| end.to_string());
+    json!({ "instances": &server_list[from..end], "next_token": next })
 }
 
-/// The path that is asked for next on a connection.
-fn asked(stream: &mut std::net::TcpStream) -> Option<String> {
+/// Reads the path of the next request on a connection.
+fn read_path(stream: &mut std::net::TcpStream) -> Option<String> {
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") {
@@ -423,20 +449,20 @@
     head.split(' ').nth(1).map(ToOwned::to_owned)
 }
 
-/// Waits for something to come about.
-pub(crate) fn wait(what: &str, mut come: impl FnMut() -> bool) {
-    let began = Instant::now();
-    while !come() {
+/// Waits until `condition` holds; `what` describes it.
+pub(crate) fn wait(what: &str, mut condition: impl FnMut() -> bool) {
+    let started_at = Instant::now();
+    while !condition() {
         assert!(
-            began.elapsed() < PATIENCE,
-            "not within {PATIENCE:?}: {what}"
+            started_at.elapsed() < TIMEOUT,
+            "not within {TIMEOUT:?}: {what}"
         );
         std::thread::sleep(Duration::from_millis(30));
     }
 }
 
-/// A fresh folder for one test, of this process alone: hosts of two runs of one test would take each other's
-/// settings and disks.
+/// Returns an empty folder for one test of this process. The process id is part of its name, because hosts of two
+/// concurrent runs of a test would use each other's settings and disks.
 pub(crate) fn folder(name: &str) -> PathBuf {
     let name = format!("{name}-{}", std::process::id());
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
--- a/crates/curlewlift/tests/platform/mod.rs
+++ b/crates/curlewlift/tests/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's side for tests: its list, engines that behave as they are told, hosts.
+//! Stand-ins for the platform: its server list, engines with scripted behavior, and hosts.
 
 #![allow(dead_code, unused_imports)]
 
@@ -6,17 +6,17 @@
 mod document;
 mod engine;
 mod hosts;
-mod line;
-mod trio;
+mod slow_link;
+mod three_hosts;
 
 pub(crate) use client::Answer;
-pub(crate) use client::ask;
+pub(crate) use client::send_request;
 pub(crate) use document::document;
-pub(crate) use engine::Came;
 pub(crate) use engine::Engine;
+pub(crate) use engine::ReceivedRequest;
 pub(crate) use hosts::Hosts;
 pub(crate) use hosts::entry;
 pub(crate) use hosts::folder;
 pub(crate) use hosts::wait;
-pub(crate) use line::Line;
-pub(crate) use trio::Trio;
+pub(crate) use slow_link::SlowLink;
+pub(crate) use three_hosts::ThreeHosts;
--- /dev/null
+++ b/crates/curlewlift/tests/platform/slow_link.rs
@@ -0,0 +1,86 @@
+//! A slow link: all responses sent over it share one rate.
+
+use std::io::Read;
+use std::io::Write;
+use std::net::SocketAddr;
+use std::net::TcpListener;
+use std::net::TcpStream;
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::thread;
+use std::time::Duration;
+use std::time::Instant;
+
+/// How many bytes are sent at once.
+const CHUNK_BYTES: usize = 2_048;
+
+/// A proxy that forwards responses at a limited rate, and requests without a limit.
+pub(crate) struct SlowLink {
+    port: u16,
+}
+
+/// When the link is free again.
+type FreeAt = Arc<Mutex<Instant>>;
+
+impl SlowLink {
+    /// Opens a link of `rate` bytes per second to all of `targets`, on one port at each of their addresses.
+    pub(crate) fn open(rate: u64, targets: &[SocketAddr]) -> Self {
+        let free_at = Arc::new(Mutex::new(Instant::now()));
+        let mut port = 0;
+        for target in targets {
+            let listener =
+                TcpListener::bind((target.ip(), port)).expect("the port is free at each address");
+            port = listener.local_addr().expect("an address").port();
+            let (free_at, target) = (Arc::clone(&free_at), *target);
+            thread::spawn(move || {
+                for stream in listener.incoming().flatten() {
+                    connect(stream, target, rate, &free_at);
+                }
+            });
+        }
+        Self { port }
+    }
+
+    pub(crate) fn get_port(&self) -> u16 {
+        self.port
+    }
+}
+
+/// Connects a caller to `target`; closes its connection if `target` refuses.
+fn connect(caller: TcpStream, target: SocketAddr, rate: u64, free_at: &FreeAt) {
+    let Ok(server) = TcpStream::connect(target) else {
+        return;
+    };
+    let clone = |stream: &TcpStream| stream.try_clone().expect("the stream can be cloned");
+    let (requests, responses) = ((clone(&caller), clone(&server)), (server, caller));
+    thread::spawn(move || copy(requests.0, requests.1, || ()));
+    let free_at = Arc::clone(free_at);
+    thread::spawn(move || copy(responses.0, responses.1, || wait_for_chunk(&free_at, rate)));
+}
+
+/// Waits until the link has transferred a chunk.
+fn wait_for_chunk(free_at: &FreeAt, rate: u64) {
+    let chunk_time = Duration::from_secs(CHUNK_BYTES as u64)
+        / u32::try_from(rate).expect("the rate fits in 32 bits");
+    let until = {
+        let mut free_at = free_at.lock().expect("the lock is not poisoned");
+        *free_at = (*free_at).max(Instant::now()) + chunk_time;
+        *free_at
+    };
+    thread::sleep(until.saturating_duration_since(Instant::now()));
+}
+
+/// Copies bytes from one stream to the other, and calls `before_chunk` before each full chunk.
+fn copy(mut source: TcpStream, mut destination: TcpStream, before_chunk: impl Fn()) {
+    let mut chunk = [0; CHUNK_BYTES];
+    while let Ok(count) = source.read(&mut chunk) {
+        if count == CHUNK_BYTES {
+            before_chunk();
+        }
+        if count == 0 || destination.write_all(&chunk[..count]).is_err() {
+            break;
+        }
+    }
+    let _ = source.shutdown(std::net::Shutdown::Both);
+    let _ = destination.shutdown(std::net::Shutdown::Both);
+}
--- /dev/null
+++ b/crates/curlewlift/tests/platform/three_hosts.rs
@@ -0,0 +1,96 @@
+//! Three hosts in front of three engines of one service.
+
+use std::time::Duration;
+use std::time::Instant;
+
+use super::Answer;
+use super::Engine;
+use super::Hosts;
+use super::document;
+use super::folder;
+use super::send_request;
+use super::wait;
+
+/// Three hosts in front of three engines of one service.
+pub(crate) struct ThreeHosts {
+    pub hosts: Hosts,
+    pub engines: Vec<Engine>,
+}
+
+impl ThreeHosts {
+    pub(crate) fn start(name: &str) -> Self {
+        let engines = ["i-1", "i-2", "i-3"].map(Engine::start).to_vec();
+        let listed: Vec<_> = engines.iter().map(|engine| (engine, "chat")).collect();
+        let hosts = Hosts::start(folder(name), &listed);
+        hosts.configure(&document(7).to_string());
+        Self { hosts, engines }
+    }
+
+    /// Sends a request to a host under a public rule, so that no quota applies.
+    pub(crate) fn send_open(&self, host: usize, number: usize) -> Answer {
+        self.send(host, number, "/open/", "answer")
+    }
+
+    /// Sends a request under `path`; `behavior` says what the engine does.
+    pub(crate) fn send(&self, host: usize, number: usize, path: &str, behavior: &str) -> Answer {
+        let key = match path {
+            "/open/" => "",
+            _ => "\r\nAuthorization: Bearer key-ann",
+        };
+        let head = format!(
+            "POST {path} HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: h{host}-{number}\r\n\
+             X-Play: {behavior}\r\nX-Deadline-Ms: 5000{key}"
+        );
+        send_request(self.hosts.callers(host), &head, "question")
+    }
+
+    /// Sends requests to a host until `engine` has received one and the response `is_wanted`; the other engines ask for a
+    /// short backoff meanwhile.
+    pub(crate) fn send_until(
+        &self,
+        host: usize,
+        engine: &Engine,
+        is_wanted: impl Fn(&Answer) -> bool,
+    ) {
+        let others = self.engines.iter().filter(|other| other.id != engine.id);
+        let others: Vec<_> = others.collect();
+        for other in &others {
+            other.set_backoff(Some("0.3"));
+        }
+        let before = engine.received().len();
+        wait("the engine is used", || {
+            let answer = self.send_open(host, 0);
+            engine.received().len() > before && is_wanted(&answer)
+        });
+        for other in &others {
+            other.set_backoff(None);
+        }
+    }
+
+    /// Sends requests to these hosts for `time`, with four callers per host that each send one request after the other;
+    /// returns the responses.
+    pub(crate) fn send_for(&self, host_indices: &[usize], time: Duration) -> Vec<Answer> {
+        let until = Instant::now() + time;
+        std::thread::scope(|scope| {
+            let callers = host_indices
+                .iter()
+                .flat_map(|host| (0..4).map(|sender| (*host, sender)));
+            let callers = callers.map(|(host, sender)| {
+                scope.spawn(move || {
+                    let mut answers = Vec::new();
+                    while Instant::now() < until {
+                        let number = answers.len() * 4 + sender;
+                        answers.push(self.send_open(host, number));
+                        std::thread::sleep(Duration::from_millis(20));
+                    }
+                    answers
+                })
+            });
+            let callers: Vec<_> = callers.collect();
+            let answers = callers.into_iter();
+            let answers =
+                answers.flat_map(|caller| caller.join().expect("the caller does not panic"));
+            answers.collect()
+        })
+    }
+}
--- a/crates/curlewlift/tests/platform_entries.rs
+++ b/crates/curlewlift/tests/platform_entries.rs
@@ -7,10 +7,10 @@
 use platform::Answer;
 use platform::Engine;
 use platform::Hosts;
-use platform::ask;
 use platform::document;
 use platform::entry;
 use platform::folder;
+use platform::send_request;
 use platform::wait;
 use serde_json::Value;
 use serde_json::json;
@@ -20,7 +20,7 @@
         "GET /safe/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: r-{round}\r\nX-Play: {play}\r\n\
          X-Deadline-Ms: 5000\r\nAuthorization: Bearer key-ann"
     );
-    ask(hosts.callers(round % 3), &head, "")
+    send_request(hosts.callers(round % 3), &head, "")
 }
 
 /// Twelve entries that name no server, made of a good one.
@@ -61,7 +61,7 @@
     entries.insert(6, good[0].clone());
     entries.push(good[1].clone());
     hosts.list(entries);
-    let served = |engine: &Engine| !engine.came().is_empty();
+    let served = |engine: &Engine| !engine.received().is_empty();
     let mut rounds = 0..2_000;
     wait("both are used", || {
         let round = rounds.next().expect("in time");
@@ -96,14 +96,14 @@
     wait("the new one is used", || {
         round += 1;
         get(&hosts, round, "answer");
-        !again.came().is_empty()
+        !again.received().is_empty()
     });
-    let before = former.came().len();
+    let before = former.received().len();
     for round in 0..30 {
         assert_eq!(get(&hosts, 1_000 + round, "answer").status, 200, "{round}");
     }
     assert_eq!(
-        former.came().len(),
+        former.received().len(),
         before,
         "nothing goes to the former one"
     );
@@ -115,11 +115,11 @@
     let engine = Engine::start("i-1");
     let hosts = Hosts::start(folder("list_rests"), &[(&engine, "chat")]);
     hosts.configure(&document(7).to_string());
-    hosts.refuse_list("1.5");
+    hosts.reject_list_calls("1.5");
     // Other hosts ask too where they hear no hub: each by its own connection.
     let mut pauses = Vec::new();
     wait("one has asked three times", || {
-        let came = hosts.turned_away();
+        let came = hosts.rejected_list_calls();
         pauses.clear();
         for (caller, at) in &came {
             let mut later = came
--- a/crates/curlewlift/tests/platform_evacuations.rs
+++ b/crates/curlewlift/tests/platform_evacuations.rs
@@ -8,10 +8,10 @@
 use platform::Answer;
 use platform::Engine;
 use platform::Hosts;
-use platform::ask;
 use platform::document;
 use platform::entry;
 use platform::folder;
+use platform::send_request;
 use platform::wait;
 use serde_json::json;
 
@@ -20,7 +20,7 @@
     let head = format!("POST /api/evacuation/{path} HTTP/1.1\r\nHost: x");
     let mut status = 503;
     wait("a leader responds to the order", || {
-        status = ask(hosts.control(host), &head, "").status;
+        status = send_request(hosts.control(host), &head, "").status;
         status != 503
     });
     status
@@ -32,7 +32,7 @@
         "GET /{rule}/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: {id}\r\n\
          X-Deadline-Ms: 5000\r\nAuthorization: Bearer key-ann"
     );
-    ask(hosts.callers(host), &head, "")
+    send_request(hosts.callers(host), &head, "")
 }
 
 /// Starts three hosts, and an engine in each of two halls.
@@ -66,7 +66,7 @@
         assert_eq!(order(&hosts, 0, path), 404, "{path}");
     }
     call_all_hosts(&hosts, "before");
-    assert!(engines.iter().all(|engine| !engine.came().is_empty()));
+    assert!(engines.iter().all(|engine| !engine.received().is_empty()));
     for host in 0..3 {
         assert_eq!(
             order(&hosts, host, "hall-1/start"),
@@ -74,7 +74,7 @@
             "a repeated order is accepted"
         );
     }
-    let sent = || engines[1].came().len();
+    let sent = || engines[1].received().len();
     let mut seen = sent();
     wait("all hosts apply the evacuation", || {
         call_all_hosts(&hosts, "soon");
@@ -90,7 +90,7 @@
         );
     }
     hosts.kill(2);
-    for host in hosts.places() {
+    for host in hosts.indices() {
         hosts.boot(host, false);
     }
     wait("all hosts serve again", || {
@@ -117,12 +117,12 @@
     hosts.configure(&document.to_string());
     call_all_hosts(&hosts, "home");
     assert!(
-        engines[0].came().is_empty(),
+        engines[0].received().is_empty(),
         "{:?}",
-        engines[0].came().len()
+        engines[0].received().len()
     );
     let refused = get(&hosts, 0, "nowhere", "once");
     assert_eq!(refused.status, 503);
     assert!(refused.body.contains("3008"), "{}", refused.body);
-    assert!(engines[0].came().is_empty());
+    assert!(engines[0].received().is_empty());
 }
--- a/crates/curlewlift/tests/platform_journal.rs
+++ b/crates/curlewlift/tests/platform_journal.rs
@@ -49,7 +49,7 @@
             std::thread::sleep(Duration::from_millis(15 + round));
             is_stopped.store(true, Ordering::Relaxed);
         });
-        hosts.places().for_each(|host| hosts.kill(host));
+        hosts.indices().for_each(|host| hosts.kill(host));
         // The kernel still lists a thread for some microseconds after it was joined.
         std::thread::sleep(Duration::from_micros(300));
         assert_eq!(
@@ -57,6 +57,6 @@
             0,
             "no journal thread outlives its replica, round {round}"
         );
-        hosts.places().for_each(|host| hosts.boot(host, false));
+        hosts.indices().for_each(|host| hosts.boot(host, false));
     }
 }
--- a/crates/curlewlift/tests/platform_limits.rs
+++ b/crates/curlewlift/tests/platform_limits.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use platform::Engine;
-use platform::Trio;
+use platform::ThreeHosts;
 use platform::wait;
 
 /// The span in which requests are counted.
@@ -31,13 +31,13 @@
 fn name(engines: &[Engine], rate: usize) {
     let limit = rate.to_string();
     for engine in engines {
-        engine.name_limit(Some(&limit));
+        engine.set_limit(Some(&limit));
     }
 }
 
 /// No more came to an engine than it may get.
 fn is_kept(engine: &Engine, rate: usize) {
-    let most = engine.most_of_told(WINDOW);
+    let most = engine.max_from_informed(WINDOW);
     let (times, more) = ALLOWED;
     assert!(most <= rate * times + more, "{}: {most}", engine.id);
 }
@@ -45,13 +45,17 @@
 /// Two of three servers name a limit, and the third serves all.
 #[test]
 fn kept() {
-    let world = Trio::start("limit_kept");
+    let world = ThreeHosts::start("limit_kept");
     name(&world.engines[..2], NAMED);
-    for answer in world.press(&[0, 1, 2], Duration::from_secs(7)) {
+    for answer in world.send_for(&[0, 1, 2], Duration::from_secs(7)) {
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
     for engine in &world.engines[..2] {
-        assert!(engine.named_to() > 0, "{}: nobody was told", engine.id);
+        assert!(
+            engine.count_limit_hosts() > 0,
+            "{}: nobody was told",
+            engine.id
+        );
         is_kept(engine, NAMED);
     }
 }
@@ -59,9 +63,9 @@
 /// All of them name one: what they take is served, and others are told so, truly, and when to come back.
 #[test]
 fn all_limited() {
-    let world = Trio::start("all_limited");
+    let world = ThreeHosts::start("all_limited");
     name(&world.engines, NAMED);
-    let answers = world.press(&[0, 1, 2], Duration::from_secs(7));
+    let answers = world.send_for(&[0, 1, 2], Duration::from_secs(7));
     for engine in &world.engines {
         is_kept(engine, NAMED);
     }
@@ -77,14 +81,18 @@
 /// It holds as well at a host that hears no hub.
 #[test]
 fn no_hub() {
-    let mut world = Trio::start("no_hub_limit");
+    let mut world = ThreeHosts::start("no_hub_limit");
     name(&world.engines, NAMED);
-    world.press(&[2], Duration::from_secs(1));
+    world.send_for(&[2], Duration::from_secs(1));
     world.hosts.kill(0);
     world.hosts.kill(1);
-    world.press(&[2], Duration::from_secs(6));
+    world.send_for(&[2], Duration::from_secs(6));
     for engine in &world.engines {
-        assert!(engine.named_to() > 0, "{}: nobody was told", engine.id);
+        assert!(
+            engine.count_limit_hosts() > 0,
+            "{}: nobody was told",
+            engine.id
+        );
         is_kept(engine, NAMED);
     }
 }
@@ -92,15 +100,15 @@
 /// Once they name none any more all hosts use them as before.
 #[test]
 fn lifted() {
-    let world = Trio::start("limit_lifted");
+    let world = ThreeHosts::start("limit_lifted");
     name(&world.engines, 1);
-    let answers = world.press(&[0, 1, 2], Duration::from_secs(2));
+    let answers = world.send_for(&[0, 1, 2], Duration::from_secs(2));
     assert!(answers.iter().any(|answer| answer.status != 200));
     for engine in &world.engines {
-        engine.name_limit(None);
+        engine.set_limit(None);
     }
     let all_served = || {
-        let answers = world.press(&[0, 1, 2], Duration::from_millis(200));
+        let answers = world.send_for(&[0, 1, 2], Duration::from_millis(200));
         answers.iter().all(|answer| answer.status == 200)
     };
     wait("all is served", all_served);
@@ -109,10 +117,10 @@
 /// A limit that makes no sense takes no server away, and the least one for 5 s only.
 #[test]
 fn odd_limits() {
-    let world = Trio::start("odd_limits");
+    let world = ThreeHosts::start("odd_limits");
     for odd in ["few", "-3", "NaN", "inf", "1e9", "", "0"] {
-        world.engines[0].name_limit(Some(odd));
-        world.until(0, &world.engines[0], |_| true);
-        world.until(0, &world.engines[0], |_| true);
+        world.engines[0].set_limit(Some(odd));
+        world.send_until(0, &world.engines[0], |_| true);
+        world.send_until(0, &world.engines[0], |_| true);
     }
 }
--- a/crates/curlewlift/tests/platform_narrow.rs
+++ b/crates/curlewlift/tests/platform_narrow.rs
@@ -18,9 +18,9 @@
 
 use platform::Engine;
 use platform::Hosts;
-use platform::ask;
 use platform::document;
 use platform::folder;
+use platform::send_request;
 use platform::wait;
 use serde_json::Value;
 use serde_json::json;
@@ -67,7 +67,7 @@
          Authorization: Bearer key-ann"
     );
     wait("it is in force everywhere", || {
-        let mut places = hosts.places();
-        places.all(|place| ask(hosts.callers(place), &head, "").status == 200)
+        let mut places = hosts.indices();
+        places.all(|place| send_request(hosts.callers(place), &head, "").status == 200)
     });
 }
--- a/crates/curlewlift/tests/platform_places.rs
+++ b/crates/curlewlift/tests/platform_places.rs
@@ -5,9 +5,9 @@
 use platform::Answer;
 use platform::Engine;
 use platform::Hosts;
-use platform::ask;
 use platform::document;
 use platform::folder;
+use platform::send_request;
 use platform::wait;
 
 fn get(hosts: &Hosts, place: usize, round: usize) -> Answer {
@@ -15,7 +15,7 @@
         "GET /safe/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: {place}-{round}\r\n\
          X-Deadline-Ms: 5000\r\nAuthorization: Bearer key-ann"
     );
-    ask(hosts.callers(place), &head, "")
+    send_request(hosts.callers(place), &head, "")
 }
 
 #[test]
@@ -36,7 +36,7 @@
     }
     let read = "GET /api/config/get HTTP/1.1\r\nHost: x";
     wait("nobody leads", || {
-        ask(hosts.control(2), read, "").status == 503
+        send_request(hosts.control(2), read, "").status == 503
     });
     for round in 30..60 {
         assert_eq!(get(&hosts, 2, round).status, 200, "{round}");
--- a/crates/curlewlift/tests/platform_quarantine.rs
+++ b/crates/curlewlift/tests/platform_quarantine.rs
@@ -19,10 +19,10 @@
 use platform::Answer;
 use platform::Engine;
 use platform::Hosts;
-use platform::ask;
 use platform::document;
 use platform::entry;
 use platform::folder;
+use platform::send_request;
 use platform::wait;
 
 /// How many servers a request may end, and how often it may be sent past that.
@@ -59,7 +59,7 @@
             "POST {path} HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: try-{number}\r\n\
              X-Play: {play}\r\nX-Deadline-Ms: 5000\r\nAuthorization: Bearer key-{customer}"
         );
-        ask(self.hosts.callers(place), &head, "question")
+        send_request(self.hosts.callers(place), &head, "question")
     }
 
     /// Servers that have ended are back, and on the list.
@@ -71,8 +71,8 @@
     }
 
     /// How many servers have ended under a request.
-    fn ended(&self) -> u64 {
-        self.engines.iter().map(Engine::ended).sum()
+    fn crash_count(&self) -> u64 {
+        self.engines.iter().map(Engine::crash_count).sum()
     }
 }
 
@@ -84,7 +84,11 @@
         world.ask("ann", round % 3, "/stream/again", "crash");
         world.come_back();
     }
-    assert!(world.ended() <= ALLOWED, "{} ended", world.ended());
+    assert!(
+        world.crash_count() <= ALLOWED,
+        "{} ended",
+        world.crash_count()
+    );
     let answer = world.ask("ann", 0, "/stream/again", "crash");
     assert_eq!(answer.status, 502, "it may have run: {}", answer.body);
     assert_eq!(answer.header("retry-after"), None);
@@ -98,24 +102,28 @@
         world.ask("ann", round % 3, "/stream/killed", "crash");
         world.come_back();
     }
-    assert_eq!(world.ended(), 3);
-    for place in world.hosts.places() {
+    assert_eq!(world.crash_count(), 3);
+    for place in world.hosts.indices() {
         world.hosts.kill(place);
     }
-    for place in world.hosts.places() {
+    for place in world.hosts.indices() {
         world.hosts.boot(place, false);
     }
     wait("all are ready", || {
         world
             .hosts
-            .places()
+            .indices()
             .all(|place| world.hosts.is_ready(place))
     });
     for round in 0..3 {
         let answer = world.ask("ann", round, "/stream/killed", "crash");
         assert_eq!(answer.status, 502, "{round}: {}", answer.body);
     }
-    assert!(world.ended() <= ALLOWED, "{} ended", world.ended());
+    assert!(
+        world.crash_count() <= ALLOWED,
+        "{} ended",
+        world.crash_count()
+    );
 }
 
 /// It is known at a host that hears no hub.
@@ -138,7 +146,11 @@
         let answer = world.ask("ann", 2, "/stream/alone", "crash");
         assert!(answer.body.contains(withheld), "{}", answer.body);
     }
-    assert!(world.ended() <= ALLOWED, "{} ended", world.ended());
+    assert!(
+        world.crash_count() <= ALLOWED,
+        "{} ended",
+        world.crash_count()
+    );
     assert_eq!(world.ask("ann", 2, "/stream/other", "answer").status, 200);
 }
 
@@ -173,13 +185,13 @@
 fn sent_again() {
     let world = World::start("sent_again");
     for path in ["/safe/again", "/resume/again"] {
-        let before = world.ended();
+        let before = world.crash_count();
         for round in 0..4 {
             world.ask("ann", round % 3, path, "crash");
             world.come_back();
         }
         // One more where a gateway hears no hub for a moment and has not been told of the others' ends.
-        let ended = world.ended() - before;
+        let ended = world.crash_count() - before;
         assert!((3..=ALLOWED).contains(&ended), "{path}: {ended}");
     }
 }
@@ -198,9 +210,9 @@
         }
     }
     assert!(
-        (6..=2 * ALLOWED).contains(&world.ended()),
+        (6..=2 * ALLOWED).contains(&world.crash_count()),
         "{}",
-        world.ended()
+        world.crash_count()
     );
     for path in ["/stream/first", "/safe/second"] {
         let answer = world.ask("ann", 1, path, "crash");
--- a/crates/curlewlift/tests/platform_requests.rs
+++ b/crates/curlewlift/tests/platform_requests.rs
@@ -5,9 +5,9 @@
 use platform::Answer;
 use platform::Engine;
 use platform::Hosts;
-use platform::ask;
 use platform::document;
 use platform::folder;
+use platform::send_request;
 use platform::wait;
 
 /// Hosts with a configuration in force, and the two engines of `chat`.
@@ -31,12 +31,15 @@
             "POST /{route}/path?q=1 HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: {play}-1\r\n\
              X-Play: {play}\r\nX-Deadline-Ms: 5000\r\nAuthorization: Bearer key-ann"
         );
-        ask(self.hosts.callers(0), &head, "question")
+        send_request(self.hosts.callers(0), &head, "question")
     }
 
     /// How many requests reached an engine.
-    fn came(&self) -> usize {
-        self.engines.iter().map(|engine| engine.came().len()).sum()
+    fn received(&self) -> usize {
+        self.engines
+            .iter()
+            .map(|engine| engine.received().len())
+            .sum()
     }
 }
 
@@ -46,25 +49,25 @@
     let head = "POST /safe/a%20b?x=%2F HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: one\r\n\
                 X-Deadline-Ms: 5000\r\nAuthorization: Bearer key-ann\r\nX-Tenant: forged\r\n\
                 X-Hold: forged\r\nKv-From: forged\r\nX-Model: m\r\nX-Token-Counts: 10,20";
-    let answer = ask(world.hosts.callers(1), head, "the body");
+    let answer = send_request(world.hosts.callers(1), head, "the body");
     assert_eq!((answer.status, answer.body.as_str()), (200, "done"));
     assert_eq!(answer.header("x-response-signature"), Some("sealed"));
-    let came = world.engines.iter().flat_map(Engine::came);
-    let came: Vec<_> = came.collect();
-    assert_eq!(came.len(), 1);
+    let requests = world.engines.iter().flat_map(Engine::received);
+    let requests: Vec<_> = requests.collect();
+    assert_eq!(requests.len(), 1);
     assert!(
-        came[0]
+        requests[0]
             .head
             .starts_with("POST /safe/a%20b?x=%2F HTTP/1.1\r\n")
     );
-    assert_eq!(came[0].body, "the body");
-    assert_eq!(came[0].header("x-tenant"), Some("ann"));
-    assert_eq!(came[0].header("x-model"), Some("m"));
-    assert_eq!(came[0].header("x-attempt-id"), Some("one"));
+    assert_eq!(requests[0].body, "the body");
+    assert_eq!(requests[0].header("x-tenant"), Some("ann"));
+    assert_eq!(requests[0].header("x-model"), Some("m"));
+    assert_eq!(requests[0].header("x-attempt-id"), Some("one"));
     for taken_off in ["authorization", "x-hold", "kv-from"] {
-        assert_eq!(came[0].header(taken_off), None, "{taken_off}");
+        assert_eq!(requests[0].header(taken_off), None, "{taken_off}");
     }
-    let left: u64 = came[0]
+    let left: u64 = requests[0]
         .header("x-deadline-ms")
         .and_then(|left| left.parse().ok())
         .expect("set");
@@ -98,7 +101,7 @@
         assert_eq!(answer.status, 502, "{play}");
         assert_eq!(answer.header("retry-after"), None, "{play} may have run");
         assert_eq!(answer.header("x-response-signature"), None, "{play}");
-        assert_eq!(world.came(), number + 1, "{play} was sent once");
+        assert_eq!(world.received(), number + 1, "{play} was sent once");
     }
 }
 
@@ -147,7 +150,7 @@
     let answer = world.play("stream", "break");
     assert_eq!(answer.status, 200);
     assert!(!answer.whole, "it must not look whole");
-    assert_eq!(world.came(), 1);
+    assert_eq!(world.received(), 1);
 }
 
 #[test]
@@ -157,7 +160,7 @@
     assert!(answer.whole);
     let events: Vec<_> = (1..7).map(|n| format!("id: {n}\ndata: e{n}\n\n")).collect();
     assert_eq!(answer.body, events.concat(), "no event is lost or doubled");
-    assert_eq!(world.came(), 2);
+    assert_eq!(world.received(), 2);
 }
 
 #[test]
@@ -168,10 +171,13 @@
                 X-Deadline-Ms: 5000\r\nAuthorization: Bearer key-ann\r\nContent-Length: 0\r\n\r\n";
     let mut stream = std::net::TcpStream::connect(address).expect("a connection");
     std::io::Write::write_all(&mut stream, head.as_bytes()).expect("written");
-    wait("it reaches an engine", || world.came() == 1);
+    wait("it reaches an engine", || world.received() == 1);
     drop(stream);
     wait("the engine is left", || {
-        world.engines.iter().any(|engine| engine.left() == 1)
+        world
+            .engines
+            .iter()
+            .any(|engine| engine.abandoned_count() == 1)
     });
 }
 
@@ -188,7 +194,7 @@
     let world = World::start("refused_heads");
     let status = |line: &str, more: &str| {
         let head = format!("{line} HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a{more}");
-        ask(world.hosts.callers(0), &head, "").status
+        send_request(world.hosts.callers(0), &head, "").status
     };
     let ann = "\r\nAuthorization: Bearer key-ann";
     assert_eq!(status("GET /safe/", ""), 401);
@@ -204,10 +210,13 @@
     );
     assert_eq!(status("GET /open/", ""), 200);
     assert_eq!(status("GET /safe/", ann), 200);
-    assert_eq!(world.came(), 2);
+    assert_eq!(world.received(), 2);
     let long = "x".repeat(100_001);
     let head = format!("POST /safe/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a{ann}");
-    assert_eq!(ask(world.hosts.callers(0), &head, &long).status, 413);
+    assert_eq!(
+        send_request(world.hosts.callers(0), &head, &long).status,
+        413
+    );
 }
 
 #[test]
@@ -217,11 +226,11 @@
                 Authorization: Bearer key-ben";
     // Its 250 tokens and a little, at 100 a request.
     let statuses: Vec<_> = (0..8)
-        .map(|_| ask(world.hosts.callers(0), head, "").status)
+        .map(|_| send_request(world.hosts.callers(0), head, "").status)
         .collect();
     let served = statuses.iter().filter(|status| **status == 200).count();
     assert!((2..=3).contains(&served), "{statuses:?}");
-    let answer = ask(world.hosts.callers(0), head, "");
+    let answer = send_request(world.hosts.callers(0), head, "");
     assert_eq!(answer.status, 429);
     assert!(answer.header("retry-after").is_some());
     assert_eq!(
@@ -238,7 +247,7 @@
     let head = "GET /safe/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a\r\n\
                 X-Token-Counts: 18446744073709551615,2\r\nAuthorization: Bearer key-ben";
     let statuses: Vec<_> = (0..4)
-        .map(|_| ask(world.hosts.callers(0), head, "").status)
+        .map(|_| send_request(world.hosts.callers(0), head, "").status)
         .collect();
     let refused = statuses.iter().filter(|status| **status == 429).count();
     assert!(refused >= 3, "{statuses:?}");
@@ -248,7 +257,7 @@
 fn drained_takes_none() {
     let world = World::start("drained_takes_none");
     world.hosts.drain(&world.engines[0]);
-    let taken = |engine: &Engine| engine.came().len();
+    let taken = |engine: &Engine| engine.received().len();
     wait("the first engine is left alone at all hosts", || {
         let before = taken(&world.engines[0]);
         (0..12).for_each(|_| drop(world.play("safe", "answer")));
--- a/crates/curlewlift/tests/platform_rests.rs
+++ b/crates/curlewlift/tests/platform_rests.rs
@@ -14,8 +14,8 @@
 
 use std::time::Duration;
 
-use platform::Came;
-use platform::Trio;
+use platform::ReceivedRequest;
+use platform::ThreeHosts;
 use platform::wait;
 
 /// How many requests of a host may come in a time of rest.
@@ -25,31 +25,39 @@
 const REST: &str = "2.5";
 
 /// Two of three servers ask these hosts for rest, and the third serves all; once they serve again they are used.
-fn is_kept(world: &Trio, places: &[usize]) {
+fn is_kept(world: &ThreeHosts, places: &[usize]) {
     let (resting, last) = (&world.engines[..2], places[places.len() - 1]);
     for engine in resting {
-        engine.ask_for_rest(Some(REST));
+        engine.set_backoff(Some(REST));
     }
-    for answer in world.press(places, Duration::from_secs(4)) {
+    for answer in world.send_for(places, Duration::from_secs(4)) {
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
     for engine in resting {
-        assert_eq!(engine.rested_from(), places.len(), "each host has asked it");
-        assert!(engine.disturbed() <= ALLOWED, "{}", engine.disturbed());
-        engine.ask_for_rest(None);
-        world.until(last, engine, |_| true);
+        assert_eq!(
+            engine.count_backoff_hosts(),
+            places.len(),
+            "each host has asked it"
+        );
+        assert!(
+            engine.max_in_backoff() <= ALLOWED,
+            "{}",
+            engine.max_in_backoff()
+        );
+        engine.set_backoff(None);
+        world.send_until(last, engine, |_| true);
     }
 }
 
 #[test]
 fn kept() {
-    is_kept(&Trio::start("kept"), &[0, 1, 2]);
+    is_kept(&ThreeHosts::start("kept"), &[0, 1, 2]);
 }
 
 /// It holds as well at a host that hears no hub.
 #[test]
 fn no_hub() {
-    let mut world = Trio::start("no_hub_rest");
+    let mut world = ThreeHosts::start("no_hub_rest");
     world.hosts.kill(0);
     world.hosts.kill(1);
     is_kept(&world, &[2]);
@@ -58,41 +66,45 @@
 /// A stream that breaks is not taken up at a server that rests, but waits for one whose rest is soon over.
 #[test]
 fn stream_elsewhere() {
-    let world = Trio::start("stream_elsewhere");
+    let world = ThreeHosts::start("stream_elsewhere");
     let [first, resting, other] = &world.engines[..] else {
         unreachable!("three engines");
     };
-    resting.ask_for_rest(Some("20"));
-    world.until(0, resting, |_| true);
-    let came = resting.came().len();
-    other.ask_for_rest(Some("0.4"));
+    resting.set_backoff(Some("20"));
+    world.send_until(0, resting, |_| true);
+    let came = resting.received().len();
+    other.set_backoff(Some("0.4"));
     wait("the host is asked for rest", || {
-        world.ask(0, 0);
-        other.rested_from() > 0
+        world.send_open(0, 0);
+        other.count_backoff_hosts() > 0
     });
-    other.ask_for_rest(None);
-    let answer = world.play(0, 1, "/resume/", "break");
+    other.set_backoff(None);
+    let answer = world.send(0, 1, "/resume/", "break");
     assert!(answer.body.ends_with("data: e6\n\n"), "{}", answer.body);
-    assert_eq!(resting.came().len(), came);
-    let others = [first.came(), other.came()].concat();
-    let is_taken_up = |came: &Came| came.header("last-event-id") == Some("2");
+    assert_eq!(resting.received().len(), came);
+    let others = [first.received(), other.received()].concat();
+    let is_taken_up = |came: &ReceivedRequest| came.header("last-event-id") == Some("2");
     assert!(others.iter().any(is_taken_up));
 }
 
 /// All servers ask for it: callers are told so at once, truly, and when to come back.
 #[test]
 fn all_rest() {
-    let world = Trio::start("all_rest");
+    let world = ThreeHosts::start("all_rest");
     for engine in &world.engines {
-        engine.ask_for_rest(Some(REST));
+        engine.set_backoff(Some(REST));
     }
-    let answers = world.press(&[0, 1, 2], Duration::from_secs(4));
+    let answers = world.send_for(&[0, 1, 2], Duration::from_secs(4));
     for answer in &answers {
         assert_eq!(answer.status, 503, "{}", answer.body);
         assert!(answer.header("retry-after").is_some());
     }
     for engine in &world.engines {
-        assert!(engine.disturbed() <= ALLOWED, "{}", engine.disturbed());
+        assert!(
+            engine.max_in_backoff() <= ALLOWED,
+            "{}",
+            engine.max_in_backoff()
+        );
     }
     // Some were told when the first server is to be had again.
     let told = answers.iter().filter(|answer| {
@@ -108,11 +120,11 @@
 /// A time that makes no sense takes no server away.
 #[test]
 fn odd_times() {
-    let world = Trio::start("odd_times");
+    let world = ThreeHosts::start("odd_times");
     for odd in ["soon", "-3", "Wed, 21 Oct 2099 07:28:00 GMT", "NaN", "0"] {
-        world.engines[0].ask_for_rest(Some(odd));
-        world.until(0, &world.engines[0], |_| true);
-        world.engines[0].ask_for_rest(None);
-        world.until(0, &world.engines[0], |_| true);
+        world.engines[0].set_backoff(Some(odd));
+        world.send_until(0, &world.engines[0], |_| true);
+        world.engines[0].set_backoff(None);
+        world.send_until(0, &world.engines[0], |_| true);
     }
 }
--- a/crates/curlewlift/tests/platform_rollouts.rs
+++ b/crates/curlewlift/tests/platform_rollouts.rs
@@ -12,10 +12,10 @@
 use platform::Answer;
 use platform::Engine;
 use platform::Hosts;
-use platform::ask;
 use platform::document;
 use platform::entry;
 use platform::folder;
+use platform::send_request;
 use platform::wait;
 use serde_json::Value;
 use serde_json::json;
@@ -28,7 +28,7 @@
     let head = "POST /api/rollouts/start HTTP/1.1\r\nHost: x";
     let mut status = 503;
     wait("a leader responds to the order", || {
-        status = ask(hosts.control(host), head, body).status;
+        status = send_request(hosts.control(host), head, body).status;
         status != 503
     });
     status
@@ -42,7 +42,7 @@
 /// Requests the state of the rollout from a host.
 fn read(hosts: &Hosts, host: usize) -> Answer {
     let head = "GET /api/rollouts/chat/get HTTP/1.1\r\nHost: x";
-    ask(hosts.control(host), head, "")
+    send_request(hosts.control(host), head, "")
 }
 
 /// The state of the rollout; none if the host refuses to read it.
@@ -76,7 +76,7 @@
         "GET /safe/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: {id}\r\n\
          X-Deadline-Ms: 5000\r\nAuthorization: Bearer key-ann"
     );
-    ask(hosts.callers(host), &head, "")
+    send_request(hosts.callers(host), &head, "")
 }
 
 /// The server entries of the engines, with `version`.
@@ -91,7 +91,7 @@
 
 /// The number of requests that the engines have received.
 fn received(engines: &[Engine]) -> usize {
-    engines.iter().map(|engine| engine.came().len()).sum()
+    engines.iter().map(|engine| engine.received().len()).sum()
 }
 
 /// The engines of the version that serves before the rollout.
--- a/crates/curlewlift/tests/platform_seeds.rs
+++ b/crates/curlewlift/tests/platform_seeds.rs
@@ -20,9 +20,9 @@
 
 use platform::Engine;
 use platform::Hosts;
-use platform::ask;
 use platform::document;
 use platform::folder;
+use platform::send_request;
 use platform::wait;
 
 /// Hosts without a disk.
@@ -31,7 +31,7 @@
 fn served(hosts: &Hosts, place: usize) -> bool {
     let head = "GET /safe/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a\r\n\
                 X-Deadline-Ms: 5000\r\nAuthorization: Bearer key-ann";
-    hosts.is_ready(place) && ask(hosts.callers(place), head, "").status == 200
+    hosts.is_ready(place) && send_request(hosts.callers(place), head, "").status == 200
 }
 
 fn start(name: &str) -> Hosts {
@@ -45,7 +45,7 @@
 #[test]
 fn one_restarted() {
     let mut hosts = start("one_restarted");
-    hosts.name_seeds(&[4, 5]);
+    hosts.set_seeds(&[4, 5]);
     hosts.kill(3);
     hosts.boot(3, false);
     wait("it is served again", || served(&hosts, 3));
@@ -55,11 +55,11 @@
 #[test]
 fn all_restarted() {
     let mut hosts = start("all_restarted");
-    hosts.name_seeds(&[3, 4, 5]);
-    hosts.places().for_each(|place| hosts.kill(place));
-    hosts.places().for_each(|place| hosts.boot(place, false));
+    hosts.set_seeds(&[3, 4, 5]);
+    hosts.indices().for_each(|place| hosts.kill(place));
+    hosts.indices().for_each(|place| hosts.boot(place, false));
     wait("all are served again", || {
-        hosts.places().all(|place| served(&hosts, place))
+        hosts.indices().all(|place| served(&hosts, place))
     });
 }
 
@@ -67,12 +67,12 @@
 #[test]
 fn lost_disk() {
     let mut hosts = start("seeds_lost_disk");
-    hosts.name_seeds(&[3, 4, 5]);
+    hosts.set_seeds(&[3, 4, 5]);
     hosts.kill(0);
     hosts.wipe(0);
     hosts.boot(0, false);
     wait("it is served again", || served(&hosts, 0));
-    wait("the blank one counts", || hosts.counts_again(0));
+    wait("the blank one counts", || hosts.was_readmitted(0));
     hosts.kill(1);
     wait("a newer one is taken with it", || {
         hosts.put(2, &document(9).to_string()) == 200
--- a/crates/curlewlift/tests/platform_session.rs
+++ b/crates/curlewlift/tests/platform_session.rs
@@ -8,9 +8,9 @@
 use platform::Answer;
 use platform::Engine;
 use platform::Hosts;
-use platform::ask;
 use platform::document;
 use platform::folder;
+use platform::send_request;
 use platform::wait;
 
 use golden::Session;
@@ -26,15 +26,15 @@
 
 /// Writes down what was asked and what came.
 fn tell(session: &mut Session, asked: &str, answer: &Answer) {
-    session.did(asked);
-    session.said(&answer.status.to_string());
+    session.record_action(asked);
+    session.record_lines(&answer.status.to_string());
     for name in SHOWN {
         if let Some(value) = answer.header(name) {
-            session.said(&format!("{name}: {value}"));
+            session.record_lines(&format!("{name}: {value}"));
         }
     }
     let end = if answer.whole { "" } else { " (cut)" };
-    session.said(&format!("{}{end}", answer.body.trim_end()));
+    session.record_lines(&format!("{}{end}", answer.body.trim_end()));
 }
 
 fn request(route: &str, play: &str, key: &str) -> String {
@@ -53,7 +53,7 @@
     let mut session = Session::default();
     let resolve = "GET /api/resolve?name=shop.example&zone=none HTTP/1.1\r\nHost: x";
     wait("all are named", || {
-        ask(hosts.directory(0), resolve, "")
+        send_request(hosts.directory(0), resolve, "")
             .body
             .matches(':')
             .count()
@@ -72,20 +72,20 @@
         ("none", "answer", "key-ann"),
     ];
     for (route, play, key) in plays {
-        let answer = ask(hosts.callers(0), &request(route, play, key), "question");
+        let answer = send_request(hosts.callers(0), &request(route, play, key), "question");
         tell(&mut session, &format!("{route}, {play}, {key}"), &answer);
     }
     let put = "POST /api/config/put HTTP/1.1\r\nHost: x";
     let mut invalid = document(9);
     invalid["routes"][0]["service"] = serde_json::json!("none");
-    let answer = ask(hosts.control(1), put, &invalid.to_string());
+    let answer = send_request(hosts.control(1), put, &invalid.to_string());
     tell(&mut session, "put 9, with an unknown service", &answer);
-    let answer = ask(hosts.control(1), put, &document(8).to_string());
+    let answer = send_request(hosts.control(1), put, &document(8).to_string());
     tell(&mut session, "put 8", &answer);
-    let answer = ask(hosts.control(2), put, &document(6).to_string());
+    let answer = send_request(hosts.control(2), put, &document(6).to_string());
     tell(&mut session, "put 6, which is older", &answer);
     let get = "GET /api/config/get HTTP/1.1\r\nHost: x";
-    let answer = ask(hosts.control(0), get, "");
+    let answer = send_request(hosts.control(0), get, "");
     assert_eq!(answer.body, document(8).to_string());
     session.check("platform_session");
 }
--- a/crates/curlewlift/tests/platform_start.rs
+++ b/crates/curlewlift/tests/platform_start.rs
@@ -11,9 +11,9 @@
 use platform::Answer;
 use platform::Engine;
 use platform::Hosts;
-use platform::ask;
 use platform::document;
 use platform::folder;
+use platform::send_request;
 use platform::wait;
 
 /// The delay of the first table after the request: the gateway must let the caller wait at least this long.
@@ -31,7 +31,7 @@
     let early_caller = thread::spawn(move || {
         let head = "POST /safe/a HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: early\r\n\
                     X-Play: answer\r\nX-Deadline-Ms: 20000\r\nAuthorization: Bearer key-ann";
-        ask(callers, head, "question")
+        send_request(callers, head, "question")
     });
     thread::sleep(table_delay);
     hosts.configure(&document(7).to_string());
@@ -62,7 +62,7 @@
     let hosts = Hosts::start(folder("short_deadline"), &[(&engine, "chat")]);
     let head = "POST /safe/a HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: soon\r\n\
                 X-Deadline-Ms: 400\r\nAuthorization: Bearer key-ann";
-    let response = ask(hosts.callers(0), head, "question");
+    let response = send_request(hosts.callers(0), head, "question");
     assert_eq!(response.status, 503);
     assert!(response.body.contains("no-table"), "{}", response.body);
     assert!(response.header("retry-after").is_some());
--- a/crates/curlewlift/tests/platform_suspended.rs
+++ b/crates/curlewlift/tests/platform_suspended.rs
@@ -7,9 +7,9 @@
 use platform::Answer;
 use platform::Engine;
 use platform::Hosts;
-use platform::ask;
 use platform::document;
 use platform::folder;
+use platform::send_request;
 use platform::wait;
 
 /// How long a host is suspended: longer than any deadline, lease or part of an allowance here.
@@ -28,7 +28,7 @@
         "POST /safe/{path} HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: {path}\r\n\
          X-Play: {play}\r\nX-Deadline-Ms: 5000\r\nAuthorization: Bearer key-ann"
     );
-    ask(hosts.callers(place), &head, "question")
+    send_request(hosts.callers(place), &head, "question")
 }
 
 /// A request of before the suspension is past its deadline: it may be repeated, and is sent nowhere else.
@@ -38,12 +38,12 @@
     let answer = std::thread::scope(|scope| {
         let answer = scope.spawn(|| play(&hosts, 0, "one", "close-late"));
         wait("it is sent", || {
-            engines.iter().any(|engine| !engine.came().is_empty())
+            engines.iter().any(|engine| !engine.received().is_empty())
         });
         hosts.suspend(0, LONG);
         answer.join().expect("it is answered")
     });
-    let came: usize = engines.iter().map(|engine| engine.came().len()).sum();
+    let came: usize = engines.iter().map(|engine| engine.received().len()).sum();
     assert_eq!(came, 1, "{}", answer.body);
     assert_eq!(answer.status, 502, "it may have run: {}", answer.body);
 }
@@ -60,7 +60,7 @@
         wait("an operator is answered", || {
             hosts.put(0, &document(8 + round as u64).to_string()) == 200
         });
-        for place in hosts.places() {
+        for place in hosts.indices() {
             wait("callers are", || {
                 play(&hosts, place, "again", "answer").status == 200
             });
@@ -79,9 +79,9 @@
         wait("a table is taken", || {
             hosts.put(1, &document(version).to_string()) == 200
         });
-        for place in hosts.places() {
+        for place in hosts.indices() {
             hosts.suspend(place, LONG);
-            let answer = ask(hosts.control(place), read, "");
+            let answer = send_request(hosts.control(place), read, "");
             let newest = format!("\"version\":{version},");
             let is_newest = answer.body.contains(&newest);
             assert!(
--- a/crates/curlewlift/tests/platform_tables.rs
+++ b/crates/curlewlift/tests/platform_tables.rs
@@ -8,9 +8,9 @@
 use platform::Answer;
 use platform::Engine;
 use platform::Hosts;
-use platform::ask;
 use platform::document;
 use platform::folder;
+use platform::send_request;
 use platform::wait;
 use serde_json::Value;
 use serde_json::json;
@@ -23,7 +23,7 @@
 
 /// Requests the configuration from a host.
 fn read(hosts: &Hosts, host: usize) -> Answer {
-    ask(
+    send_request(
         hosts.control(host),
         "GET /api/config/get HTTP/1.1\r\nHost: x",
         "",
@@ -132,7 +132,7 @@
     hosts.configure(&document.to_string());
     let head = "GET /safe/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a\r\n\
                 X-Deadline-Ms: 18446744073709551615\r\nAuthorization: Bearer key-ann";
-    assert_eq!(ask(hosts.callers(0), head, "").status, 200);
+    assert_eq!(send_request(hosts.callers(0), head, "").status, 200);
 }
 
 #[test]
@@ -177,7 +177,7 @@
         // The next disk may be lost only after this: until then the wiped replica is still a voter with
         // its former disk, and only the other two replicas store a newer table.
         wait("the replica with the blank disk is a voter again", || {
-            hosts.counts_again(lost)
+            hosts.was_readmitted(lost)
         });
         let newer = document(9 + lost as u64).to_string();
         wait("a newer table is accepted", || {
@@ -208,7 +208,7 @@
     hosts.configure(&document(7).to_string());
     let head = "GET /api/resolve?name=shop.example&region=r&zone=none HTTP/1.1\r\nHost: x";
     let addresses = |hosts: &Hosts| {
-        let response = ask(hosts.directory(0), head, "");
+        let response = send_request(hosts.directory(0), head, "");
         let body: Value = serde_json::from_str(&response.body).unwrap_or_default();
         body["addresses"].as_array().map_or(0, Vec::len)
     };
@@ -220,7 +220,7 @@
     assert!(!hosts.is_ready(2));
     let head = "GET /open/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a";
     assert_eq!(
-        ask(hosts.callers(2), head, "").status,
+        send_request(hosts.callers(2), head, "").status,
         200,
         "a caller that still uses its address is served"
     );
--- a/crates/curlewlift/tests/request_keys.rs
+++ b/crates/curlewlift/tests/request_keys.rs
@@ -7,13 +7,13 @@
 use axum::http::Method;
 use curlewlift_lab::client::Client;
 
-use support::Small;
+use support::SmallSystem;
 
 const KEY: &str = "idempotency-key";
 
 #[test]
 fn same_instant() {
-    let small = Small::start("same_instant", 1, 3, 2);
+    let small = SmallSystem::start("same_instant", 1, 3, 2);
     let body = Client::chat("m", "hello", 40, false);
     let ask = |entry: usize| {
         let ann = small.ann.clone();
@@ -32,12 +32,12 @@
         two.body
     );
     assert_eq!(one.body, two.body);
-    assert_eq!(small.most_runs(), 1);
+    assert_eq!(small.max_runs(), 1);
 }
 
 #[test]
 fn resend_elsewhere() {
-    let small = Small::start("resend_elsewhere", 1, 3, 1);
+    let small = SmallSystem::start("resend_elsewhere", 1, 3, 1);
     let body = Client::chat("m", "hello", 5, true);
     let headers = [(KEY, "k1")];
     let first = small.ann.post(small.site.entry(0), &headers, body.clone());
@@ -45,7 +45,7 @@
     let again = small.ann.post(small.site.entry(2), &headers, body);
     let again = small.runtime.block_on(again);
     assert_eq!(first.body, again.body);
-    assert_eq!(small.most_runs(), 1);
+    assert_eq!(small.max_runs(), 1);
     let path = "/curlewlift/requests/k1";
     let state = small
         .ann
@@ -56,7 +56,7 @@
 
 #[test]
 fn other_body() {
-    let small = Small::start("other_body", 1, 3, 1);
+    let small = SmallSystem::start("other_body", 1, 3, 1);
     let headers = [(KEY, "k1")];
     let one = small.ann.post(
         small.site.entry(0),
@@ -82,7 +82,7 @@
 
 #[test]
 fn two_customers() {
-    let small = Small::start("two_customers", 1, 3, 1);
+    let small = SmallSystem::start("two_customers", 1, 3, 1);
     let headers = [(KEY, "k1")];
     let body = Client::chat("m", "hello", 3, false);
     let ann = small
@@ -103,7 +103,7 @@
 
 #[test]
 fn caller_returns() {
-    let small = Small::start("caller_returns", 1, 3, 1);
+    let small = SmallSystem::start("caller_returns", 1, 3, 1);
     let body = Client::chat("m", "hello", 200, true);
     let headers = [(KEY, "k1")];
     let first = small.ann.post(small.site.entry(0), &headers, body.clone());
@@ -116,12 +116,12 @@
         .block_on(small.ann.post(small.site.entry(1), &headers, body));
     assert_eq!(again.body.matches("\"delta\"").count(), 200);
     assert!(again.body.ends_with("code=0 outcome=run\n\n"));
-    assert_eq!(small.most_runs(), 1);
+    assert_eq!(small.max_runs(), 1);
 }
 
 #[test]
 fn drawn_key() {
-    let mut small = Small::start("drawn_key", 1, 3, 1);
+    let mut small = SmallSystem::start("drawn_key", 1, 3, 1);
     let body = Client::chat("m", "hello", 5, false);
     let first = small
         .runtime
@@ -152,7 +152,7 @@
             "5001"
         );
     }
-    assert_eq!(small.most_runs(), 1);
+    assert_eq!(small.max_runs(), 1);
     let unseen = Client::chat("m", "unseen", 5, false);
     let unseen = small
         .runtime
--- a/crates/curlewlift/tests/reused_connections.rs
+++ b/crates/curlewlift/tests/reused_connections.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::Ordering;
 
 use axum::http::Method;
-use support::Small;
+use support::SmallSystem;
 
 /// A server that answers the first request of each connection, reads the second and closes.
 fn closing_server() -> (SocketAddr, Arc<AtomicU32>) {
@@ -48,7 +48,7 @@
 
 #[test]
 fn not_resent() {
-    let mut small = Small::start("not_resent", 1, 1, 1);
+    let mut small = SmallSystem::start("not_resent", 1, 1, 1);
     let (address, count) = closing_server();
     small.site.run("create service odd sole=[\"POST /sole\"]");
     small.site.server("o1", "odd", address, "");
--- a/crates/curlewlift/tests/slow_senders.rs
+++ b/crates/curlewlift/tests/slow_senders.rs
@@ -6,11 +6,11 @@
 use std::net::TcpStream;
 
 use curlewlift_lab::client::Client;
-use support::Small;
+use support::SmallSystem;
 
 #[test]
 fn others_unharmed() {
-    let small = Small::start("others_unharmed", 1, 1, 1);
+    let small = SmallSystem::start("others_unharmed", 1, 1, 1);
     let entry = small.site.entry(0);
     let begun: Vec<_> = (0..300)
         .map(|number| {
@@ -33,7 +33,7 @@
 
 #[test]
 fn open_limit() {
-    let mut small = Small::start("open_limit", 1, 1, 1);
+    let mut small = SmallSystem::start("open_limit", 1, 1, 1);
     small.site.run("change customer ben open=5 rate=100000");
     small.site.wait_in_force();
     let entry = small.site.entry(0);
--- a/crates/curlewlift/tests/strict_tiers.rs
+++ b/crates/curlewlift/tests/strict_tiers.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use curlewlift_lab::client::Client;
-use support::Small;
+use support::SmallSystem;
 
 #[test]
 fn lower_sheds() {
-    let mut small = Small::start("lower_sheds", 1, 3, 1);
+    let mut small = SmallSystem::start("lower_sheds", 1, 3, 1);
     // One slot, slow, and room for some twenty short requests.
     small
         .site
@@ -47,5 +47,5 @@
     );
     assert!(count(false, "3001") > 0, "the lower tier is shed");
     assert_eq!(count(true, "3001"), 0);
-    assert_eq!(small.most_runs(), 1);
+    assert_eq!(small.max_runs(), 1);
 }
--- a/crates/curlewlift/tests/support/golden.rs
+++ b/crates/curlewlift/tests/support/golden.rs
@@ -1,15 +1,15 @@
-//! Golden files of whole sessions, in `tests/golden`.
+//! Compares whole sessions with golden files in `tests/golden`.
 //!
-//! `GOLDEN=write cargo test -p curlewlift --test golden_sessions` writes them anew; read the
-//! difference before it is committed.
+//! `GOLDEN=write cargo test -p curlewlift --test golden_sessions` rewrites the files; review the difference before
+//! committing it.
 
 use std::fmt::Write;
 use std::path::Path;
 
 use curlewlift_lab::client::Reply;
 
-/// Headers of an answer that a session shows.
-const SHOWN: [&str; 5] = [
+/// Response headers that a session shows.
+const SHOWN_HEADERS: [&str; 5] = [
     "content-type",
     "curlewlift-code",
     "curlewlift-outcome",
@@ -17,60 +17,61 @@
     "retry-after",
 ];
 
-/// What was said in one session.
+/// The transcript of one session.
 #[derive(Default)]
 pub(crate) struct Session {
     text: String,
-    names: Vec<(String, String)>,
+    replacements: Vec<(String, String)>,
 }
 
 impl Session {
-    /// Shows `name` wherever `value` would stand.
-    pub(crate) fn name(&mut self, value: &impl ToString, name: &str) {
-        self.names.push((value.to_string(), name.to_owned()));
+    /// Shows `placeholder` instead of `value` in the transcript.
+    pub(crate) fn replace(&mut self, value: &impl ToString, placeholder: &str) {
+        self.replacements
+            .push((value.to_string(), placeholder.to_owned()));
     }
 
-    /// Something that was done.
-    pub(crate) fn did(&mut self, what: &str) {
+    /// Records an action.
+    pub(crate) fn record_action(&mut self, what: &str) {
         let _ = writeln!(self.text, "> {what}");
     }
 
-    /// An answer over HTTP.
-    pub(crate) fn got(&mut self, reply: &Reply) {
+    /// Records an HTTP response.
+    pub(crate) fn record_response(&mut self, reply: &Reply) {
         let _ = writeln!(self.text, "< {}", reply.status);
-        for name in SHOWN {
+        for name in SHOWN_HEADERS {
             if !reply.header(name).is_empty() {
                 let _ = writeln!(self.text, "< {name}: {}", reply.header(name));
             }
         }
-        self.said(&reply.body);
+        self.record_lines(&reply.body);
     }
 
-    /// Lines that came back.
-    pub(crate) fn said(&mut self, text: &str) {
+    /// Records lines of output.
+    pub(crate) fn record_lines(&mut self, text: &str) {
         for line in text.trim_end().lines() {
             let _ = writeln!(self.text, "  {line}");
         }
     }
 
-    /// Holds the session against its file.
+    /// Compares the session with its golden file.
     pub(crate) fn check(self, name: &str) {
         let mut text = self.text;
-        for (value, shown) in &self.names {
-            text = text.replace(value, shown);
+        for (value, placeholder) in &self.replacements {
+            text = text.replace(value, placeholder);
         }
         let text: Vec<_> = text.lines().map(str::trim_end).collect();
         let text = text.join("\n") + "\n";
         let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden");
         let path = folder.join(format!("{name}.txt"));
         if std::env::var("GOLDEN").is_ok_and(|value| value == "write") {
-            std::fs::create_dir_all(&folder).expect("a folder");
-            std::fs::write(&path, &text).expect("written");
+            std::fs::create_dir_all(&folder).expect("the folder is created");
+            std::fs::write(&path, &text).expect("the golden file is written");
         }
-        let kept = std::fs::read_to_string(&path).unwrap_or_default();
+        let expected = std::fs::read_to_string(&path).unwrap_or_default();
         assert_eq!(
-            text, kept,
-            "{name}: the session is not as its golden file has it"
+            text, expected,
+            "{name}: the session differs from its golden file"
         );
     }
 }
--- a/crates/curlewlift/tests/support/mod.rs
+++ b/crates/curlewlift/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of whole systems share.
+//! Helpers shared by the tests of whole systems.
 
 #[allow(dead_code)]
 pub(crate) mod golden;
@@ -14,7 +14,7 @@
 use curlewlift_lab::standin::Shape;
 use tokio::runtime::Runtime;
 
-/// A fresh folder for one test, of this process alone.
+/// Returns an empty folder for one test of this process.
 pub(crate) fn folder(name: &str) -> PathBuf {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let count = COUNT.fetch_add(1, Ordering::Relaxed);
@@ -26,7 +26,7 @@
 
 /// A small system: engines of model `m`, one plain server, customers `ann` and `ben`.
 #[allow(dead_code)]
-pub(crate) struct Small {
+pub(crate) struct SmallSystem {
     pub site: Site,
     pub runtime: Runtime,
     pub engines: Vec<Engine>,
@@ -35,14 +35,15 @@
     pub ben: Client,
 }
 
-impl Small {
+impl SmallSystem {
+    /// Starts the system and waits until its configuration is in effect.
     #[allow(dead_code)]
     pub(crate) fn start(name: &str, control: usize, entries: usize, engines: usize) -> Self {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(2)
             .enable_all()
             .build()
-            .expect("a runtime");
+            .expect("the runtime starts");
         let halls = ["hall-a", "hall-b", "hall-c"];
         let mut site = Site::start(&folder(name), &halls, control, entries);
         site.tiers();
@@ -57,9 +58,9 @@
         let engines: Vec<_> = (0..engines)
             .map(|_| runtime.block_on(Engine::start(shape)))
             .collect();
-        for (place, engine) in engines.iter().enumerate() {
+        for (index, engine) in engines.iter().enumerate() {
             let fields = "slots=8 prefill=20000 decode=400";
-            site.server(&format!("m{}", place + 1), "chat", engine.address(), fields);
+            site.server(&format!("m{}", index + 1), "chat", engine.address(), fields);
         }
         let plain = runtime.block_on(Plain::start());
         site.server("p1", "pay", plain.address(), "slots=64");
@@ -74,9 +75,9 @@
         }
     }
 
-    /// How often any request was run at any engine, at the most.
+    /// Returns the maximum number of times that a request was run, over all engines.
     #[allow(dead_code)]
-    pub(crate) fn most_runs(&self) -> u32 {
+    pub(crate) fn max_runs(&self) -> u32 {
         let tallies = self.engines.iter().map(Engine::tally);
         let mut sums = std::collections::HashMap::new();
         for (id, runs) in tallies.flat_map(|tally| tally.runs) {
--- a/crates/curlewlift/tests/whole_path.rs
+++ b/crates/curlewlift/tests/whole_path.rs
@@ -4,11 +4,11 @@
 
 use curlewlift_lab::client::Client;
 
-use support::Small;
+use support::SmallSystem;
 
 #[test]
 fn streams_chat() {
-    let small = Small::start("streams_chat", 1, 1, 1);
+    let small = SmallSystem::start("streams_chat", 1, 1, 1);
     let body = Client::chat("m", "hello", 5, true);
     let reply = small
         .runtime
@@ -26,7 +26,7 @@
 
 #[test]
 fn answers_whole() {
-    let small = Small::start("answers_whole", 1, 1, 1);
+    let small = SmallSystem::start("answers_whole", 1, 1, 1);
     let body = Client::chat("m", "hello", 5, false);
     let reply = small
         .runtime
@@ -38,7 +38,7 @@
 
 #[test]
 fn passes_plain() {
-    let small = Small::start("passes_plain", 1, 1, 1);
+    let small = SmallSystem::start("passes_plain", 1, 1, 1);
     let method = "PUT".parse().expect("a method");
     let path = "/services/pay/a/b?c=d";
     let entry = small.site.entry(0);
