--- a/crates/curlewlift/examples/tour.rs
+++ b/crates/curlewlift/examples/tour.rs
@@ -20,7 +20,7 @@
 use curlewlift_lab::site::Site;
 use curlewlift_lab::standin::Engine;
 use curlewlift_lab::standin::Plain;
-use curlewlift_lab::standin::Shape;
+use curlewlift_lab::standin::Speed;
 use tokio::runtime::Runtime;
 
 /// Customers and their tiers.
@@ -117,7 +117,7 @@
     site.run("create service chat model=lm-pool floor=2");
     site.run("create service pay sole=[\"POST /charge\"]");
     for (customer, tier) in CUSTOMERS {
-        site.customer(customer, tier, "");
+        site.create_customer(customer, tier, "");
     }
     let shapes = [
         (20_000, 200),
@@ -128,9 +128,9 @@
     ];
     let mut engines = Vec::new();
     for (place, (prefill, decode)) in shapes.into_iter().enumerate() {
-        let engine = runtime.block_on(Engine::start(Shape { prefill, decode }));
+        let engine = runtime.block_on(Engine::start(Speed { prefill, decode }));
         let fields = format!("slots=8 prefill={prefill} decode={decode}");
-        site.server(
+        site.create_server(
             &format!("m{}", place + 1),
             "chat",
             engine.address(),
@@ -139,8 +139,8 @@
         engines.push(engine);
     }
     let plain = runtime.block_on(Plain::start());
-    site.server("p1", "pay", plain.address(), "slots=64");
-    site.wait_in_force();
+    site.create_server("p1", "pay", plain.address(), "slots=64");
+    site.wait_for_revision();
     Tour {
         site,
         runtime,
@@ -302,11 +302,11 @@
             row.offered, row.good, row.shed, row.refused, row.unknown, row.resent, row.cut
         );
     }
-    let tallies: Vec<_> = tour.engines.iter().map(Engine::tally).collect();
-    let prefill: u64 = tallies.iter().map(|tally| tally.prefill).sum();
-    let wasted: u64 = tallies.iter().map(|tally| tally.wasted).sum();
+    let all_stats: Vec<_> = tour.engines.iter().map(Engine::stats).collect();
+    let prefill: u64 = all_stats.iter().map(|stats| stats.prefill).sum();
+    let wasted: u64 = all_stats.iter().map(|stats| stats.wasted).sum();
     let mut runs: BTreeMap<String, u32> = BTreeMap::new();
-    for (id, count) in tallies.into_iter().flat_map(|tally| tally.runs) {
+    for (id, count) in all_stats.into_iter().flat_map(|stats| stats.runs) {
         *runs.entry(id).or_default() += count;
     }
     let charges = tour.plain.calls();
--- a/crates/curlewlift/tests/broken_answers.rs
+++ b/crates/curlewlift/tests/broken_answers.rs
@@ -34,7 +34,7 @@
     let small = SmallSystem::start("lost_stream", 1, 1, 1);
     small.engines[0].set_faults(Faults {
         break_after: Some(300),
-        lose: true,
+        lose_stream: true,
         ..Faults::default()
     });
     let body = Client::chat("m", "hello", 20, true);
@@ -50,7 +50,7 @@
 fn short_answer() {
     let small = SmallSystem::start("short_answer", 1, 1, 1);
     small.engines[0].set_faults(Faults {
-        short: true,
+        truncate: true,
         ..Faults::default()
     });
     let body = Client::chat("m", "hello", 20, false);
@@ -80,7 +80,7 @@
             .block_on(small.ann.post(small.site.entry(0), &[], body));
         assert_eq!(reply.status, 200, "{}", reply.body);
     }
-    assert!(small.engines[0].tally().runs.is_empty());
+    assert!(small.engines[0].stats().runs.is_empty());
     small.engines[1].set_faults(Faults {
         refuse: true,
         ..Faults::default()
@@ -121,8 +121,8 @@
     let address = free.local_addr().expect("an address");
     drop(free);
     small.site.run("create service away");
-    small.site.server("a1", "away", address, "");
-    small.site.wait_in_force();
+    small.site.create_server("a1", "away", address, "");
+    small.site.wait_for_revision();
     let to = small.site.entry(0);
     let away = small
         .ann
@@ -135,8 +135,10 @@
         "surely nothing went out"
     );
     // Beside a server that answers, it goes there.
-    small.site.server("a2", "away", small.plain.address(), "");
-    small.site.wait_in_force();
+    small
+        .site
+        .create_server("a2", "away", small.plain.address(), "");
+    small.site.wait_for_revision();
     for number in 0..4 {
         let path = format!("/services/away/{number}");
         let reply = small.ann.send(to, Method::POST, &path, &[], "");
--- a/crates/curlewlift/tests/control_hosts.rs
+++ b/crates/curlewlift/tests/control_hosts.rs
@@ -27,7 +27,7 @@
 
 /// The number of tiers in the configuration, or 0 if no leader responds.
 fn count_tiers(site: &Site) -> usize {
-    site.ask("show tiers as json")
+    site.query("show tiers as json")
         .map_or(0, |text| text.lines().count())
 }
 
@@ -62,7 +62,7 @@
 fn all_restart() {
     let mut site = Site::start(&support::folder("all_restart"), &HALLS, 3, 0);
     site.wait_for_replicas(3);
-    site.tiers();
+    site.create_tiers();
     for index in 0..3 {
         site.kill_control(index);
     }
@@ -79,7 +79,7 @@
     let folder = support::folder("lost_disk");
     let mut site = Site::start(&folder, &HALLS, 3, 0);
     site.wait_for_replicas(3);
-    site.tiers();
+    site.create_tiers();
     site.kill_control(2);
     std::fs::remove_dir_all(folder.join("c3")).expect("the data folder can be removed");
     site.restart_control(2);
@@ -112,7 +112,7 @@
 fn torn_record() {
     let folder = support::folder("torn_record");
     let mut site = Site::start(&folder, &HALLS, 1, 0);
-    site.tiers();
+    site.create_tiers();
     site.kill_control(0);
     let path = folder.join("c1/journal");
     let mut bytes = std::fs::read(&path).expect("the journal can be read");
@@ -129,7 +129,7 @@
 fn flipped_bit() {
     let folder = support::folder("flipped_bit");
     let mut site = Site::start(&folder, &HALLS, 1, 0);
-    site.tiers();
+    site.create_tiers();
     site.kill_control(0);
     let folder = folder.join("c1");
     let intact = std::fs::read(folder.join("journal")).expect("the journal can be read");
--- a/crates/curlewlift/tests/golden_sessions.rs
+++ b/crates/curlewlift/tests/golden_sessions.rs
@@ -97,7 +97,7 @@
             Err(why) => session.record_lines(&why.to_string()),
         }
     }
-    small.site.wait_in_force();
+    small.site.wait_for_revision();
     for number in 0..6 {
         let body = Client::chat("m", &format!("hello {number}"), 2, false);
         let reply = small.ann.post(small.site.entry(0), &[], body);
@@ -106,7 +106,7 @@
     let runs: Vec<_> = small
         .engines
         .iter()
-        .map(|engine| engine.tally().runs.len())
+        .map(|engine| engine.stats().runs.len())
         .collect();
     session.record_lines(&format!("requests run at m1 and m2 after that: {runs:?}"));
     session.check("drained_servers");
--- a/crates/curlewlift/tests/leaving_servers.rs
+++ b/crates/curlewlift/tests/leaving_servers.rs
@@ -50,19 +50,19 @@
         }
         panic!("leaving: {}", leaving());
     };
-    platform.tell(5, &[("x", true), ("y", false)]);
+    platform.set_hosts(5, &[("x", true), ("y", false)]);
     wait_for("{\"name\":\"x\"}\n");
-    platform.tell(4, &[("x", false), ("y", true)]);
+    platform.set_hosts(4, &[("x", false), ("y", true)]);
     std::thread::sleep(Duration::from_millis(1_500));
     wait_for("{\"name\":\"x\"}\n");
-    platform.tell(6, &[("y", true)]);
+    platform.set_hosts(6, &[("y", true)]);
     wait_for("{\"name\":\"x\"}\n{\"name\":\"y\"}\n");
     // Two at once: each drain is a command of its own.
     for (number, name) in [(10, "a"), (11, "b")] {
         let line = format!("create server {name} service=s address=127.0.0.1:3 hall=h");
         operator.run(number, &line).expect("it is applied");
     }
-    platform.tell(7, &[("a", true), ("b", true), ("y", true)]);
+    platform.set_hosts(7, &[("a", true), ("b", true), ("y", true)]);
     wait_for("{\"name\":\"a\"}\n{\"name\":\"b\"}\n{\"name\":\"x\"}\n{\"name\":\"y\"}\n");
     control.kill();
 }
--- a/crates/curlewlift/tests/request_keys.rs
+++ b/crates/curlewlift/tests/request_keys.rs
@@ -77,7 +77,7 @@
         );
         assert_eq!(two.header("curlewlift-outcome"), "not-run");
     }
-    assert_eq!(small.engines[0].tally().runs.len(), 1);
+    assert_eq!(small.engines[0].stats().runs.len(), 1);
 }
 
 #[test]
@@ -98,7 +98,7 @@
         .runtime
         .block_on(small.ben.post(small.site.entry(0), &headers, body));
     assert_eq!((ann.status, ben.status), (200, 200));
-    assert_eq!(small.engines[0].tally().runs.len(), 2);
+    assert_eq!(small.engines[0].stats().runs.len(), 2);
 }
 
 #[test]
--- a/crates/curlewlift/tests/reused_connections.rs
+++ b/crates/curlewlift/tests/reused_connections.rs
@@ -51,8 +51,8 @@
     let mut small = SmallSystem::start("not_resent", 1, 1, 1);
     let (address, count) = closing_server();
     small.site.run("create service odd sole=[\"POST /sole\"]");
-    small.site.server("o1", "odd", address, "");
-    small.site.wait_in_force();
+    small.site.create_server("o1", "odd", address, "");
+    small.site.wait_for_revision();
     let to = small.site.entry(0);
     let post = |path: &str| {
         let reply = small.ann.send(to, Method::POST, path, &[], "body");
--- a/crates/curlewlift/tests/slow_senders.rs
+++ b/crates/curlewlift/tests/slow_senders.rs
@@ -35,7 +35,7 @@
 fn open_limit() {
     let mut small = SmallSystem::start("open_limit", 1, 1, 1);
     small.site.run("change customer ben open=5 rate=100000");
-    small.site.wait_in_force();
+    small.site.wait_for_revision();
     let entry = small.site.entry(0);
     let ask = |number: usize| {
         let ben = small.ben.clone();
--- a/crates/curlewlift/tests/strict_tiers.rs
+++ b/crates/curlewlift/tests/strict_tiers.rs
@@ -15,7 +15,7 @@
         .site
         .run("change server m1 slots=1 decode=20 prefill=2000");
     small.site.run("change service chat work=500");
-    small.site.wait_in_force();
+    small.site.wait_for_revision();
     let ask = |number: usize| {
         let high = number % 2 == 1;
         let client = if high {
--- a/crates/curlewlift/tests/support/mod.rs
+++ b/crates/curlewlift/tests/support/mod.rs
@@ -11,7 +11,7 @@
 use curlewlift_lab::site::Site;
 use curlewlift_lab::standin::Engine;
 use curlewlift_lab::standin::Plain;
-use curlewlift_lab::standin::Shape;
+use curlewlift_lab::standin::Speed;
 use tokio::runtime::Runtime;
 
 /// Returns an empty folder for one test of this process.
@@ -46,12 +46,12 @@
             .expect("the runtime starts");
         let halls = ["hall-a", "hall-b", "hall-c"];
         let mut site = Site::start(&folder(name), &halls, control, entries);
-        site.tiers();
+        site.create_tiers();
         site.run("create service chat model=m");
         site.run("create service pay sole=[\"POST /charge\"]");
-        site.customer("ann", "live", "");
-        site.customer("ben", "later", "");
-        let shape = Shape {
+        site.create_customer("ann", "live", "");
+        site.create_customer("ben", "later", "");
+        let shape = Speed {
             prefill: 20_000,
             decode: 400,
         };
@@ -60,11 +60,11 @@
             .collect();
         for (index, engine) in engines.iter().enumerate() {
             let fields = "slots=8 prefill=20000 decode=400";
-            site.server(&format!("m{}", index + 1), "chat", engine.address(), fields);
+            site.create_server(&format!("m{}", index + 1), "chat", engine.address(), fields);
         }
         let plain = runtime.block_on(Plain::start());
-        site.server("p1", "pay", plain.address(), "slots=64");
-        site.wait_in_force();
+        site.create_server("p1", "pay", plain.address(), "slots=64");
+        site.wait_for_revision();
         Self {
             site,
             runtime,
@@ -78,9 +78,9 @@
     /// Returns the maximum number of times that a request was run, over all engines.
     #[allow(dead_code)]
     pub(crate) fn max_runs(&self) -> u32 {
-        let tallies = self.engines.iter().map(Engine::tally);
+        let all_stats = self.engines.iter().map(Engine::stats);
         let mut sums = std::collections::HashMap::new();
-        for (id, runs) in tallies.flat_map(|tally| tally.runs) {
+        for (id, runs) in all_stats.flat_map(|stats| stats.runs) {
             *sums.entry(id).or_insert(0) += runs;
         }
         sums.into_values().max().unwrap_or(0)
--- a/crates/lab/examples/commits.rs
+++ b/crates/lab/examples/commits.rs
@@ -88,7 +88,7 @@
     site.kill_control(0);
     let began = Instant::now();
     site.restart_control(0);
-    while site.ask("show tiers").is_err() {
+    while site.query("show tiers").is_err() {
         std::thread::sleep(Duration::from_millis(5));
     }
     let took = began.elapsed().as_secs_f64();
--- a/crates/lab/examples/forwarding.rs
+++ b/crates/lab/examples/forwarding.rs
@@ -19,11 +19,11 @@
 use axum::response::IntoResponse;
 use axum::routing::any;
 use curlewlift_lab::client::Client;
-use curlewlift_lab::gauge::memory;
-use curlewlift_lab::gauge::threads;
 use curlewlift_lab::site::Site;
 use curlewlift_lab::standin::Engine;
-use curlewlift_lab::standin::Shape;
+use curlewlift_lab::standin::Speed;
+use curlewlift_lab::usage::memory_bytes;
+use curlewlift_lab::usage::thread_cpu_seconds;
 use hyper_util::client::legacy::connect::HttpConnector;
 
 type Http = hyper_util::client::legacy::Client<HttpConnector, Body>;
@@ -79,7 +79,7 @@
 impl Bench {
     /// Seconds of processor time that the threads `name` spend on one round.
     fn round(&self, name: &str, to: SocketAddr) -> f64 {
-        let before = threads(name);
+        let before = thread_cpu_seconds(name);
         self.runtime.block_on(async {
             let streams = (0..STREAMS).map(|number| {
                 let client = self.client.clone();
@@ -91,7 +91,7 @@
             });
             futures::future::join_all(streams).await;
         });
-        threads(name) - before
+        thread_cpu_seconds(name) - before
     }
 
     /// Milliseconds to the first byte of a small whole answer, the median of many.
@@ -119,16 +119,16 @@
         .build();
     let runtime = runtime.expect("a runtime");
     let mut site = Site::start(&folder, &["a"], 1, 1);
-    site.tiers();
+    site.create_tiers();
     site.run("create service chat model=m");
-    site.customer("ann", "live", "rate=1000000 open=100000");
-    let engine = runtime.block_on(Engine::start(Shape {
+    site.create_customer("ann", "live", "rate=1000000 open=100000");
+    let engine = runtime.block_on(Engine::start(Speed {
         prefill: 10_000_000,
         decode: 2_000,
     }));
     let fields = "slots=10000 prefill=10000000 decode=2000";
-    site.server("m1", "chat", engine.address(), fields);
-    site.wait_in_force();
+    site.create_server("m1", "chat", engine.address(), fields);
+    site.wait_for_revision();
     let bare = pass_through(engine.address());
     let bench = Bench {
         runtime,
@@ -160,7 +160,7 @@
         "median of a small answer: bare {direct:.2} ms, entry {entry:.2} ms, added {:.2} ms",
         entry - direct
     );
-    let before = memory();
+    let before = memory_bytes();
     let to = site.entry(0);
     let open: Vec<_> = (0..1_000)
         .map(|number| {
@@ -172,7 +172,7 @@
         })
         .collect();
     std::thread::sleep(Duration::from_secs(2));
-    let each = memory().saturating_sub(before) / 1_000;
+    let each = memory_bytes().saturating_sub(before) / 1_000;
     println!("memory of an open stream, with its stand-in engine's and client's: {each} bytes");
     drop(open);
     let _ = std::fs::remove_dir_all(folder);
--- a/crates/lab/examples/slopes.rs
+++ b/crates/lab/examples/slopes.rs
@@ -42,13 +42,13 @@
 use curlewlift_core::view::Renewal;
 use curlewlift_core::view::Roster;
 use curlewlift_lab::client::Client;
-use curlewlift_lab::gauge::loopback;
-use curlewlift_lab::gauge::memory;
-use curlewlift_lab::gauge::processor;
-use curlewlift_lab::gauge::threads;
 use curlewlift_lab::site::Site;
 use curlewlift_lab::standin::Engine;
-use curlewlift_lab::standin::Shape;
+use curlewlift_lab::standin::Speed;
+use curlewlift_lab::usage::cpu_seconds;
+use curlewlift_lab::usage::loopback_bytes;
+use curlewlift_lab::usage::memory_bytes;
+use curlewlift_lab::usage::thread_cpu_seconds;
 
 fn main() {
     let arguments: Vec<_> = std::env::args().skip(1).collect();
@@ -144,9 +144,9 @@
     );
     let mut points = Vec::new();
     for waiting in [1_000, 100_000] {
-        let before = memory();
+        let before = memory_bytes();
         let took = turn_time(1_800, waiting);
-        let bytes = memory().saturating_sub(before) as f64 / f64::from(waiting);
+        let bytes = memory_bytes().saturating_sub(before) as f64 / f64::from(waiting);
         println!("  {waiting} waiting: {took:.2} us a turn, {bytes:.0} bytes of new memory each");
         points.push((f64::from(waiting), took));
     }
@@ -233,7 +233,7 @@
     let mut table = Table::new(own, Duration::from_secs(100_000), usize::MAX);
     table.apply_view(&roster, &Roster::default(), Instant::default());
     let mut key = 0_u128;
-    let before = memory();
+    let before = memory_bytes();
     let mut points = Vec::new();
     for count in [100_000_u32, 200_000, 400_000, 800_000] {
         let took = time(
@@ -260,7 +260,7 @@
         println!("  up to {count} kept: {took:.2} us a claim");
         points.push((
             f64::from(count),
-            memory().saturating_sub(before) as f64 / 1e6,
+            memory_bytes().saturating_sub(before) as f64 / 1e6,
         ));
     }
     fit("memory, by thousand records", "MB", &points);
@@ -388,10 +388,10 @@
         .build();
     let runtime = runtime.expect("a runtime");
     let mut site = Site::start(&folder, &["h1", "h2", "h3"], 1, 6);
-    site.tiers();
+    site.create_tiers();
     site.run("create service chat model=m");
-    site.customer("ann", "live", "rate=100000 open=100000");
-    let shape = Shape {
+    site.create_customer("ann", "live", "rate=100000 open=100000");
+    let shape = Speed {
         prefill: 10_000_000,
         decode: 1_000_000,
     };
@@ -400,9 +400,9 @@
         .collect();
     for (place, engine) in engines.iter().enumerate() {
         let fields = "slots=1000 prefill=10000000 decode=1000000";
-        site.server(&format!("m{place}"), "chat", engine.address(), fields);
+        site.create_server(&format!("m{place}"), "chat", engine.address(), fields);
     }
-    site.wait_in_force();
+    site.wait_for_revision();
     let idle = spent(&runtime, &site, 0, 1);
     println!("  idle: {:.2}% of a core an entry", 100.0 * idle / 6.0);
     let mut points = Vec::new();
@@ -430,13 +430,13 @@
     const COUNT: usize = 400;
     let client = Client::new("key-ann");
     let idle = {
-        let before = loopback();
+        let before = loopback_bytes();
         std::thread::sleep(Duration::from_secs(2));
-        (loopback() - before) / 2.0
+        (loopback_bytes() - before) / 2.0
     };
     let ask = |to: &dyn Fn(usize) -> std::net::SocketAddr, keyed: bool| {
         let began = Wall::now();
-        let before = loopback();
+        let before = loopback_bytes();
         for number in 0..COUNT {
             let key = format!("k{number}");
             let headers = [("idempotency-key", key.as_str())];
@@ -445,7 +445,7 @@
             runtime.block_on(client.post(to(number), headers, body));
         }
         let rest = idle * began.elapsed().as_secs_f64();
-        (loopback() - before - rest) / COUNT as f64
+        (loopback_bytes() - before - rest) / COUNT as f64
     };
     let direct = ask(&|number| engines[number % engines.len()].address(), false);
     let drawn = ask(&|number| site.entry(number % 6), false);
@@ -460,7 +460,7 @@
 /// Seconds of processor time a second that all entries spend under a load.
 fn spent(runtime: &tokio::runtime::Runtime, site: &Site, rate: u32, tokens: u64) -> f64 {
     const SECONDS: u32 = 4;
-    let before = threads("entry");
+    let before = thread_cpu_seconds("entry");
     let began = Wall::now();
     let client = Client::new("key-ann");
     let entries: Vec<_> = (0..6).map(|place| site.entry(place)).collect();
@@ -482,7 +482,7 @@
         }
         tokio::time::sleep_until((began + Duration::from_secs(u64::from(SECONDS))).into()).await;
     });
-    (threads("entry") - before) / began.elapsed().as_secs_f64()
+    (thread_cpu_seconds("entry") - before) / began.elapsed().as_secs_f64()
 }
 
 fn processes(most: usize) {
@@ -493,22 +493,23 @@
     let mut mem = Vec::new();
     let counts = [10, 40, 120, 340];
     for entries in counts.into_iter().filter(|entries| *entries <= most) {
-        let before = memory();
+        let before = memory_bytes();
         let halls = ["h1", "h2", "h3", "h4", "h5", "h6"];
         let began = Wall::now();
         let place = folder.join(entries.to_string());
         let mut site = Site::start_with(&place, &halls, 1, entries, LeaseTiming::default());
         let ready = began.elapsed().as_secs_f64();
         std::thread::sleep(Duration::from_secs(2));
-        let (cpu_before, bytes_before, time_before) = (processor(), loopback(), Wall::now());
+        let (cpu_before, bytes_before, time_before) =
+            (cpu_seconds(), loopback_bytes(), Wall::now());
         std::thread::sleep(Duration::from_secs(5));
         let seconds = time_before.elapsed().as_secs_f64();
-        let spent = 100.0 * (processor() - cpu_before) / seconds;
-        let rate = (loopback() - bytes_before) / seconds / 1_000.0;
-        let kept = memory().saturating_sub(before) as f64 / 1e6;
+        let spent = 100.0 * (cpu_seconds() - cpu_before) / seconds;
+        let rate = (loopback_bytes() - bytes_before) / seconds / 1_000.0;
+        let kept = memory_bytes().saturating_sub(before) as f64 / 1e6;
         let changed = Wall::now();
         site.run("create tier t1 rank=1");
-        site.wait_in_force();
+        site.wait_for_revision();
         let force = changed.elapsed().as_secs_f64();
         println!(
             "  {entries} entries: {spent:.1}% of a core and {rate:.1} KB/s in all, {kept:.0} MB more; \
--- a/crates/lab/src/client.rs
+++ b/crates/lab/src/client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client, as an ordinary caller has one.
+//! A small HTTP client, like that of an ordinary caller.
 
 use std::net::SocketAddr;
 
@@ -9,21 +9,21 @@
 use http_body_util::BodyExt;
 use hyper_util::client::legacy::connect::HttpConnector;
 
-/// What came back.
+/// A response.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// The HTTP status; 0 where there was no answer.
+    /// The HTTP status; 0 if there was no response.
     pub status: u16,
     /// The headers.
     pub headers: HeaderMap,
-    /// The body, as far as it came.
+    /// The body, as far as it was received.
     pub body: String,
-    /// Whether the body came to its end.
+    /// Whether the body is complete.
     pub whole: bool,
 }
 
 impl Reply {
-    /// A header as text, empty where there is none.
+    /// Returns a header as text, or an empty text.
     #[must_use]
     pub fn header(&self, name: &str) -> &str {
         self.headers
@@ -41,7 +41,7 @@
 }
 
 impl Client {
-    /// A caller with the bearer key `key`.
+    /// Creates a caller with the bearer key `key`.
     #[must_use]
     pub fn new(key: &str) -> Self {
         let executor = hyper_util::rt::TokioExecutor::new();
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A streamed or whole chat completion of `words` words, answered with `tokens` tokens.
+    /// Returns the body of a chat completion that is answered with `tokens` tokens, streamed or not.
     #[must_use]
     pub fn chat(model: &str, prompt: &str, tokens: u64, stream: bool) -> String {
         let message = serde_json::json!({ "role": "user", "content": prompt });
@@ -64,10 +64,10 @@
         body.to_string()
     }
 
-    /// Sends a request and takes the whole answer.
+    /// Sends a request and reads the whole response.
     pub async fn send(
         &self,
-        to: SocketAddr,
+        address: SocketAddr,
         method: Method,
         path: &str,
         headers: &[(&str, &str)],
@@ -75,22 +75,22 @@
     ) -> Reply {
         let mut request = Request::builder()
             .method(method)
-            .uri(format!("http://{to}{path}"));
+            .uri(format!("http://{address}{path}"));
         request = request.header("authorization", format!("Bearer {}", self.key));
         for (name, value) in headers {
             request = request.header(*name, *value);
         }
-        let none = Reply {
+        let no_response = Reply {
             status: 0,
             headers: HeaderMap::new(),
             body: String::new(),
             whole: false,
         };
         let Ok(request) = request.body(body.into()) else {
-            return none;
+            return no_response;
         };
         let Ok(response) = self.http.request(request).await else {
-            return none;
+            return no_response;
         };
         let (parts, mut body) = response.into_parts();
         let mut bytes = Vec::new();
@@ -110,8 +110,8 @@
     }
 
     /// Posts a chat completion.
-    pub async fn post(&self, to: SocketAddr, headers: &[(&str, &str)], body: String) -> Reply {
-        self.send(to, Method::POST, "/v1/chat/completions", headers, body)
+    pub async fn post(&self, address: SocketAddr, headers: &[(&str, &str)], body: String) -> Reply {
+        self.send(address, Method::POST, "/v1/chat/completions", headers, body)
             .await
     }
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,18 +1,18 @@
-//! What the project tests and measures itself with; nothing here is part of the product.
+//! Tools to test and measure the project; nothing here is part of the product.
 //!
-//! Stand-ins for what stands outside (engines and plain servers), a small client, and a site: a
-//! whole system on loopback in one process.
+//! Stand-ins for external systems (engines, plain servers, the platform), a small HTTP client, a site (a whole system
+//! on loopback in one process), and simulations of scheduling and of roll-outs.
 
 #![allow(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "figures for people, far below where it matters"
+    reason = "statistics for display; the values are small enough"
 )]
 
 pub mod client;
-pub mod gauge;
 pub mod measure;
 pub mod rollout;
 pub mod site;
 pub mod standin;
+pub mod usage;
--- a/crates/lab/src/standin/buffer.rs
+++ b/crates/lab/src/standin/buffer.rs
@@ -1,4 +1,4 @@
-//! A stream that is written once and read from any byte, so that a reader can come back.
+//! A stream that is written once and read from any byte, so that a reader can resume.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -9,51 +9,51 @@
 #[derive(Default)]
 struct State {
     bytes: Vec<u8>,
-    ended: bool,
-    read: usize,
+    finished: bool,
+    read_len: usize,
 }
 
-/// A stream of an engine.
+/// A response stream of an engine.
 #[derive(Default)]
 pub(super) struct Buffer {
     state: Mutex<State>,
-    grown: Notify,
+    changed: Notify,
 }
 
 impl Buffer {
     pub(super) fn write(&self, bytes: &[u8]) {
         self.lock().bytes.extend_from_slice(bytes);
-        self.grown.notify_waiters();
+        self.changed.notify_waiters();
     }
 
-    pub(super) fn end(&self) {
-        self.lock().ended = true;
-        self.grown.notify_waiters();
+    pub(super) fn finish(&self) {
+        self.lock().finished = true;
+        self.changed.notify_waiters();
     }
 
-    /// Waits for bytes after `from`, at most `most`; none at the end.
-    pub(super) async fn next(&self, from: usize, most: usize) -> Option<Vec<u8>> {
+    /// Waits for bytes after `from` and returns up to `max_len` of them; none at the end of the stream.
+    pub(super) async fn next(&self, from: usize, max_len: usize) -> Option<Vec<u8>> {
         loop {
-            let grown = self.grown.notified();
+            let changed = self.changed.notified();
             {
                 let mut state = self.lock();
                 if state.bytes.len() > from {
-                    let to = state.bytes.len().min(from.saturating_add(most));
-                    state.read = state.read.max(to);
-                    return Some(state.bytes[from..to].to_vec());
+                    let end = state.bytes.len().min(from.saturating_add(max_len));
+                    state.read_len = state.read_len.max(end);
+                    return Some(state.bytes[from..end].to_vec());
                 }
-                if state.ended {
+                if state.finished {
                     return None;
                 }
             }
-            grown.await;
+            changed.await;
         }
     }
 
-    /// Whether all of it was taken by a reader.
+    /// Whether a reader has read the whole stream.
     pub(super) fn is_read(&self) -> bool {
         let state = self.lock();
-        state.ended && state.read == state.bytes.len()
+        state.finished && state.read_len == state.bytes.len()
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
--- a/crates/lab/src/standin/engine.rs
+++ b/crates/lab/src/standin/engine.rs
@@ -1,4 +1,5 @@
-//! A model engine: prefill in turn, decode together, a prompt cache, streams that can be resumed.
+//! A stand-in for a model engine: it prefills one request at a time, decodes all together, has a prompt cache, and can
+//! resume streams.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -32,70 +33,70 @@
 
 use super::buffer::Buffer;
 
-/// Prompts that the cache holds.
-const CACHE: usize = 64;
+/// How many prompt prefixes the cache holds.
+const CACHE_CAPACITY: usize = 64;
 
-/// Bytes of text in a token.
+/// Bytes of text per token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// How fast an engine is.
+/// The speed of an engine.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
-    /// Prompt tokens a second.
+pub struct Speed {
+    /// Prompt tokens per second.
     pub prefill: u32,
-    /// Tokens a second for one request.
+    /// Output tokens per second for one request.
     pub decode: u32,
 }
 
-/// What an engine is made to do wrong.
+/// Faults of an engine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Breaks the first connection of each stream after so many bytes.
+    /// Breaks the first connection of each stream after this many bytes.
     pub break_after: Option<usize>,
-    /// Ends the stream there for good: a resume is refused.
-    pub lose: bool,
-    /// Refuses before running.
+    /// Refuses to resume a stream.
+    pub lose_stream: bool,
+    /// Refuses requests without running them.
     pub refuse: bool,
-    /// By how much it is slower.
-    pub slow: u32,
-    /// Answers a whole completion with fewer bytes than its length says.
-    pub short: bool,
+    /// The factor by which it is slower.
+    pub slowdown: u32,
+    /// Breaks off the response to a completion that is not streamed after half of its bytes.
+    pub truncate: bool,
 }
 
-/// What an engine has done.
+/// Statistics of an engine.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
-    /// How often each request was run, by its identity.
+pub struct Stats {
+    /// How often each request was run, by its id.
     pub runs: HashMap<String, u32>,
-    /// Prompt tokens that were computed.
+    /// Prompt tokens computed.
     pub prefill: u64,
-    /// Those of them whose answer nobody has taken whole, among the finished.
+    /// Prompt tokens computed for finished requests whose response nobody read to the end.
     pub wasted: u64,
-    /// Requests that finished.
+    /// Finished requests.
     pub finished: u32,
 }
 
 #[derive(Default)]
-struct Inner {
+struct EngineState {
     faults: Faults,
-    tally: Tally,
+    stats: Stats,
     cache: VecDeque<u64>,
     buffers: HashMap<String, Arc<Buffer>>,
 }
 
 struct Shared {
-    shape: Shape,
-    inner: Mutex<Inner>,
+    speed: Speed,
+    inner: Mutex<EngineState>,
     prefill: tokio::sync::Mutex<()>,
 }
 
 impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, EngineState> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn slow(&self) -> u32 {
-        self.lock().faults.slow.max(1)
+    fn slowdown(&self) -> u32 {
+        self.lock().faults.slowdown.max(1)
     }
 }
 
@@ -107,16 +108,18 @@
 }
 
 impl Engine {
-    /// Starts an engine on loopback.
+    /// Starts an engine on the loopback interface.
     ///
     /// # Panics
     ///
-    /// If no port can be had.
-    pub async fn start(shape: Shape) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let address = listener.local_addr().expect("an address");
+    /// If no port is free.
+    pub async fn start(speed: Speed) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port is free");
+        let address = listener.local_addr().expect("the listener has an address");
         let shared = Arc::new(Shared {
-            shape,
+            speed,
             inner: Mutex::default(),
             prefill: tokio::sync::Mutex::default(),
         });
@@ -136,31 +139,31 @@
         }
     }
 
-    /// Where it listens.
+    /// The address at which it listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Makes it do wrong from now on.
+    /// Sets its faults from now on.
     pub fn set_faults(&self, faults: Faults) {
         self.shared.lock().faults = faults;
     }
 
-    /// What it has done.
+    /// Returns its statistics so far.
     #[must_use]
-    pub fn tally(&self) -> Tally {
-        self.shared.lock().tally.clone()
+    pub fn stats(&self) -> Stats {
+        self.shared.lock().stats.clone()
     }
 
-    /// Takes no more connections, and lets those that are open end.
+    /// Stops accepting connections; open connections continue.
     pub fn close(&self) {
         self.task.abort();
     }
 }
 
-/// What a completion asks for.
-struct Wanted {
+/// The parameters of a completion.
+struct Completion {
     id: String,
     prompt: u64,
     cached: u64,
@@ -179,39 +182,41 @@
     let Ok(body) = serde_json::from_slice::<Value>(&body) else {
         return StatusCode::BAD_REQUEST.into_response();
     };
-    let wanted = wanted(&engine, &headers, &body);
+    let completion = completion(&engine, &headers, &body);
     let buffer = Arc::new(Buffer::default());
     {
         let mut inner = engine.lock();
-        *inner.tally.runs.entry(wanted.id.clone()).or_default() += 1;
-        inner.buffers.insert(wanted.id.clone(), Arc::clone(&buffer));
+        *inner.stats.runs.entry(completion.id.clone()).or_default() += 1;
+        inner
+            .buffers
+            .insert(completion.id.clone(), Arc::clone(&buffer));
     }
-    let stream = wanted.stream;
+    let stream = completion.stream;
     let faults = engine.lock().faults;
-    tokio::spawn(generate(engine, wanted, Arc::clone(&buffer)));
+    tokio::spawn(generate(engine, completion, Arc::clone(&buffer)));
     if stream {
-        return streamed(buffer, 0, faults.break_after);
+        return stream_response(buffer, 0, faults.break_after);
     }
-    let mut whole = Vec::new();
-    while let Some(bytes) = buffer.next(whole.len(), usize::MAX).await {
-        whole.extend(bytes);
+    let mut response = Vec::new();
+    while let Some(bytes) = buffer.next(response.len(), usize::MAX).await {
+        response.extend(bytes);
     }
-    if faults.short {
-        let half = Bytes::copy_from_slice(&whole[..whole.len() / 2]);
-        let parts = [Ok(half), Err(std::io::Error::other("broken"))];
-        return Body::from_stream(stream::iter(parts)).into_response();
+    if faults.truncate {
+        let first_half = Bytes::copy_from_slice(&response[..response.len() / 2]);
+        let chunks = [Ok(first_half), Err(std::io::Error::other("broken"))];
+        return Body::from_stream(stream::iter(chunks)).into_response();
     }
-    ([(header::CONTENT_TYPE, "application/json")], whole).into_response()
+    ([(header::CONTENT_TYPE, "application/json")], response).into_response()
 }
 
-fn wanted(engine: &Shared, headers: &HeaderMap, body: &Value) -> Wanted {
+fn completion(engine: &Shared, headers: &HeaderMap, body: &Value) -> Completion {
     let id = headers.get("x-request-id").and_then(|id| id.to_str().ok());
-    let texts: Vec<String> = match body["messages"].as_array() {
+    let segments: Vec<String> = match body["messages"].as_array() {
         Some(messages) => messages.iter().map(ToString::to_string).collect(),
         None => vec![body["prompt"].to_string()],
     };
-    let (prompt, cached) = look_up(engine, &texts);
-    Wanted {
+    let (prompt, cached) = update_cache(engine, &segments);
+    Completion {
         id: id.unwrap_or("none").to_owned(),
         prompt,
         cached,
@@ -220,13 +225,13 @@
     }
 }
 
-/// Tokens of the prompt, and how many of them are cached; caches them all.
-fn look_up(engine: &Shared, texts: &[String]) -> (u64, u64) {
+/// Returns the tokens of the prompt and how many of them were cached, and caches them all.
+fn update_cache(engine: &Shared, segments: &[String]) -> (u64, u64) {
     let mut inner = engine.lock();
     let mut hash = 0;
     let mut length = 0;
     let mut cached = 0;
-    for text in texts {
+    for text in segments {
         hash = twox_hash::XxHash64::oneshot(hash, text.as_bytes());
         length += text.len();
         let tokens = (length / BYTES_PER_TOKEN + 1) as u64;
@@ -236,71 +241,71 @@
             inner.cache.push_back(hash);
         }
     }
-    while inner.cache.len() > CACHE {
+    while inner.cache.len() > CACHE_CAPACITY {
         inner.cache.pop_front();
     }
     ((length / BYTES_PER_TOKEN + 1) as u64, cached)
 }
 
-/// Computes the answer, whether anyone reads it or not.
-async fn generate(engine: Arc<Shared>, wanted: Wanted, buffer: Arc<Buffer>) {
-    let computed = wanted.prompt - wanted.cached;
+/// Generates the response, whether anyone reads it or not.
+async fn generate(engine: Arc<Shared>, completion: Completion, buffer: Arc<Buffer>) {
+    let computed = completion.prompt - completion.cached;
     {
-        let _turn = engine.prefill.lock().await;
-        pause(computed, engine.shape.prefill / engine.slow()).await;
+        let _prefill_slot = engine.prefill.lock().await;
+        wait_for_tokens(computed, engine.speed.prefill / engine.slowdown()).await;
     }
-    engine.lock().tally.prefill += computed;
+    engine.lock().stats.prefill += computed;
     let usage = json!({
-        "prompt_tokens": wanted.prompt,
-        "completion_tokens": wanted.output,
-        "prompt_tokens_details": { "cached_tokens": wanted.cached },
+        "prompt_tokens": completion.prompt,
+        "completion_tokens": completion.output,
+        "prompt_tokens_details": { "cached_tokens": completion.cached },
     });
     let mut text = String::new();
-    for place in 0..wanted.output {
-        pause(1, engine.shape.decode / engine.slow()).await;
-        let token = format!("t{place} ");
-        if wanted.stream {
+    for index in 0..completion.output {
+        wait_for_tokens(1, engine.speed.decode / engine.slowdown()).await;
+        let token = format!("t{index} ");
+        if completion.stream {
             let delta = json!({ "choices": [{ "index": 0, "delta": { "content": token } }] });
             buffer.write(format!("data: {delta}\n\n").as_bytes());
         } else {
             text += &token;
         }
     }
-    if wanted.stream {
-        let last = json!({ "choices": [], "usage": usage });
-        buffer.write(format!("data: {last}\n\ndata: [DONE]\n\n").as_bytes());
+    if completion.stream {
+        let final_event = json!({ "choices": [], "usage": usage });
+        buffer.write(format!("data: {final_event}\n\ndata: [DONE]\n\n").as_bytes());
     } else {
         let message = json!({ "role": "assistant", "content": text });
         let choice = json!({ "index": 0, "message": message, "finish_reason": "stop" });
-        let whole = json!({ "object": "chat.completion", "choices": [choice], "usage": usage });
-        buffer.write(whole.to_string().as_bytes());
+        let response = json!({ "object": "chat.completion", "choices": [choice], "usage": usage });
+        buffer.write(response.to_string().as_bytes());
     }
-    buffer.end();
-    // A reader that has lost its connection may come back for a while.
+    buffer.finish();
+    // A reader that has lost its connection may resume for a while.
     tokio::time::sleep(Duration::from_secs(1)).await;
     let mut inner = engine.lock();
-    inner.tally.finished += 1;
+    inner.stats.finished += 1;
     if !buffer.is_read() {
-        inner.tally.wasted += computed;
+        inner.stats.wasted += computed;
     }
 }
 
-async fn pause(tokens: u64, rate: u32) {
+async fn wait_for_tokens(tokens: u64, rate: u32) {
     let seconds = Duration::from_secs(tokens) / rate.max(1);
     tokio::time::sleep(seconds).await;
 }
 
-fn streamed(buffer: Arc<Buffer>, from: usize, break_after: Option<usize>) -> Response<Body> {
-    let parts = stream::unfold((buffer, from), move |(buffer, from)| async move {
-        let most = break_after.map_or(usize::MAX, |after| after.saturating_sub(from));
-        if most == 0 {
+fn stream_response(buffer: Arc<Buffer>, from: usize, break_after: Option<usize>) -> Response<Body> {
+    let chunks = stream::unfold((buffer, from), move |(buffer, from)| async move {
+        let max_len = break_after.map_or(usize::MAX, |after| after.saturating_sub(from));
+        if max_len == 0 {
             return Some((Err(std::io::Error::other("broken")), (buffer, from)));
         }
-        let bytes = buffer.next(from, most).await?;
+        let bytes = buffer.next(from, max_len).await?;
         let next = from + bytes.len();
         Some((Ok(Bytes::from(bytes)), (buffer, next)))
     });
-    let body = Body::from_stream(parts);
+    let body = Body::from_stream(chunks);
     ([(header::CONTENT_TYPE, "text/event-stream")], body).into_response()
 }
 
@@ -316,7 +321,9 @@
 ) -> Response<Body> {
     let inner = engine.lock();
     match inner.buffers.get(&id) {
-        Some(buffer) if !inner.faults.lose => streamed(Arc::clone(buffer), from, None),
+        Some(buffer) if !inner.faults.lose_stream => {
+            stream_response(Arc::clone(buffer), from, None)
+        }
         _ => StatusCode::NOT_FOUND.into_response(),
     }
 }
@@ -330,6 +337,6 @@
 
 async fn load(State(engine): State<Arc<Shared>>) -> Json<Value> {
     let inner = engine.lock();
-    let running = inner.tally.runs.values().sum::<u32>() - inner.tally.finished;
+    let running = inner.stats.runs.values().sum::<u32>() - inner.stats.finished;
     Json(json!({ "running": running }))
 }
--- a/crates/lab/src/standin/mod.rs
+++ b/crates/lab/src/standin/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for backend servers, as docs/INTERFACES.md describes them.
+//! Stand-ins for backend servers and the platform, as docs/INTERFACES.md describes them.
 
 mod buffer;
 mod engine;
@@ -7,7 +7,7 @@
 
 pub use engine::Engine;
 pub use engine::Faults;
-pub use engine::Shape;
-pub use engine::Tally;
+pub use engine::Speed;
+pub use engine::Stats;
 pub use plain::Plain;
 pub use platform::Platform;
--- a/crates/lab/src/standin/plain.rs
+++ b/crates/lab/src/standin/plain.rs
@@ -1,4 +1,4 @@
-//! A plain server: echoes what it gets, and counts each call.
+//! A stand-in for a plain server: echoes requests and counts them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -29,14 +29,16 @@
 }
 
 impl Plain {
-    /// Starts a plain server on loopback.
+    /// Starts a plain server on the loopback interface.
     ///
     /// # Panics
     ///
-    /// If no port can be had.
+    /// If no port is free.
     pub async fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port is free");
+        let address = listener.local_addr().expect("the listener has an address");
         let shared = Arc::new(Shared::default());
         let router = Router::new()
             .fallback(any(echo))
@@ -47,13 +49,13 @@
         Self { address, shared }
     }
 
-    /// Where it listens.
+    /// The address at which it listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// How often each body was received.
+    /// How often each request (method, URI and body) was received.
     #[must_use]
     pub fn calls(&self) -> HashMap<String, u32> {
         self.shared
@@ -63,7 +65,7 @@
             .clone()
     }
 
-    /// Answers only after `delay` from now on.
+    /// Delays each response by `delay` from now on.
     pub fn set_delay(&self, delay: Duration) {
         *self
             .shared
--- a/crates/lab/src/standin/platform.rs
+++ b/crates/lab/src/standin/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of hosts.
+//! A stand-in for the platform's list of hosts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,17 +20,19 @@
 }
 
 impl Platform {
-    /// Starts a platform on loopback with an empty list.
+    /// Starts a platform on the loopback interface, with an empty list.
     ///
     /// # Panics
     ///
-    /// If no port can be had.
+    /// If no port is free.
     pub async fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port is free");
+        let address = listener.local_addr().expect("the listener has an address");
         let list = Arc::new(Mutex::new(json!({ "version": 0, "hosts": [] })));
         let router = Router::new()
-            .route("/hosts", get(tell))
+            .route("/hosts", get(get_hosts))
             .with_state(Arc::clone(&list));
         tokio::spawn(async move {
             let _ = axum::serve(listener, router).await;
@@ -38,14 +40,14 @@
         Self { address, list }
     }
 
-    /// Where it listens.
+    /// The address at which it listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Tells this list from now on: names, and whether each leaves.
-    pub fn tell(&self, version: u64, hosts: &[(&str, bool)]) {
+    /// Replaces the list: the name of each host, and whether it is leaving.
+    pub fn set_hosts(&self, version: u64, hosts: &[(&str, bool)]) {
         let hosts: Vec<_> = hosts
             .iter()
             .map(|(name, leaving)| json!({ "name": name, "leaving": leaving }))
@@ -55,6 +57,6 @@
     }
 }
 
-async fn tell(State(list): State<Arc<Mutex<Value>>>) -> Json<Value> {
+async fn get_hosts(State(list): State<Arc<Mutex<Value>>>) -> Json<Value> {
     Json(list.lock().unwrap_or_else(PoisonError::into_inner).clone())
 }
--- a/crates/lab/src/gauge.rs
+++ b/crates/lab/src/usage.rs
@@ -1,25 +1,25 @@
-//! Readings of this process, from what the kernel tells.
+//! Resource usage of this process, as the kernel reports it.
 
-/// Bytes of a page of memory.
-const PAGE: u64 = 4_096;
+/// Bytes in a page of memory.
+const PAGE_BYTES: u64 = 4_096;
 
-/// Clock ticks a second in `/proc/self/stat`.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second in `/proc/self/stat`.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Bytes of memory that this process has in use.
+/// Resident memory of this process in bytes.
 #[must_use]
-pub fn memory() -> u64 {
+pub fn memory_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text
         .split(' ')
         .nth(1)
         .and_then(|pages| pages.parse::<u64>().ok());
-    pages.unwrap_or(0) * PAGE
+    pages.unwrap_or(0) * PAGE_BYTES
 }
 
-/// Seconds of processor time of this process.
+/// CPU time of this process in seconds.
 #[must_use]
-pub fn processor() -> f64 {
+pub fn cpu_seconds() -> f64 {
     let text = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields: Vec<_> = text
         .rsplit(')')
@@ -27,13 +27,13 @@
         .unwrap_or_default()
         .split(' ')
         .collect();
-    let field = |place: usize| fields.get(place).and_then(|text| text.parse::<f64>().ok());
-    (field(12).unwrap_or(0.0) + field(13).unwrap_or(0.0)) / TICKS
+    let field = |index: usize| fields.get(index).and_then(|text| text.parse::<f64>().ok());
+    (field(12).unwrap_or(0.0) + field(13).unwrap_or(0.0)) / TICKS_PER_SECOND
 }
 
-/// Bytes that went over loopback.
+/// Bytes received over the loopback interface.
 #[must_use]
-pub fn loopback() -> f64 {
+pub fn loopback_bytes() -> f64 {
     let text = std::fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = text
         .lines()
@@ -46,9 +46,9 @@
     first.and_then(|bytes| bytes.parse().ok()).unwrap_or(0.0)
 }
 
-/// Seconds of processor time of the threads whose names begin with `name`.
+/// CPU time in seconds of the threads whose names start with `name`.
 #[must_use]
-pub fn threads(name: &str) -> f64 {
+pub fn thread_cpu_seconds(name: &str) -> f64 {
     let tasks = std::fs::read_dir("/proc/self/task")
         .into_iter()
         .flatten()
@@ -56,7 +56,7 @@
     let read = |file: &str| std::fs::read_to_string(file).unwrap_or_default();
     let paths = tasks.map(|task| task.path().display().to_string());
     let named = paths.filter(|path| read(&format!("{path}/comm")).starts_with(name));
-    // The first number of schedstat is the time on a processor in nanoseconds.
+    // The first number of schedstat is the CPU time in nanoseconds.
     let spent = named.map(|path| {
         let text = read(&format!("{path}/schedstat"));
         text.split(' ')
