--- a/crates/lab/examples/rollouts.rs
+++ b/crates/lab/examples/rollouts.rs
@@ -79,14 +79,17 @@
     let back = part(&|outcome| outcome.phase == Some(Phase::RolledBack));
     let over = outcomes
         .iter()
-        .map(|outcome| outcome.over)
+        .map(|outcome| outcome.max_over_bound)
         .fold(f64::MIN, f64::max);
-    let exposed = outcomes
-        .iter()
-        .map(|outcome| outcome.exposed as f64 / (outcome.reached as f64 * 0.1 + 50.0));
+    let exposed = outcomes.iter().map(|outcome| {
+        outcome.new_version_requests as f64 / (outcome.requests as f64 * 0.1 + 50.0)
+    });
     let exposed = exposed.fold(0.0, f64::max);
-    let after = outcomes.iter().map(|outcome| outcome.after_fiftieth).max();
-    let cut: u64 = outcomes.iter().map(|outcome| outcome.cut).sum();
+    let after = outcomes
+        .iter()
+        .map(|outcome| outcome.ms_after_fiftieth)
+        .max();
+    let cut: u64 = outcomes.iter().map(|outcome| outcome.cut_off).sum();
     let fault = name(fault);
     println!(
         "| {fault} | {trouble:?} | {in_time:.3} | {back:.3} | {exposed:.2} (over {over:.0}) | {} | {cut} |",
--- a/crates/lab/src/rollout/engine.rs
+++ b/crates/lab/src/rollout/engine.rs
@@ -1,4 +1,4 @@
-//! A server of either version: how long its answers take, and which are bad.
+//! A simulated server of either version: how long its responses take, and which fail or are slow.
 
 use std::time::Duration;
 
@@ -7,25 +7,25 @@
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
-/// What is wrong with a version.
+/// A fault of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Four in ten answers are failures.
+    /// Four in ten requests fail.
     Fails,
-    /// Half of the answers are failures, from four seconds after the order on.
+    /// Half of the requests fail, from four seconds after the order on.
     FailsLater,
-    /// Seven in ten answers are failures where a server runs half as much as it may.
+    /// Seven in ten requests fail while a server has at least half of its slots in use.
     FailsUnderLoad,
-    /// Six in ten answers under the least asked rule are failures.
+    /// Six in ten requests under the least used rule fail.
     FailsOneRule,
-    /// All answers come four times slower.
+    /// All responses are four times slower.
     Slow,
-    /// Half of the answers come five times slower, from four seconds after the order on.
+    /// Half of the responses are five times slower, from four seconds after the order on.
     SlowLater,
 }
 
 impl Fault {
-    /// All of them.
+    /// All faults.
     pub const ALL: [Self; 6] = [
         Self::Fails,
         Self::FailsLater,
@@ -35,8 +35,8 @@
         Self::SlowLater,
     ];
 
-    /// How long after the order it is bad, in milliseconds.
-    fn begins_ms(self) -> u64 {
+    /// How long after the order it starts, in milliseconds.
+    fn starts_after_ms(self) -> u64 {
         match self {
             Self::FailsLater | Self::SlowLater => 4_000,
             _ => 0,
@@ -44,124 +44,126 @@
     }
 }
 
-/// A rule: how often it is asked, the time to the first byte of an answer and between two pieces in
-/// milliseconds, the pieces, and the part of its answers that fail anyway.
+/// A rule: its share of the requests, the times to the first byte of a response and between two chunks in milliseconds,
+/// the number of chunks, and the share of requests that fail on a good version too.
 pub(super) struct Rule {
     pub(super) name: &'static str,
-    pub(super) often: f64,
-    first: f64,
-    gap: f64,
-    pieces: f64,
-    fails: f64,
+    pub(super) share: f64,
+    first_byte_ms: f64,
+    gap_ms: f64,
+    chunks: f64,
+    failure_rate: f64,
 }
 
-/// The rules of the service, the least asked one last.
+/// The rules of the service, the least used one last.
 pub(super) const RULES: [Rule; 3] = [
     Rule {
         name: "brief",
-        often: 0.5,
-        first: 90.0,
-        gap: 20.0,
-        pieces: 13.0,
-        fails: 0.003,
+        share: 0.5,
+        first_byte_ms: 90.0,
+        gap_ms: 20.0,
+        chunks: 13.0,
+        failure_rate: 0.003,
     },
     Rule {
         name: "commentary",
-        often: 0.35,
-        first: 30.0,
-        gap: 20.0,
-        pieces: 30.0,
-        fails: 0.003,
+        share: 0.35,
+        first_byte_ms: 30.0,
+        gap_ms: 20.0,
+        chunks: 30.0,
+        failure_rate: 0.003,
     },
     Rule {
         name: "fetch",
-        often: 0.15,
-        first: 15.0,
-        gap: 0.0,
-        pieces: 0.0,
-        fails: 0.12,
+        share: 0.15,
+        first_byte_ms: 15.0,
+        gap_ms: 0.0,
+        chunks: 0.0,
+        failure_rate: 0.12,
     },
 ];
 
-/// A server as it behaves.
+/// A simulated server.
 #[derive(Clone, Debug)]
 pub(super) struct Engine {
     pub(super) server: Server,
     pub(super) is_new: bool,
-    /// How much slower it is than the fastest.
-    pub(super) pace: f64,
+    /// How many times slower it is than the fastest server.
+    pub(super) slowness: f64,
     pub(super) running: u32,
-    /// It fails so much of its answers for a reason of its own.
-    pub(super) grey: f64,
-    /// Until when it is down, in milliseconds.
-    pub(super) down_until: u64,
+    /// The share of requests that fail for reasons unrelated to its version.
+    pub(super) failure_rate: f64,
+    /// Until when it is down, in milliseconds of simulated time.
+    pub(super) down_until_ms: u64,
 }
 
-/// What an answer comes to.
+/// How an attempt ends.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Play {
-    pub(super) end: AttemptOutcome,
-    /// When it ends, in milliseconds after its begin.
-    pub(super) takes: u64,
-    /// Whether its version's fault made it so.
-    pub(super) is_bad: bool,
+pub(super) struct Attempt {
+    pub(super) outcome: AttemptOutcome,
+    /// When it ends, in milliseconds after its start.
+    pub(super) duration_ms: u64,
+    /// Whether the fault of the version affected it.
+    pub(super) is_faulty: bool,
 }
 
 impl Engine {
-    /// The answer to a request under a rule; `fault` is that of its version, `age` the time since the order.
-    pub(super) fn play(
+    /// Simulates a request under a rule; `fault` is that of the new version, `age_ms` the time since the order.
+    pub(super) fn run_request(
         &self,
         rule: usize,
         fault: Option<Fault>,
-        age: u64,
+        age_ms: u64,
         random: &mut SmallRng,
-    ) -> Play {
+    ) -> Attempt {
         let Rule {
-            first,
-            gap,
-            pieces,
-            fails,
+            first_byte_ms,
+            gap_ms,
+            chunks,
+            failure_rate,
             ..
         } = RULES[rule];
-        let fault = fault.filter(|fault| self.is_new && age >= fault.begins_ms());
-        let lot: f64 = random.random();
+        let fault = fault.filter(|fault| self.is_new && age_ms >= fault.starts_after_ms());
+        let random_value: f64 = random.random();
         let is_loaded = self.running * 2 >= self.server.slots;
-        let bad = fault.is_some_and(|fault| match fault {
-            Fault::Fails => lot < 0.4,
-            Fault::FailsLater | Fault::SlowLater => lot < 0.5,
-            Fault::FailsUnderLoad => is_loaded && lot < 0.7,
-            Fault::FailsOneRule => rule == RULES.len() - 1 && lot < 0.6,
+        let is_faulty = fault.is_some_and(|fault| match fault {
+            Fault::Fails => random_value < 0.4,
+            Fault::FailsLater | Fault::SlowLater => random_value < 0.5,
+            Fault::FailsUnderLoad => is_loaded && random_value < 0.7,
+            Fault::FailsOneRule => rule == RULES.len() - 1 && random_value < 0.6,
             Fault::Slow => true,
         });
-        let slower = match fault {
+        let fault_slowdown = match fault {
             Some(Fault::Slow) => 4.0,
-            Some(Fault::SlowLater) if bad => 5.0,
+            Some(Fault::SlowLater) if is_faulty => 5.0,
             _ => 1.0,
         };
-        let is_slow = slower > 1.0;
+        let is_slow = fault_slowdown > 1.0;
         let load = 1.0 + 0.2 * f64::from(self.running);
-        let spread =
+        let variation =
             0.7 + 0.6 * random.random::<f64>() + if random.random_bool(0.03) { 2.0 } else { 0.0 };
-        let each = self.pace * load * slower;
-        let first = first * each * spread;
-        let gap = gap * each * (0.9 + 0.2 * random.random::<f64>());
-        let pieces = pieces * random.random_range(0.3..1.7);
-        let fails = random.random_bool(fails) || random.random_bool(self.grey) || (bad && !is_slow);
+        let slowdown = self.slowness * load * fault_slowdown;
+        let first_byte_ms = first_byte_ms * slowdown * variation;
+        let gap_ms = gap_ms * slowdown * (0.9 + 0.2 * random.random::<f64>());
+        let chunks = chunks * random.random_range(0.3..1.7);
+        let fails = random.random_bool(failure_rate)
+            || random.random_bool(self.failure_rate)
+            || (is_faulty && !is_slow);
         let ms = |time: f64| Duration::from_secs_f64(time / 1_000.0);
         if fails {
-            return Play {
-                end: AttemptOutcome::Failed,
-                takes: first as u64 + 1,
-                is_bad: bad,
+            return Attempt {
+                outcome: AttemptOutcome::Failed,
+                duration_ms: first_byte_ms as u64 + 1,
+                is_faulty,
             };
         }
-        Play {
-            end: AttemptOutcome::Answered {
-                first_byte: ms(first),
-                gap: (pieces > 1.0).then(|| ms(gap)),
+        Attempt {
+            outcome: AttemptOutcome::Answered {
+                first_byte: ms(first_byte_ms),
+                gap: (chunks > 1.0).then(|| ms(gap_ms)),
             },
-            takes: (first + gap * pieces) as u64 + 1,
-            is_bad: bad,
+            duration_ms: (first_byte_ms + gap_ms * chunks) as u64 + 1,
+            is_faulty,
         }
     }
 }
--- a/crates/lab/src/rollout/mod.rs
+++ b/crates/lab/src/rollout/mod.rs
@@ -1,7 +1,7 @@
-//! A service with two versions of its servers, rolled out by the product's own hub in simulated time.
+//! Simulates the roll-out of a new version of a service by the product's own hub.
 //!
-//! The new version is good, or bad in one of several ways; meanwhile there is no trouble, or one of several. A
-//! run of 40 s takes some 30 ms.
+//! The new version is good or has one of several faults; meanwhile there is no trouble or one of several kinds. A
+//! simulated run of 40 s takes about 30 ms.
 
 mod engine;
 mod outcome;
--- a/crates/lab/src/rollout/scenario.rs
+++ b/crates/lab/src/rollout/scenario.rs
@@ -1,32 +1,32 @@
-//! What is rolled out, and what happens meanwhile.
+//! Scenarios: the version that is rolled out, and what goes wrong meanwhile.
 
 use super::Fault;
 
-/// What happens while a version is rolled out.
+/// What goes wrong while a version is rolled out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trouble {
     /// Nothing.
     None,
-    /// Twice the requests, for three seconds.
+    /// Twice as many requests, for three seconds.
     Burst,
     /// A fifth of the servers of both versions are down for two seconds.
     Crash,
-    /// A fifth of the servers of both versions fail four in ten requests, for as long as it lasts.
+    /// A fifth of the servers of both versions fail four in ten requests, until the end.
     Grey,
     /// Half of the servers of both versions fail half of their requests, for four seconds.
     GreyMany,
-    /// The leader changes; nobody leads for 0.4 s.
+    /// The leader changes; there is no leader for 0.4 s.
     Leader,
     /// The leader changes three times.
     Leaders,
-    /// Two of ten gateways are cut off from the hub for five seconds, and choose by themselves.
+    /// Two of ten gateways are cut off from the hub for five seconds, and decide locally.
     Cut,
-    /// Everything ends and starts again a second later; what was agreed is there.
+    /// All processes are killed and restart 1.5 s later with what was committed.
     AllKilled,
 }
 
 impl Trouble {
-    /// All of them.
+    /// All kinds of trouble.
     pub const ALL: [Self; 9] = [
         Self::None,
         Self::Burst,
@@ -39,8 +39,8 @@
         Self::AllKilled,
     ];
 
-    /// When hubs end, and for how long there is none, in milliseconds after the order.
-    pub(super) fn changes(self) -> &'static [(u64, u64)] {
+    /// When hubs stop, in milliseconds after the order, and for how many milliseconds there is none.
+    pub(super) fn hub_outages(self) -> &'static [(u64, u64)] {
         match self {
             Self::Leader => &[(3_000, 400)],
             Self::Leaders => &[(1_000, 400), (4_000, 400), (7_000, 400)],
@@ -50,25 +50,25 @@
     }
 }
 
-/// One roll-out.
+/// One simulated roll-out.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
-    /// What is wrong with the new version; none of a good one.
+    /// The fault of the new version; none if it is good.
     pub fault: Option<Fault>,
-    /// What happens meanwhile.
+    /// What goes wrong meanwhile.
     pub trouble: Trouble,
-    /// Decides everything else.
+    /// The seed of all random decisions.
     pub seed: u64,
     /// Servers of each version.
     pub servers: usize,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Within what time the roll-out is to come to its end, in milliseconds.
+    /// The time limit of the roll-out in milliseconds.
     pub length_ms: u64,
 }
 
 impl Scenario {
-    /// A roll-out within 12 s at a service of 75 servers, at some half of what they can bear.
+    /// Creates a roll-out within 12 s of a service with 75 servers per version, at about half of their capacity.
     #[must_use]
     pub fn new(fault: Option<Fault>, trouble: Trouble, seed: u64) -> Self {
         Self {
--- a/crates/lab/src/rollout/world.rs
+++ b/crates/lab/src/rollout/world.rs
@@ -1,4 +1,4 @@
-//! The simulated time: gateways, the hub, the log, servers of both versions.
+//! The simulation: gateways, the hub, the log, and servers of both versions.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -41,60 +41,60 @@
 use super::Outcome;
 use super::Scenario;
 use super::Trouble;
+use super::engine::Attempt;
 use super::engine::Engine;
-use super::engine::Play;
 use super::engine::RULES;
 
-/// A step of the simulated time, in milliseconds.
-const TICK: u64 = 5;
+/// The step of the simulated time in milliseconds.
+const TICK_MS: u64 = 5;
 
 /// When the order is given, in milliseconds.
-const ORDER: u64 = 3_000;
+const ORDER_AT_MS: u64 = 3_000;
 
-/// How long the platform's list lags, in milliseconds.
-const LAG: u64 = 800;
+/// The delay of the platform's server list in milliseconds.
+const LIST_LAG_MS: u64 = 800;
 
-/// What the log takes to agree a step, in milliseconds.
-const AGREE: u64 = 15;
+/// How long a step takes to be committed to the log, in milliseconds.
+const COMMIT_DELAY_MS: u64 = 15;
 
-/// Between two questions of a gateway, in milliseconds.
-const ASKS: u64 = 100;
+/// The interval between two polls of a gateway, in milliseconds.
+const POLL_INTERVAL_MS: u64 = 100;
 
 const GATEWAYS: usize = 10;
 
-/// What is borne of a version on trial.
+/// How many requests a version on trial may receive.
 const BOUNDS: Bounds = Bounds {
     share: 0.1,
     extra_requests: 50.0,
 };
 
-/// A gateway; its number names its host.
-struct Asker {
+/// A gateway; its index is part of the name of its host.
+struct GatewayState {
     host: id::Host,
-    mark: GrantId,
+    last_grant: GrantId,
     policy: Policy,
-    ends: Vec<AttemptEnd>,
-    /// Whether what it has in flight has changed since its last report.
-    has_news: bool,
+    ended: Vec<AttemptEnd>,
+    /// Whether its requests in flight have changed since its last report.
+    has_changes: bool,
 }
 
-/// A request at a server.
-struct Run {
+/// A request that a server runs.
+struct RunningRequest {
     gateway: usize,
     engine: usize,
-    ends: u64,
-    play: Play,
-    watched: Option<RolloutTag>,
+    ends_at_ms: u64,
+    attempt: Attempt,
+    rollout: Option<RolloutTag>,
 }
 
-/// Plays a roll-out; gives what it came to.
+/// Simulates a roll-out and returns its outcome.
 #[must_use]
 pub fn run(scenario: Scenario) -> Outcome {
     let mut world = World::new(scenario);
-    let until = ORDER + scenario.length_ms * 3;
+    let until = ORDER_AT_MS + scenario.length_ms * 3;
     while world.now < until && !world.is_over() {
         world.step();
-        world.now += TICK;
+        world.now += TICK_MS;
     }
     world.outcome
 }
@@ -105,23 +105,23 @@
     now: u64,
     plans: Plans,
     hub: Option<Hub>,
-    hubs: u64,
-    askers: Vec<Asker>,
+    hub_count: u64,
+    gateways: Vec<GatewayState>,
     engines: Vec<Engine>,
-    runs: Vec<Run>,
+    running_requests: Vec<RunningRequest>,
     waiting: HashMap<Ticket, (usize, usize)>,
     steps: Vec<(u64, Step)>,
     outcome: Outcome,
-    fiftieth: Option<u64>,
+    fiftieth_at_ms: Option<u64>,
 }
 
 fn service() -> id::Service {
-    "chat".parse().expect("a name")
+    "chat".parse().expect("a valid name")
 }
 
 fn version(is_new: bool) -> Version {
     let name = if is_new { "v2" } else { "v1" };
-    name.parse().expect("a version")
+    name.parse().expect("a valid version")
 }
 
 fn engine(number: usize, is_new: bool) -> Engine {
@@ -133,29 +133,29 @@
             started_ms: 0,
             version: version(is_new),
             service: service(),
-            address: "127.0.0.1:1".parse().expect("an address"),
+            address: "127.0.0.1:1".parse().expect("a valid address"),
             hall: "a".into(),
             slots: 4,
             leaving: false,
             cold: false,
         },
         is_new,
-        pace: if number % 5 < 2 { 1.0 } else { 2.7 },
+        slowness: if number % 5 < 2 { 1.0 } else { 2.7 },
         running: 0,
-        grey: 0.0,
-        down_until: 0,
+        failure_rate: 0.0,
+        down_until_ms: 0,
     }
 }
 
 impl World {
     fn new(scenario: Scenario) -> Self {
         let engines = (0..scenario.servers).flat_map(|n| [engine(n, false), engine(n, true)]);
-        let askers = (0..GATEWAYS).map(|number| Asker {
-            host: format!("g{number}").parse().expect("a name"),
-            mark: GrantId::default(),
+        let gateways = (0..GATEWAYS).map(|number| GatewayState {
+            host: format!("g{number}").parse().expect("a valid name"),
+            last_grant: GrantId::default(),
             policy: Policy::default(),
-            ends: Vec::new(),
-            has_news: false,
+            ended: Vec::new(),
+            has_changes: false,
         });
         Self {
             scenario,
@@ -163,24 +163,24 @@
             now: 0,
             plans: Plans::default(),
             hub: None,
-            hubs: 0,
-            askers: askers.collect(),
+            hub_count: 0,
+            gateways: gateways.collect(),
             engines: engines.collect(),
-            runs: Vec::new(),
+            running_requests: Vec::new(),
             waiting: HashMap::new(),
             steps: Vec::new(),
             outcome: Outcome::default(),
-            fiftieth: None,
+            fiftieth_at_ms: None,
         }
     }
 
-    fn clock(&self) -> Instant {
+    fn instant(&self) -> Instant {
         Instant::default() + Duration::from_millis(self.now)
     }
 
-    /// The time since the order, in milliseconds.
-    fn age(&self) -> u64 {
-        self.now.saturating_sub(ORDER)
+    /// The time since the order in milliseconds.
+    fn age_ms(&self) -> u64 {
+        self.now.saturating_sub(ORDER_AT_MS)
     }
 
     fn phase(&self) -> Option<Phase> {
@@ -188,22 +188,22 @@
     }
 
     fn is_over(&self) -> bool {
-        self.phase().is_some_and(Phase::is_final) && self.age() > self.scenario.length_ms
+        self.phase().is_some_and(Phase::is_final) && self.age_ms() > self.scenario.length_ms
     }
 
     fn step(&mut self) {
-        self.make_trouble();
-        self.make_hub();
-        if self.now == ORDER {
+        self.apply_trouble();
+        self.update_hub();
+        if self.now == ORDER_AT_MS {
             self.steps.push((self.now, Step::Ordered(self.order())));
         }
-        self.agree();
-        self.list();
-        self.end_runs();
-        self.arrive();
-        self.talk();
-        self.serve();
-        self.tend();
+        self.commit_steps();
+        self.update_server_list();
+        self.finish_requests();
+        self.submit_requests();
+        self.exchange_messages();
+        self.grant_slots();
+        self.propose_steps();
     }
 
     fn order(&self) -> Order {
@@ -211,93 +211,93 @@
             service: service(),
             target: version(true),
             duration: Duration::from_millis(self.scenario.length_ms),
-            given_ms: ORDER,
+            given_ms: ORDER_AT_MS,
         }
     }
 }
 
 /// # Trouble
 impl World {
-    fn make_trouble(&mut self) {
-        let at = |ms: u64| self.now == ORDER + ms;
-        let (grey, down) = match self.scenario.trouble {
+    fn apply_trouble(&mut self) {
+        let at = |ms: u64| self.now == ORDER_AT_MS + ms;
+        let (failure_rate, downtime) = match self.scenario.trouble {
             Trouble::Crash if at(3_000) => (0.0, 2_000),
             Trouble::Grey if at(1_500) => (0.4, 0),
             Trouble::GreyMany if at(2_500) => (0.5, 0),
             Trouble::GreyMany if at(6_500) => {
                 for engine in &mut self.engines {
-                    engine.grey = 0.0;
+                    engine.failure_rate = 0.0;
                 }
                 return;
             }
             _ => return,
         };
-        let part = if self.scenario.trouble == Trouble::GreyMany {
+        let affected_share = if self.scenario.trouble == Trouble::GreyMany {
             0.5
         } else {
             0.2
         };
         for engine in &mut self.engines {
-            if self.random.random_bool(part) {
-                engine.grey = grey;
-                engine.down_until = self.now + down;
+            if self.random.random_bool(affected_share) {
+                engine.failure_rate = failure_rate;
+                engine.down_until_ms = self.now + downtime;
             }
         }
     }
 
-    /// Whether a gateway hears the hub.
-    fn hears(&self, gateway: usize) -> bool {
+    /// Whether a gateway reaches the hub.
+    fn is_hub_reachable(&self, gateway: usize) -> bool {
         let is_cut = self.scenario.trouble == Trouble::Cut
             && gateway < 2
-            && (2_000..7_000).contains(&self.age());
+            && (2_000..7_000).contains(&self.age_ms());
         self.hub.is_some() && !is_cut
     }
 
-    fn make_hub(&mut self) {
-        let changes = self.scenario.trouble.changes();
-        if changes
+    fn update_hub(&mut self) {
+        let outages = self.scenario.trouble.hub_outages();
+        if outages
             .iter()
-            .any(|(at, _)| self.age() == *at && self.now > ORDER)
+            .any(|(at, _)| self.age_ms() == *at && self.now > ORDER_AT_MS)
         {
-            self.end_hub();
+            self.stop_hub();
         }
-        let gap = changes
-            .iter()
-            .any(|(at, gap)| self.now > ORDER && (*at..at + gap).contains(&self.age()));
-        if self.hub.is_none() && !gap {
-            self.hubs += 1;
+        let is_outage = outages.iter().any(|(at, duration)| {
+            self.now > ORDER_AT_MS && (*at..at + duration).contains(&self.age_ms())
+        });
+        if self.hub.is_none() && !is_outage {
+            self.hub_count += 1;
             let tuning = Tuning {
                 rollouts: Some(BOUNDS),
                 ..Tuning::default()
             };
-            let mut hub = Hub::new(tuning, self.clock()).with_id(self.hubs);
-            hub.apply_plans(&self.plans, None, self.now, self.clock());
+            let mut hub = Hub::new(tuning, self.instant()).with_id(self.hub_count);
+            hub.apply_plans(&self.plans, None, self.now, self.instant());
             self.hub = Some(hub);
         }
     }
 
-    fn end_hub(&mut self) {
+    fn stop_hub(&mut self) {
         self.hub = None;
         self.waiting.clear();
-        // What was proposed may be lost with its leader, or not.
+        // A proposed step may be lost with its leader.
         self.steps.retain(|_| self.random.random());
         if self.scenario.trouble == Trouble::AllKilled {
-            self.runs.clear();
+            self.running_requests.clear();
             for engine in &mut self.engines {
                 engine.running = 0;
             }
-            for asker in &mut self.askers {
-                asker.ends.clear();
-                asker.policy = Policy::default();
-                asker.mark = GrantId::default();
+            for gateway_state in &mut self.gateways {
+                gateway_state.ended.clear();
+                gateway_state.policy = Policy::default();
+                gateway_state.last_grant = GrantId::default();
             }
         }
     }
 }
 
-/// # The log and the list
+/// # The log and the server list
 impl World {
-    fn agree(&mut self) {
+    fn commit_steps(&mut self) {
         let now = self.now;
         let due: Vec<_> = self.steps.extract_if(.., |(at, _)| *at <= now).collect();
         for (_, step) in due {
@@ -308,38 +308,38 @@
     fn apply(&mut self, step: &Step) {
         let before = self.phase();
         self.plans.apply(step).expect("no conflict");
-        let own = match step {
+        let new_order = match step {
             Step::Ordered(order) => Some(order),
             _ => None,
         };
-        let now = self.clock();
+        let now = self.instant();
         if let Some(hub) = &mut self.hub {
-            hub.apply_plans(&self.plans, own, self.now, now);
+            hub.apply_plans(&self.plans, new_order, self.now, now);
         }
         let after = self.phase();
         if after == before || !after.is_some_and(Phase::is_final) {
             return;
         }
         self.outcome.phase = after;
-        self.outcome.ended_ms = self.age();
-        let at_former = self
-            .runs
+        self.outcome.ended_ms = self.age_ms();
+        let on_old_version = self
+            .running_requests
             .iter()
             .filter(|run| !self.engines[run.engine].is_new);
         if after == Some(Phase::Completed) {
-            self.outcome.cut = at_former.count() as u64;
+            self.outcome.cut_off = on_old_version.count() as u64;
         }
     }
 
-    fn list(&mut self) {
+    fn update_server_list(&mut self) {
         if !self.now.is_multiple_of(500) {
             return;
         }
-        let now = self.clock();
-        let has_new = self.now >= ORDER + LAG;
+        let now = self.instant();
+        let has_new = self.now >= ORDER_AT_MS + LIST_LAG_MS;
         let is_completed = self.phase() == Some(Phase::Completed);
         let listed = self.engines.iter().filter(|engine| {
-            let is_up = engine.down_until + LAG <= self.now || engine.down_until == 0;
+            let is_up = engine.down_until_ms + LIST_LAG_MS <= self.now || engine.down_until_ms == 0;
             is_up
                 && if engine.is_new {
                     has_new
@@ -347,9 +347,9 @@
                     !is_completed
                 }
         });
-        let listing = ServerList::new(listed.map(|engine| engine.server.clone()).collect());
+        let server_list = ServerList::new(listed.map(|engine| engine.server.clone()).collect());
         if let Some(hub) = &mut self.hub {
-            hub.set_server_list(Arc::new(listing));
+            hub.set_server_list(Arc::new(server_list));
             hub.tick(now);
         }
     }
@@ -357,34 +357,34 @@
 
 /// # Requests
 impl World {
-    fn arrive(&mut self) {
+    fn submit_requests(&mut self) {
         let is_burst =
-            self.scenario.trouble == Trouble::Burst && (4_000..7_000).contains(&self.age());
+            self.scenario.trouble == Trouble::Burst && (4_000..7_000).contains(&self.age_ms());
         let rate = self.scenario.rate * if is_burst { 2.0 } else { 1.0 };
-        let mut expected = rate * TICK as f64 / 1_000.0;
+        let mut expected = rate * TICK_MS as f64 / 1_000.0;
         while expected > 0.0 {
             if self.random.random_bool(expected.min(1.0)) {
-                self.ask();
+                self.submit_request();
             }
             expected -= 1.0;
         }
     }
 
-    fn ask(&mut self) {
+    fn submit_request(&mut self) {
         let gateway = self.random.random_range(0..GATEWAYS);
-        let mut lot: f64 = self.random.random();
+        let mut remaining: f64 = self.random.random();
         let rule = RULES.iter().position(|rule| {
-            lot -= rule.often;
-            lot < 0.0
+            remaining -= rule.share;
+            remaining < 0.0
         });
         let rule = rule.unwrap_or(0);
-        if !self.hears(gateway) {
-            self.choose_alone(gateway, rule);
+        if !self.is_hub_reachable(gateway) {
+            self.choose_locally(gateway, rule);
             return;
         }
-        let now = self.clock();
-        let want = SlotRequest {
-            host: self.askers[gateway].host.clone(),
+        let now = self.instant();
+        let slot_request = SlotRequest {
+            host: self.gateways[gateway].host.clone(),
             hall: "a".into(),
             service: service(),
             rule: Some(RULES[rule].name.into()),
@@ -404,144 +404,149 @@
             allowed_halls: None,
         };
         let Some(hub) = &mut self.hub else { return };
-        match hub.request_slot(want, now) {
-            SlotDecision::Queued(ticket, last) => {
+        match hub.request_slot(slot_request, now) {
+            SlotDecision::Queued(ticket, replaced) => {
                 self.waiting.insert(ticket, (gateway, rule));
-                if let Some(last) = last {
-                    self.waiting.remove(&last);
+                if let Some(replaced) = replaced {
+                    self.waiting.remove(&replaced);
                 }
             }
             _ => self.outcome.refused += 1,
         }
     }
 
-    /// A gateway that does not hear the hub sends to any server that it may send to by itself.
-    fn choose_alone(&mut self, gateway: usize, rule: usize) {
-        let policy = &self.askers[gateway].policy;
-        let may = |engine: &Engine| {
+    /// Makes a gateway without the hub send to a random server that its policy allows.
+    fn choose_locally(&mut self, gateway: usize, rule: usize) {
+        let policy = &self.gateways[gateway].policy;
+        let is_allowed = |engine: &Engine| {
             policy.version != 0
                 && policy.allows(&engine.server)
                 && engine.running <= engine.server.slots
         };
         let engines = self.engines.iter().enumerate();
-        let open: Vec<_> = engines.filter(|(_, engine)| may(engine)).collect();
-        let Some(place) = (!open.is_empty()).then(|| self.random.random_range(0..open.len()))
+        let candidates: Vec<_> = engines.filter(|(_, engine)| is_allowed(engine)).collect();
+        let Some(index) =
+            (!candidates.is_empty()).then(|| self.random.random_range(0..candidates.len()))
         else {
             self.outcome.refused += 1;
             return;
         };
-        let place = open[place].0;
-        self.begin(gateway, rule, place);
+        let index = candidates[index].0;
+        self.start_request(gateway, rule, index);
     }
 
-    fn begin(&mut self, gateway: usize, rule: usize, place: usize) {
-        let age = self.age();
-        let engine = &self.engines[place];
-        let is_down = self.now < engine.down_until;
-        let play = if is_down {
-            Play {
-                end: AttemptOutcome::Broken,
-                takes: 1,
-                is_bad: false,
+    fn start_request(&mut self, gateway: usize, rule: usize, index: usize) {
+        let age_ms = self.age_ms();
+        let engine = &self.engines[index];
+        let is_down = self.now < engine.down_until_ms;
+        let attempt = if is_down {
+            Attempt {
+                outcome: AttemptOutcome::Broken,
+                duration_ms: 1,
+                is_faulty: false,
             }
         } else {
-            engine.play(rule, self.scenario.fault, age, &mut self.random)
+            engine.run_request(rule, self.scenario.fault, age_ms, &mut self.random)
         };
         let is_new = engine.is_new;
-        let target = self.askers[gateway].policy.rollout_target(&service());
-        let watched = target.map(|target| RolloutTag {
+        let target = self.gateways[gateway].policy.rollout_target(&service());
+        let rollout = target.map(|target| RolloutTag {
             rule: RULES[rule].name.into(),
             target: target.clone(),
         });
-        self.engines[place].running += 1;
+        self.engines[index].running += 1;
         if !is_down {
-            self.count(is_new);
+            self.count_request(is_new);
         }
-        self.askers[gateway].has_news = true;
-        self.runs.push(Run {
+        self.gateways[gateway].has_changes = true;
+        self.running_requests.push(RunningRequest {
             gateway,
-            engine: place,
-            ends: self.now + play.takes,
-            play,
-            watched,
+            engine: index,
+            ends_at_ms: self.now + attempt.duration_ms,
+            attempt,
+            rollout,
         });
     }
 
-    /// Counts a request that reaches a server.
-    fn count(&mut self, is_new: bool) {
-        if self.now < ORDER || self.age() > self.scenario.length_ms {
+    /// Counts a request that reached a server.
+    fn count_request(&mut self, is_new: bool) {
+        if self.now < ORDER_AT_MS || self.age_ms() > self.scenario.length_ms {
             return;
         }
-        self.outcome.reached += 1;
+        self.outcome.requests += 1;
         if !is_new {
             return;
         }
-        if let Some(fiftieth) = self.fiftieth {
-            self.outcome.after_fiftieth = self.now - fiftieth;
+        if let Some(fiftieth_at_ms) = self.fiftieth_at_ms {
+            self.outcome.ms_after_fiftieth = self.now - fiftieth_at_ms;
         }
         if self.phase() == Some(Phase::Trial) {
-            self.outcome.exposed += 1;
-            let bound = BOUNDS.share * self.outcome.reached as f64 + BOUNDS.extra_requests;
-            let over = self.outcome.exposed as f64 - bound;
-            self.outcome.over = self.outcome.over.max(over);
+            self.outcome.new_version_requests += 1;
+            let bound = BOUNDS.share * self.outcome.requests as f64 + BOUNDS.extra_requests;
+            let over_bound = self.outcome.new_version_requests as f64 - bound;
+            self.outcome.max_over_bound = self.outcome.max_over_bound.max(over_bound);
         }
     }
 
-    fn end_runs(&mut self) {
+    fn finish_requests(&mut self) {
         let now = self.now;
-        let ended: Vec<_> = self.runs.extract_if(.., |run| run.ends <= now).collect();
+        let ended: Vec<_> = self
+            .running_requests
+            .extract_if(.., |run| run.ends_at_ms <= now)
+            .collect();
         for run in ended {
             let engine = &mut self.engines[run.engine];
             engine.running -= 1;
-            let asker = &mut self.askers[run.gateway];
-            asker.has_news = true;
-            asker.ends.push(AttemptEnd {
+            let gateway_state = &mut self.gateways[run.gateway];
+            gateway_state.has_changes = true;
+            gateway_state.ended.push(AttemptEnd {
                 service: service(),
                 incarnation: Arc::clone(&engine.server.incarnation),
-                rollout: run.watched,
-                outcome: run.play.end,
+                rollout: run.rollout,
+                outcome: run.attempt.outcome,
             });
-            if run.play.is_bad && engine.is_new {
-                self.outcome.bad += 1;
-                if self.outcome.bad == 50 {
-                    self.fiftieth = Some(now);
+            if run.attempt.is_faulty && engine.is_new {
+                self.outcome.faulty_responses += 1;
+                if self.outcome.faulty_responses == 50 {
+                    self.fiftieth_at_ms = Some(now);
                 }
             }
         }
     }
 }
 
-/// # What gateways and hub say to each other
+/// # Messages between gateways and the hub
 impl World {
-    fn talk(&mut self) {
+    fn exchange_messages(&mut self) {
         for gateway in 0..GATEWAYS {
-            if !self.hears(gateway) {
+            if !self.is_hub_reachable(gateway) {
                 continue;
             }
-            let asks = (self.now / TICK + gateway as u64).is_multiple_of(ASKS / TICK);
-            if !asks && !self.askers[gateway].has_news {
+            let polls =
+                (self.now / TICK_MS + gateway as u64).is_multiple_of(POLL_INTERVAL_MS / TICK_MS);
+            if !polls && !self.gateways[gateway].has_changes {
                 continue;
             }
             let loads = self.loads(gateway);
-            let now = self.clock();
-            let asker = &mut self.askers[gateway];
-            asker.has_news = false;
+            let now = self.instant();
+            let gateway_state = &mut self.gateways[gateway];
+            gateway_state.has_changes = false;
             let Some(hub) = &mut self.hub else { return };
             let report = Report {
-                host: asker.host.clone(),
-                last_grant: asker.mark,
+                host: gateway_state.host.clone(),
+                last_grant: gateway_state.last_grant,
                 loads: loads.clone(),
-                ended: std::mem::take(&mut asker.ends),
+                ended: std::mem::take(&mut gateway_state.ended),
                 observations: Vec::new(),
                 limit_reports: Reports::default(),
             };
             hub.report(&report, now);
-            if asks {
-                let question = question(asker, loads);
-                hub.on_poll(&question, now);
-                let reply = hub.reply(&question, &Publication::default(), now);
+            if polls {
+                let poll = poll(gateway_state, loads);
+                hub.on_poll(&poll, now);
+                let reply = hub.reply(&poll, &Publication::default(), now);
                 if let Some(policy) = reply.policy {
-                    asker.policy = policy;
+                    gateway_state.policy = policy;
                 }
             }
         }
@@ -549,7 +554,11 @@
 
     fn loads(&self, gateway: usize) -> Vec<Load> {
         let mut loads = BTreeMap::new();
-        for run in self.runs.iter().filter(|run| run.gateway == gateway) {
+        for run in self
+            .running_requests
+            .iter()
+            .filter(|run| run.gateway == gateway)
+        {
             let incarnation = &self.engines[run.engine].server.incarnation;
             *loads.entry(Arc::clone(incarnation)).or_insert(0) += 1;
         }
@@ -561,48 +570,48 @@
         loads.collect()
     }
 
-    fn serve(&mut self) {
-        let now = self.clock();
+    fn grant_slots(&mut self) {
+        let now = self.instant();
         let Some(hub) = &mut self.hub else { return };
-        let served = hub.grant_slots(now);
-        let hopeless = hub.reject_doomed(now);
-        for ticket in hopeless {
+        let grants = hub.grant_slots(now);
+        let doomed = hub.reject_doomed(now);
+        for ticket in doomed {
             self.waiting.remove(&ticket);
             self.outcome.refused += 1;
         }
-        for (ticket, grant) in served {
+        for (ticket, grant) in grants {
             if let Some((gateway, rule)) = self.waiting.remove(&ticket) {
-                self.take(gateway, rule, &grant);
+                self.accept_grant(gateway, rule, &grant);
             }
         }
     }
 
-    fn take(&mut self, gateway: usize, rule: usize, grant: &Grant) {
-        self.askers[gateway].mark = grant.id;
+    fn accept_grant(&mut self, gateway: usize, rule: usize, grant: &Grant) {
+        self.gateways[gateway].last_grant = grant.id;
         let incarnation = &grant.server.incarnation;
         let mut engines = self.engines.iter();
-        let place = engines.position(|engine| engine.server.incarnation == *incarnation);
-        self.begin(gateway, rule, place.expect("it is on the list"));
+        let index = engines.position(|engine| engine.server.incarnation == *incarnation);
+        self.start_request(gateway, rule, index.expect("the server is on the list"));
     }
 
-    fn tend(&mut self) {
+    fn propose_steps(&mut self) {
         if !self.now.is_multiple_of(20) {
             return;
         }
-        let now = self.clock();
+        let now = self.instant();
         let Some(hub) = &mut self.hub else { return };
         for (step, _) in hub.propose_rollout_steps(now) {
-            self.steps.push((self.now + AGREE, step));
+            self.steps.push((self.now + COMMIT_DELAY_MS, step));
         }
     }
 }
 
-fn question(asker: &Asker, loads: Vec<Load>) -> Poll {
+fn poll(gateway_state: &GatewayState, loads: Vec<Load>) -> Poll {
     Poll {
-        host: asker.host.clone(),
+        host: gateway_state.host.clone(),
         gateway: Gateway {
             hall: "a".into(),
-            callers: "127.0.0.1:80".parse().expect("an address"),
+            callers: "127.0.0.1:80".parse().expect("a valid address"),
         },
         ready: true,
         known_table: 0,
@@ -610,8 +619,8 @@
         server_list_version: 0,
         membership_version: 0,
         standbys_version: 0,
-        policy_version: asker.policy.version,
-        last_grant: asker.mark,
+        policy_version: gateway_state.policy.version,
+        last_grant: gateway_state.last_grant,
         loads,
         last_reply: 0,
         quarantine_version: 0,
--- a/crates/lab/tests/rollout_trials.rs
+++ b/crates/lab/tests/rollout_trials.rs
@@ -1,4 +1,4 @@
-//! Versions rolled out in simulated time: good ones completed, bad ones rolled back, under each trouble.
+//! Simulated roll-outs: good versions are completed and bad ones rolled back, with and without trouble.
 
 use curlewlift_core::rollout::Phase;
 use curlewlift_lab::rollout::Fault;
@@ -7,16 +7,25 @@
 use curlewlift_lab::rollout::Trouble;
 use curlewlift_lab::rollout::run;
 
-/// Within what time after the fiftieth bad answer the last request may be sent to a bad version, in milliseconds.
-const BACK: u64 = 5_000;
+/// How long after the fiftieth failed or slow response requests may still be sent to a bad version, in milliseconds.
+const MAX_MS_AFTER_FIFTIETH: u64 = 5_000;
 
-fn play(fault: Option<Fault>, trouble: Trouble, seed: u64) -> Outcome {
+fn run_checked(fault: Option<Fault>, trouble: Trouble, seed: u64) -> Outcome {
     let outcome = run(Scenario::new(fault, trouble, seed));
-    let at = format!("{fault:?} {trouble:?} seed {seed}: {outcome:?}");
-    assert!(outcome.over <= 0.0, "over its bound: {at}");
-    assert_eq!(outcome.cut, 0, "cut off by a completion: {at}");
+    let context = format!("{fault:?} {trouble:?} seed {seed}: {outcome:?}");
+    assert!(
+        outcome.max_over_bound <= 0.0,
+        "the new version received too many requests: {context}"
+    );
+    assert_eq!(
+        outcome.cut_off, 0,
+        "requests were cut off by the completion: {context}"
+    );
     if fault.is_some() {
-        assert!(outcome.after_fiftieth <= BACK, "{at}");
+        assert!(
+            outcome.ms_after_fiftieth <= MAX_MS_AFTER_FIFTIETH,
+            "too late: {context}"
+        );
     }
     outcome
 }
@@ -24,7 +33,7 @@
 #[test]
 fn good_versions() {
     for seed in 0..4 {
-        let outcome = play(None, Trouble::None, seed);
+        let outcome = run_checked(None, Trouble::None, seed);
         assert_eq!(outcome.phase, Some(Phase::Completed), "seed {seed}");
         let limit = Scenario::new(None, Trouble::None, seed).length_ms;
         assert!(outcome.ended_ms <= limit, "seed {seed}: {outcome:?}");
@@ -34,17 +43,17 @@
 #[test]
 fn bad_versions() {
     for fault in Fault::ALL {
-        let outcome = play(Some(fault), Trouble::None, 1);
+        let outcome = run_checked(Some(fault), Trouble::None, 1);
         assert_eq!(outcome.phase, Some(Phase::RolledBack), "{fault:?}");
     }
 }
 
-/// Whatever happens meanwhile: the bound is kept, and nothing is cut off.
+/// With each kind of trouble the bound holds and no request is cut off.
 #[test]
 fn under_trouble() {
     for trouble in Trouble::ALL {
-        play(None, trouble, 2);
-        let outcome = play(Some(Fault::Fails), trouble, 2);
+        run_checked(None, trouble, 2);
+        let outcome = run_checked(Some(Fault::Fails), trouble, 2);
         assert_eq!(outcome.phase, Some(Phase::RolledBack), "{trouble:?}");
     }
 }
