--- a/crates/lab/examples/measure.rs
+++ b/crates/lab/examples/measure.rs
@@ -1,55 +1,61 @@
-//! Prints the measure of the decisions: `cargo run --release -p curlewlift-lab --example measure`.
+//! Compares the scheduling decisions of the product with common load balancers, in simulated time:
+//! `cargo run --release -p curlewlift-lab --example measure`.
 //!
-//! With a number it runs as many seeds (3 without); with a word only cases with that word in their
-//! names.
+//! A number as argument sets the number of seeds (default 3); a word selects the cases with that word in their names.
 
 #![allow(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "figures for people, far below where it matters"
+    reason = "statistics for display; the values are small enough"
 )]
 
+use curlewlift_lab::measure::Balancer;
 use curlewlift_lab::measure::Case;
-use curlewlift_lab::measure::Rival;
+use curlewlift_lab::measure::Deployment;
 use curlewlift_lab::measure::Score;
-use curlewlift_lab::measure::Site;
-use curlewlift_lab::measure::Ways;
+use curlewlift_lab::measure::Strategy;
 use curlewlift_lab::measure::run;
 
-const WAYS: [(&str, Ways); 6] = [
-    ("ours", Ways::Ours),
-    ("ours, no delay", Ways::Instant),
-    ("round robin", Ways::Alone(Rival::RoundRobin)),
-    ("least requests", Ways::Alone(Rival::LeastRequests)),
-    ("two choices", Ways::Alone(Rival::TwoChoices)),
-    ("affinity", Ways::Alone(Rival::Affinity)),
+const STRATEGIES: [(&str, Strategy); 6] = [
+    ("ours", Strategy::Product),
+    ("ours, no delay", Strategy::ProductWithoutDelay),
+    ("round robin", Strategy::PerEntry(Balancer::RoundRobin)),
+    (
+        "least requests",
+        Strategy::PerEntry(Balancer::LeastRequests),
+    ),
+    ("two choices", Strategy::PerEntry(Balancer::TwoChoices)),
+    ("affinity", Strategy::PerEntry(Balancer::Affinity)),
 ];
 
 fn main() {
     let mut seeds = 3;
-    let mut word = String::new();
+    let mut filter = String::new();
     for argument in std::env::args().skip(1) {
         match argument.parse() {
             Ok(number) => seeds = number,
-            Err(_) => word = argument,
+            Err(_) => filter = argument,
         }
     }
-    for site in [Site::kursora(), Site::vallebruna()] {
+    for deployment in [Deployment::kursora(), Deployment::vallebruna()] {
         println!(
             "\n{}: {} engines, {} entries, {seeds} seeds",
-            site.name,
-            site.engines.len(),
-            site.entries
+            deployment.name,
+            deployment.engines.len(),
+            deployment.entries
         );
         println!(
-            "| case | way | goodput tier 0 | 1 | 2 | 3 | all (min..max) | wasted | first p50 s | p95 | between p50 ms | p95 | least of the others, tier 1 | sheds inverted |"
+            "| case | strategy | goodput tier 0 | 1 | 2 | 3 | all (min..max) | wasted | first p50 s | p95 | between p50 ms | p95 | least of the others, tier 1 | sheds inverted |"
         );
         println!("|---|---|---|---|---|---|---|---|---|---|---|---|---|---|");
-        for case in Case::all().iter().filter(|case| case.name.contains(&word)) {
-            for (name, ways) in WAYS {
+        for case in Case::all()
+            .iter()
+            .filter(|case| case.name.contains(&filter))
+        {
+            for (name, strategy) in STRATEGIES {
                 let scores: Vec<_> = (0..seeds)
-                    .map(|seed| run(&site, case, ways, seed))
+                    .map(|seed| run(&deployment, case, strategy, seed))
                     .collect();
                 println!("| {} | {name} | {}", case.name, row(&scores));
             }
@@ -63,20 +69,23 @@
     let tiers: Vec<_> = (0..4)
         .map(|tier| format!("{:.3}", mean(&|s| s.goodput(tier))))
         .collect();
-    let all = mean(&Score::total);
-    let low = scores.iter().map(Score::total).fold(f64::MAX, f64::min);
-    let high = scores.iter().map(Score::total).fold(0.0, f64::max);
-    let first = |part| mean(&|s| Score::quantile(&s.first, part));
-    let between = |part| 1_000.0 * mean(&|s| Score::quantile(&s.between, part));
+    let all = mean(&Score::total_goodput);
+    let min = scores
+        .iter()
+        .map(Score::total_goodput)
+        .fold(f64::MAX, f64::min);
+    let max = scores.iter().map(Score::total_goodput).fold(0.0, f64::max);
+    let first = |fraction| mean(&|s| Score::quantile(&s.first_token_seconds, fraction));
+    let between = |fraction| 1_000.0 * mean(&|s| Score::quantile(&s.token_gap_seconds, fraction));
     let inversions: u32 = scores.iter().map(|score| score.inversions).sum();
     format!(
-        "{} | {all:.3} ({low:.3}..{high:.3}) | {:.4} | {:.2} | {:.2} | {:.0} | {:.0} | {:.3} | {inversions} |",
+        "{} | {all:.3} ({min:.3}..{max:.3}) | {:.4} | {:.2} | {:.2} | {:.0} | {:.0} | {:.3} | {inversions} |",
         tiers.join(" | "),
-        mean(&Score::waste),
+        mean(&Score::wasted_share),
         first(0.5),
         first(0.95),
         between(0.5),
         between(0.95),
-        mean(&Score::others),
+        mean(&Score::min_served_share),
     )
 }
--- a/crates/lab/src/measure/mod.rs
+++ b/crates/lab/src/measure/mod.rs
@@ -1,22 +1,21 @@
-//! A small measure: the decisions in virtual time against small fakes of an engine at its
-//! interface, beside the usual ways of choosing.
+//! Simulates the product's scheduling decisions on simple model engines, and compares them with common load balancers.
 //!
-//! One thread, one seed a run, no sockets. It is not a model of a cluster: messages between entries
-//! and the owner only take a fixed time, and an engine is a prompt queue, a batch and a cache.
+//! Each run has one thread, one seed and no sockets. It is not a model of a cluster: messages between entries and the
+//! queue owner take a fixed time, and an engine is a prompt queue, a batch and a cache.
 
-mod case;
+mod balancer;
 mod engine;
 mod load;
 mod owner;
-mod rival;
+mod scenario;
 mod score;
-mod world;
+mod simulation;
 
-pub use case::Case;
-pub use case::Site;
-pub use engine::Build;
+pub use balancer::Balancer;
+pub use engine::EngineSpec;
 pub use load::Request;
-pub use rival::Rival;
+pub use scenario::Case;
+pub use scenario::Deployment;
 pub use score::Score;
-pub use world::Ways;
-pub use world::run;
+pub use simulation::Strategy;
+pub use simulation::run;
--- a/crates/lab/src/measure/owner.rs
+++ b/crates/lab/src/measure/owner.rs
@@ -1,4 +1,4 @@
-//! Drives the product's own queue: asks and reports take a way, grants take a way back.
+//! The queue owner: drives the product's own queue, with a delay for each message to and from the entries.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -18,39 +18,39 @@
 use curlewlift_core::unit::Rate;
 use curlewlift_core::unit::Tokens;
 
-use super::engine::Build;
+use super::engine::EngineSpec;
 use super::load::Request;
 
-/// Between a death and the next owner's first grant, in seconds: the lease, its drift, a renewal
-/// and the time of listening.
-const PAUSE: f64 = 3.0;
+/// The time between a crash and the first grant of the next owner, in seconds: the lease, its drift, a renewal, and the
+/// time during which the new owner only collects reports.
+const FAILOVER_SECONDS: f64 = 3.0;
 
-/// Work that may wait, in tokens.
-const LIMIT: Tokens = Tokens(2_000_000);
+/// Maximum queued work in tokens.
+const MAX_QUEUED_WORK: Tokens = Tokens(2_000_000);
 
-/// What an entry says to the owner.
+/// A message of an entry to the owner.
 #[derive(Clone, Debug)]
-pub(super) enum Word {
-    Ask(usize, Box<Request>),
+pub(super) enum Message {
+    Request(usize, Box<Request>),
     Report(usize, Report),
 }
 
-/// What the owner decided.
+/// A decision of the owner.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Verdict {
+pub(super) enum Decision {
     Send(usize, usize),
     Refuse(usize, Code),
 }
 
-/// The owner's queue, and the messages on their way.
+/// The owner's queue, and the messages in flight.
 #[derive(Debug)]
 pub(super) struct Owner {
     queue: Queue,
-    way: f64,
-    inbox: VecDeque<(f64, Word)>,
-    outbox: VecDeque<(f64, Verdict)>,
+    message_delay: f64,
+    inbox: VecDeque<(f64, Message)>,
+    outbox: VecDeque<(f64, Decision)>,
     dead_until: f64,
-    builds: Vec<Build>,
+    engine_specs: Vec<EngineSpec>,
     tuning: Tuning,
     live: Vec<bool>,
     host: id::Host,
@@ -60,123 +60,128 @@
     Instant::default() + Duration::from_secs_f64(seconds.max(0.0))
 }
 
-fn server(place: usize) -> id::Server {
-    format!("m{place}").parse().expect("a name")
+fn server(index: usize) -> id::Server {
+    format!("m{index}").parse().expect("a valid name")
 }
 
-fn specs(builds: &[Build], live: &[bool]) -> Vec<Spec> {
-    let all = builds.iter().enumerate().filter(|(place, _)| live[*place]);
-    let spec = |(place, build): (usize, &Build)| Spec {
-        name: server(place),
-        hall: format!("h{}", place % 3).parse().expect("a name"),
-        slots: build.knee,
-        prefill: Rate(build.prefill as u64),
-        decode: Rate(build.decode as u64),
+fn specs(engine_specs: &[EngineSpec], live: &[bool]) -> Vec<Spec> {
+    let all = engine_specs
+        .iter()
+        .enumerate()
+        .filter(|(index, _)| live[*index]);
+    let to_spec = |(index, spec): (usize, &EngineSpec)| Spec {
+        name: server(index),
+        hall: format!("h{}", index % 3).parse().expect("a valid name"),
+        slots: spec.full_speed_batch,
+        prefill: Rate(spec.prefill as u64),
+        decode: Rate(spec.decode as u64),
     };
-    all.map(spec).collect()
+    all.map(to_spec).collect()
 }
 
 impl Owner {
-    pub(super) fn new(builds: &[Build], way: f64, tuning: Tuning) -> Self {
-        let live = vec![true; builds.len()];
+    pub(super) fn new(engine_specs: &[EngineSpec], message_delay: f64, tuning: Tuning) -> Self {
+        let live = vec![true; engine_specs.len()];
         let mut fleet = Fleet::new(tuning);
-        fleet.set_servers(specs(builds, &live), instant(0.0));
+        fleet.set_servers(specs(engine_specs, &live), instant(0.0));
         Self {
-            queue: Queue::new(fleet, LIMIT),
-            way,
+            queue: Queue::new(fleet, MAX_QUEUED_WORK),
+            message_delay,
             inbox: VecDeque::new(),
             outbox: VecDeque::new(),
             dead_until: 0.0,
-            builds: builds.to_vec(),
+            engine_specs: engine_specs.to_vec(),
             tuning,
             live,
-            host: "e1".parse().expect("a name"),
+            host: "e1".parse().expect("a valid name"),
         }
     }
 
-    pub(super) fn say(&mut self, word: Word, now: f64) {
-        self.inbox.push_back((now + self.way, word));
+    pub(super) fn send(&mut self, message: Message, now: f64) {
+        self.inbox.push_back((now + self.message_delay, message));
     }
 
-    pub(super) fn leave(&mut self, engine: usize, now: f64) {
+    pub(super) fn drain(&mut self, engine: usize, now: f64) {
         self.live[engine] = false;
-        let specs = specs(&self.builds, &self.live);
+        let specs = specs(&self.engine_specs, &self.live);
         self.queue
             .update_fleet(|fleet| fleet.set_servers(specs, instant(now)), instant(now));
     }
 
-    /// The owner dies; the next one is told again what waits and what runs.
-    pub(super) fn die(
+    /// Crashes the owner; the entries report queued and running requests to the next one.
+    pub(super) fn crash(
         &mut self,
         waiting: Vec<(usize, Request)>,
         running: Vec<(usize, Request, usize)>,
         now: f64,
     ) {
-        self.dead_until = now + PAUSE;
+        self.dead_until = now + FAILOVER_SECONDS;
         let mut fleet = Fleet::new(self.tuning);
-        fleet.set_servers(specs(&self.builds, &self.live), instant(now));
-        self.queue = Queue::new(fleet, LIMIT);
+        fleet.set_servers(specs(&self.engine_specs, &self.live), instant(now));
+        self.queue = Queue::new(fleet, MAX_QUEUED_WORK);
         self.inbox
-            .retain(|(_, word)| matches!(word, Word::Report(..)));
+            .retain(|(_, message)| matches!(message, Message::Report(..)));
         for (id, request, engine) in running {
-            let ask = self.ask(id, &request);
+            let queue_request = self.to_queue_request(id, &request);
             self.queue
-                .restore_running(ask, &server(engine), instant(now));
+                .restore_running(queue_request, &server(engine), instant(now));
         }
         for (id, request) in waiting {
             self.inbox
-                .push_back((self.dead_until, Word::Ask(id, Box::new(request))));
+                .push_back((self.dead_until, Message::Request(id, Box::new(request))));
         }
     }
 
-    /// What the owner has decided by `now`.
-    pub(super) fn step(&mut self, now: f64, tick: bool) -> Vec<Verdict> {
+    /// Returns the decisions that have reached the entries by `now`.
+    pub(super) fn step(&mut self, now: f64, tick: bool) -> Vec<Decision> {
         if now >= self.dead_until {
-            self.hear(now);
+            self.receive(now);
             if tick {
                 self.queue.tick(instant(now));
-                self.answer(now);
+                self.collect_decisions(now);
             }
         }
         let mut ready = Vec::new();
-        while self.outbox.front().is_some_and(|first| first.0 <= now) {
-            ready.extend(self.outbox.pop_front().map(|first| first.1));
+        while self.outbox.front().is_some_and(|next| next.0 <= now) {
+            ready.extend(self.outbox.pop_front().map(|next| next.1));
         }
         ready
     }
 
-    fn hear(&mut self, now: f64) {
-        while self.inbox.front().is_some_and(|first| first.0 <= now) {
-            let Some((_, word)) = self.inbox.pop_front() else {
+    fn receive(&mut self, now: f64) {
+        while self.inbox.front().is_some_and(|next| next.0 <= now) {
+            let Some((_, message)) = self.inbox.pop_front() else {
                 return;
             };
-            match word {
-                Word::Ask(id, request) => {
-                    let ask = self.ask(id, &request);
-                    self.queue.submit(ask, instant(now));
+            match message {
+                Message::Request(id, request) => {
+                    let queue_request = self.to_queue_request(id, &request);
+                    self.queue.submit(queue_request, instant(now));
                 }
-                Word::Report(id, report) => {
+                Message::Report(id, report) => {
                     let ticket = self.ticket(id);
                     self.queue.report(&ticket, report, instant(now));
                 }
             }
-            self.answer(now);
+            self.collect_decisions(now);
         }
     }
 
-    fn answer(&mut self, now: f64) {
+    fn collect_decisions(&mut self, now: f64) {
         for action in self.queue.take_actions() {
-            let verdict = match action {
+            let decision = match action {
                 Action::Grant { ticket, pick } => {
                     let name = pick.name.as_str();
-                    let engine = name[1..].parse().expect("an engine's place");
-                    Verdict::Send(ticket.number.0 as usize, engine)
+                    let engine = name[1..]
+                        .parse()
+                        .expect("the name contains the index of the engine");
+                    Decision::Send(ticket.number.0 as usize, engine)
                 }
                 Action::Refuse { ticket, refusal } => {
-                    Verdict::Refuse(ticket.number.0 as usize, refusal.get_code())
+                    Decision::Refuse(ticket.number.0 as usize, refusal.get_code())
                 }
             };
-            self.outbox.push_back((now + self.way, verdict));
+            self.outbox.push_back((now + self.message_delay, decision));
         }
     }
 
@@ -187,29 +192,29 @@
         }
     }
 
-    fn ask(&self, id: usize, request: &Request) -> queue::Request {
+    fn to_queue_request(&self, id: usize, request: &Request) -> queue::Request {
         queue::Request {
             ticket: self.ticket(id),
             customer: format!("u{}-{}", request.customer, request.rank)
                 .parse()
-                .expect("a name"),
+                .expect("a valid name"),
             weight: 1,
             max_waiting: 2_000,
             rank: request.rank,
             prompt: Tokens(request.prompt),
-            max_output: Tokens(request.most),
+            max_output: Tokens(request.max_output),
             prefixes: vec![Prefix {
-                hash: request.group,
-                length: Tokens(request.common),
+                hash: request.prefix_group,
+                length: Tokens(request.shared_prefix),
             }],
             attempt: 0,
-            first_token_deadline: instant(request.arrival + request.first),
-            deadline: instant(request.arrival + request.whole),
+            first_token_deadline: instant(request.arrival + request.first_token_limit_s),
+            deadline: instant(request.arrival + request.response_limit_s),
         }
     }
 
-    /// The lowest tier that waits.
-    pub(super) fn lowest(&self) -> Option<u8> {
+    /// The lowest rank with a queued request.
+    pub(super) fn lowest_waiting_rank(&self) -> Option<u8> {
         self.queue.lowest_waiting_rank()
     }
 }
--- a/crates/lab/src/measure/score.rs
+++ b/crates/lab/src/measure/score.rs
@@ -1,88 +1,89 @@
-//! What came of it.
+//! The results of a run.
 
 use super::load::CUSTOMERS;
 use super::load::Request;
 
-/// Tiers.
+/// The number of tiers.
 pub(super) const TIERS: usize = 4;
 
-/// What came of one run.
+/// The results of one run.
 #[derive(Clone, Debug, Default)]
 pub struct Score {
     /// Requests offered, by tier.
     pub offered: [u32; TIERS],
-    /// Whole answers in time, by tier.
+    /// Complete responses in time, by tier.
     pub good: [u32; TIERS],
-    /// Requests refused before they were sent, by tier.
+    /// Requests refused before they were sent to an engine, by tier.
     pub refused: [u32; TIERS],
-    /// Tokens of good answers and their prompts.
+    /// Tokens of good responses and their prompts.
     pub tokens: f64,
     /// Prompt tokens computed.
     pub prefill: f64,
-    /// Prompt tokens computed for answers that were not good.
+    /// Prompt tokens computed for responses that were not good.
     pub wasted: f64,
     /// Offered requests of the second tier, by customer.
-    pub asked: [u32; CUSTOMERS],
-    /// Good answers of them.
-    pub served: [u32; CUSTOMERS],
+    pub offered_by_customer: [u32; CUSTOMERS],
+    /// Good responses to them.
+    pub good_by_customer: [u32; CUSTOMERS],
     /// Times to the first token in the highest tier, in seconds.
-    pub first: Vec<f64>,
+    pub first_token_seconds: Vec<f64>,
     /// Times between tokens in the highest tier, in seconds.
-    pub between: Vec<f64>,
-    /// Refusals of a higher tier, for want of room, while a lower one waited.
+    pub token_gap_seconds: Vec<f64>,
+    /// Requests shed while a request of a lower tier was queued.
     pub inversions: u32,
 }
 
 impl Score {
     pub(super) fn count_offered(&mut self, request: &Request) {
         if request.rank == 1 {
-            self.asked[request.customer] += 1;
+            self.offered_by_customer[request.customer] += 1;
         }
     }
 
     pub(super) fn count_good(&mut self, request: &Request) {
         if request.rank == 1 {
-            self.served[request.customer] += 1;
+            self.good_by_customer[request.customer] += 1;
         }
     }
 
-    /// The least part of its second-tier requests that a customer but the first gets answered.
+    /// The minimum share of second-tier requests with a good response, over all customers but the first.
     #[must_use]
-    pub fn others(&self) -> f64 {
-        let parts = (1..CUSTOMERS).map(|customer| {
-            f64::from(self.served[customer]) / f64::from(self.asked[customer].max(1))
+    pub fn min_served_share(&self) -> f64 {
+        let shares = (1..CUSTOMERS).map(|customer| {
+            f64::from(self.good_by_customer[customer])
+                / f64::from(self.offered_by_customer[customer].max(1))
         });
-        parts.fold(1.0, f64::min)
+        shares.fold(1.0, f64::min)
     }
 
-    /// Whole answers in time over what was offered.
+    /// The share of offered requests with a complete response in time.
     #[must_use]
     pub fn goodput(&self, tier: usize) -> f64 {
         f64::from(self.good[tier]) / f64::from(self.offered[tier].max(1))
     }
 
-    /// The same over all tiers.
+    /// The goodput over all tiers.
     #[must_use]
-    pub fn total(&self) -> f64 {
+    pub fn total_goodput(&self) -> f64 {
         let good: u32 = self.good.iter().sum();
         let offered: u32 = self.offered.iter().sum();
         f64::from(good) / f64::from(offered.max(1))
     }
 
-    /// Wasted over computed prompt tokens.
+    /// The share of computed prompt tokens that were wasted.
     #[must_use]
-    pub fn waste(&self) -> f64 {
+    pub fn wasted_share(&self) -> f64 {
         self.wasted / self.prefill.max(1.0)
     }
 
-    /// The value below which `part` of `times` are.
+    /// Returns the value below which the given fraction of `times` lies.
     #[must_use]
-    pub fn quantile(times: &[f64], part: f64) -> f64 {
+    pub fn quantile(times: &[f64], fraction: f64) -> f64 {
         let mut sorted = times.to_vec();
         sorted.sort_by(f64::total_cmp);
-        let place = (sorted.len() as f64 * part) as usize;
+        let index = (sorted.len() as f64 * fraction) as usize;
         sorted
-            .get(place.min(sorted.len().saturating_sub(1)))
+            .get(index.min(sorted.len().saturating_sub(1)))
             .copied()
             .unwrap_or(0.0)
     }
