--- a/crates/curlewlift/examples/tour.rs
+++ b/crates/curlewlift/examples/tour.rs
@@ -1,11 +1,11 @@
-//! A whole system on loopback in one process, under a mixed load, with some parts killed and
-//! drained on the way; prints a table. See tour.md.
+//! Runs a whole system on loopback in one process under a mixed load, kills and drains some of its processes, and
+//! prints a table. See tour.md.
 
 #![allow(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "figures for people, far below where it matters"
+    reason = "statistics for display; the values are small enough"
 )]
 
 use std::collections::BTreeMap;
@@ -32,21 +32,21 @@
     ("archive", "later"),
 ];
 
-/// How long the load lasts.
-const LOAD: Duration = Duration::from_secs(12);
+/// The duration of the load.
+const LOAD_DURATION: Duration = Duration::from_secs(12);
 
-/// Between two requests.
-const GAP: Duration = Duration::from_millis(12);
+/// The interval between two requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(12);
 
-/// What came of one tier's requests.
+/// The results of the requests of one tier.
 #[derive(Clone, Debug, Default)]
-struct Row {
+struct TierResults {
     offered: u32,
     good: u32,
     shed: u32,
     refused: u32,
     unknown: u32,
-    cut: u32,
+    cut_off: u32,
     resent: u32,
 }
 
@@ -55,25 +55,25 @@
     runtime: Runtime,
     engines: Vec<Engine>,
     plain: Plain,
-    rows: Arc<Mutex<BTreeMap<&'static str, Row>>>,
+    results_by_tier: Arc<Mutex<BTreeMap<&'static str, TierResults>>>,
 }
 
 /// One request of the load.
-struct Call {
+struct ScheduledRequest {
     tier: &'static str,
     key: String,
     client: Client,
-    kind: Kind,
+    payload: Payload,
 }
 
 #[derive(Clone)]
-enum Kind {
+enum Payload {
     Chat(String),
     Charge(String),
 }
 
 fn main() {
-    let stay = std::env::args().any(|argument| argument == "--stay");
+    let stays_up = std::env::args().any(|argument| argument == "--stay");
     let mut tour = start();
     println!(
         "{} entries, 3 control replicas, {} engines",
@@ -82,15 +82,15 @@
     );
     run(&mut tour);
     report(&tour);
-    if stay {
-        wait(&tour);
+    if stays_up {
+        wait_for_interrupt(&tour);
     }
     let folder = folder();
     drop(tour);
     let _ = std::fs::remove_dir_all(folder);
 }
 
-/// Where the control replicas keep their files.
+/// The folder of the control replicas.
 fn folder() -> std::path::PathBuf {
     std::env::temp_dir().join(format!("curlewlift-tour-{}", std::process::id()))
 }
@@ -100,10 +100,10 @@
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build();
-    let runtime = runtime.expect("a runtime");
+    let runtime = runtime.expect("the runtime starts");
     let mut site = Site::start(&folder, &["hall-a", "hall-b", "hall-c"], 3, 6);
     site.wait_for_replicas(3);
-    for (rank, (tier, first)) in [
+    for (rank, (tier, first_ms)) in [
         ("live", 1_900),
         ("quick", 4_000),
         ("steady", 20_000),
@@ -112,7 +112,9 @@
     .iter()
     .enumerate()
     {
-        site.run(&format!("create tier {tier} rank={rank} first_ms={first}"));
+        site.run(&format!(
+            "create tier {tier} rank={rank} first_ms={first_ms}"
+        ));
     }
     site.run("create service chat model=lm-pool floor=2");
     site.run("create service pay sole=[\"POST /charge\"]");
@@ -127,11 +129,11 @@
         (5_000, 100),
     ];
     let mut engines = Vec::new();
-    for (place, (prefill, decode)) in shapes.into_iter().enumerate() {
+    for (index, (prefill, decode)) in shapes.into_iter().enumerate() {
         let engine = runtime.block_on(Engine::start(Speed { prefill, decode }));
         let fields = format!("slots=8 prefill={prefill} decode={decode}");
         site.create_server(
-            &format!("m{}", place + 1),
+            &format!("m{}", index + 1),
             "chat",
             engine.address(),
             &fields,
@@ -146,71 +148,77 @@
         runtime,
         engines,
         plain,
-        rows: Arc::default(),
+        results_by_tier: Arc::default(),
     }
 }
 
-/// Short replies, live streams, documents a hundred times as long, and charges.
-fn call(number: u64) -> Call {
-    let place = usize::try_from(number % 5).unwrap_or(0);
-    let (customer, tier) = CUSTOMERS[place];
+/// Returns the request with this number: a short reply, a live stream, a document a hundred times as long, or a charge.
+fn request(number: u64) -> ScheduledRequest {
+    let index = usize::try_from(number % 5).unwrap_or(0);
+    let (customer, tier) = CUSTOMERS[index];
     let text = |words: u64| format!("request {number}: {}", "word ".repeat(words as usize));
-    let kind = match (tier, number % 10) {
-        (_, 7) => Kind::Charge(format!("charge {number}")),
-        ("live", _) => Kind::Chat(Client::chat("lm-pool", &text(20), 20, true)),
-        ("quick", _) => Kind::Chat(Client::chat(
+    let payload = match (tier, number % 10) {
+        (_, 7) => Payload::Charge(format!("charge {number}")),
+        ("live", _) => Payload::Chat(Client::chat("lm-pool", &text(20), 20, true)),
+        ("quick", _) => Payload::Chat(Client::chat(
             "lm-pool",
             &text(100),
             30,
             number.is_multiple_of(4),
         )),
-        ("steady", _) => Kind::Chat(Client::chat("lm-pool", &text(500), 40, false)),
-        (_, _) => Kind::Chat(Client::chat("lm-pool", &text(2_000), 80, true)),
+        ("steady", _) => Payload::Chat(Client::chat("lm-pool", &text(500), 40, false)),
+        (_, _) => Payload::Chat(Client::chat("lm-pool", &text(2_000), 80, true)),
     };
-    Call {
+    ScheduledRequest {
         tier,
         key: format!("tour-{number}"),
         client: Client::new(&format!("key-{customer}")),
-        kind,
+        payload,
     }
 }
 
 fn run(tour: &mut Tour) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut tasks = Vec::new();
-    let entries: Vec<_> = (0..6).map(|place| tour.site.entry(place)).collect();
+    let entries: Vec<_> = (0..6).map(|index| tour.site.entry(index)).collect();
     let mut number = 0;
-    let mut steps = steps();
-    while began.elapsed() < LOAD {
-        let call = call(number);
-        let rows = Arc::clone(&tour.rows);
+    let mut scheduled_events = scheduled_events();
+    while started_at.elapsed() < LOAD_DURATION {
+        let request = request(number);
+        let results = Arc::clone(&tour.results_by_tier);
         let entries = entries.clone();
         let first = usize::try_from(number).unwrap_or(0) % entries.len();
         tasks.push(
             tour.runtime
-                .spawn(async move { send(call, &entries, first, &rows).await }),
+                .spawn(async move { send(request, &entries, first, &results).await }),
         );
         number += 1;
-        if steps.first().is_some_and(|step| began.elapsed() >= step.0) {
-            let (_, what, act) = steps.remove(0);
-            println!("{:5.1} s  {what}", began.elapsed().as_secs_f64());
-            act(tour);
+        if scheduled_events
+            .first()
+            .is_some_and(|event| started_at.elapsed() >= event.0)
+        {
+            let (_, description, action) = scheduled_events.remove(0);
+            println!(
+                "{:5.1} s  {description}",
+                started_at.elapsed().as_secs_f64()
+            );
+            action(tour);
         }
-        std::thread::sleep(GAP);
+        std::thread::sleep(REQUEST_INTERVAL);
     }
     tour.runtime.block_on(async {
         for task in tasks {
             let _ = task.await;
         }
-        // The engines count what nobody took a second after its end.
+        // The engines count unread responses one second after their end.
         tokio::time::sleep(Duration::from_millis(1_500)).await;
     });
 }
 
-type Step = (Duration, &'static str, fn(&mut Tour));
+type ScheduledEvent = (Duration, &'static str, fn(&mut Tour));
 
-/// What goes wrong on the way.
-fn steps() -> Vec<Step> {
+/// Returns the faults and maintenance actions during the run.
+fn scheduled_events() -> Vec<ScheduledEvent> {
     let at = Duration::from_secs;
     vec![
         (at(2), "an engine is drained", |tour| {
@@ -226,80 +234,92 @@
     ]
 }
 
-/// Sends a request as a caller does: on a refusal or a lost entry the next address, same key.
+/// Sends a request as a caller does: after a refusal or the loss of an entry it retries at the next address with the
+/// same key.
 async fn send(
-    call: Call,
+    request: ScheduledRequest,
     entries: &[std::net::SocketAddr],
-    first: usize,
-    rows: &Mutex<BTreeMap<&'static str, Row>>,
+    first_entry: usize,
+    results_by_tier: &Mutex<BTreeMap<&'static str, TierResults>>,
 ) {
-    let mut row = Row {
+    let mut results = TierResults {
         offered: 1,
-        ..Row::default()
+        ..TierResults::default()
     };
     for attempt in 0..6 {
-        let to = entries[(first + attempt) % entries.len()];
-        let reply = once(&call, to).await;
+        let address = entries[(first_entry + attempt) % entries.len()];
+        let reply = send_once(&request, address).await;
         let code = reply.header("curlewlift-code").to_owned();
-        let ended =
+        let has_run =
             reply.body.contains("outcome=run") || reply.header("curlewlift-outcome") == "run";
-        if reply.whole && ended {
-            row.good = 1;
+        if reply.whole && has_run {
+            results.good = 1;
             break;
         }
-        let elsewhere = reply.status == 0 || !reply.whole || code == "7002" || code == "7004";
-        if elsewhere {
-            row.resent += 1;
+        let retries_elsewhere =
+            reply.status == 0 || !reply.whole || code == "7002" || code == "7004";
+        if retries_elsewhere {
+            results.resent += 1;
             tokio::time::sleep(Duration::from_millis(200)).await;
             continue;
         }
         match code.as_str() {
-            "3001" => row.shed = 1,
-            "5003" => row.unknown = 1,
-            _ if reply.header("curlewlift-outcome") == "not-run" => row.refused = 1,
-            _ => row.cut = 1,
+            "3001" => results.shed = 1,
+            "5003" => results.unknown = 1,
+            _ if reply.header("curlewlift-outcome") == "not-run" => results.refused = 1,
+            _ => results.cut_off = 1,
         }
         break;
     }
-    let mut rows = rows.lock().expect("no thread panics with it");
-    let sum = rows.entry(call.tier).or_default();
-    sum.offered += row.offered;
-    sum.good += row.good;
-    sum.shed += row.shed;
-    sum.refused += row.refused;
-    sum.unknown += row.unknown;
-    sum.cut += row.cut;
-    sum.resent += row.resent;
+    let mut results_by_tier = results_by_tier.lock().expect("the lock is not poisoned");
+    let tier_results = results_by_tier.entry(request.tier).or_default();
+    tier_results.offered += results.offered;
+    tier_results.good += results.good;
+    tier_results.shed += results.shed;
+    tier_results.refused += results.refused;
+    tier_results.unknown += results.unknown;
+    tier_results.cut_off += results.cut_off;
+    tier_results.resent += results.resent;
 }
 
-async fn once(call: &Call, to: std::net::SocketAddr) -> Reply {
+async fn send_once(request: &ScheduledRequest, address: std::net::SocketAddr) -> Reply {
     let headers = [
-        ("idempotency-key", call.key.as_str()),
+        ("idempotency-key", request.key.as_str()),
         ("curlewlift-deadline-ms", "20000"),
     ];
-    match &call.kind {
-        Kind::Chat(body) => call.client.post(to, &headers, body.clone()).await,
-        Kind::Charge(body) => {
+    match &request.payload {
+        Payload::Chat(body) => request.client.post(address, &headers, body.clone()).await,
+        Payload::Charge(body) => {
             let path = "/services/pay/charge";
-            call.client
-                .send(to, Method::POST, path, &headers, body.clone())
+            request
+                .client
+                .send(address, Method::POST, path, &headers, body.clone())
                 .await
         }
     }
 }
 
 fn report(tour: &Tour) {
-    let rows = tour.rows.lock().expect("no thread panics with it");
+    let results_by_tier = tour
+        .results_by_tier
+        .lock()
+        .expect("the lock is not poisoned");
     println!(
         "\n{:8} {:>8} {:>8} {:>8} {:>5} {:>8} {:>8} {:>8} {:>7}",
         "tier", "offered", "good", "goodput", "shed", "refused", "unknown", "resent", "cut off"
     );
     for (tier, _) in [("live", 0), ("quick", 1), ("steady", 2), ("later", 3)] {
-        let row = rows.get(tier).cloned().unwrap_or_default();
-        let goodput = 100.0 * f64::from(row.good) / f64::from(row.offered.max(1));
+        let results = results_by_tier.get(tier).cloned().unwrap_or_default();
+        let goodput = 100.0 * f64::from(results.good) / f64::from(results.offered.max(1));
         println!(
             "{tier:8} {:>8} {:>8} {goodput:>7.1}% {:>5} {:>8} {:>8} {:>8} {:>7}",
-            row.offered, row.good, row.shed, row.refused, row.unknown, row.resent, row.cut
+            results.offered,
+            results.good,
+            results.shed,
+            results.refused,
+            results.unknown,
+            results.resent,
+            results.cut_off
         );
     }
     let all_stats: Vec<_> = tour.engines.iter().map(Engine::stats).collect();
@@ -310,24 +330,27 @@
         *runs.entry(id).or_default() += count;
     }
     let charges = tour.plain.calls();
-    let doubled = runs
+    let duplicated = runs
         .values()
         .chain(charges.values())
         .filter(|count| **count > 1)
         .count();
-    let cut: u32 = rows.values().map(|row| row.cut).sum();
-    let share = 100.0 * wasted as f64 / prefill.max(1) as f64;
-    println!("\nprefill {prefill} tokens, wasted {wasted} ({share:.2}%)");
-    println!("doubled = {doubled}, cut off = {cut}");
+    let cut_off: u32 = results_by_tier
+        .values()
+        .map(|results| results.cut_off)
+        .sum();
+    let wasted_percent = 100.0 * wasted as f64 / prefill.max(1) as f64;
+    println!("\nprefill {prefill} tokens, wasted {wasted} ({wasted_percent:.2}%)");
+    println!("run more than once: {duplicated}, cut off: {cut_off}");
 }
 
-fn wait(tour: &Tour) {
+fn wait_for_interrupt(tour: &Tour) {
     let entry = tour.site.entry(0);
-    println!("\nstays up; end it with Ctrl-C. Try:");
+    println!("\nThe system stays up; stop it with Ctrl-C. Try:");
     println!(
         "  curl -sN http://{entry}/v1/chat/completions -H 'authorization: Bearer key-portal' -H 'idempotency-key: mine' -d '{{\"model\":\"lm-pool\",\"stream\":true,\"max_tokens\":9,\"messages\":[{{\"role\":\"user\",\"content\":\"hello\"}}]}}'"
     );
-    let all: Vec<_> = tour
+    let addresses: Vec<_> = tour
         .site
         .rpc_addresses()
         .iter()
@@ -335,7 +358,7 @@
         .collect();
     println!(
         "  target/release/curlewlift timeline --from {} --customer portal --key mine",
-        all.join(",")
+        addresses.join(",")
     );
     loop {
         std::thread::sleep(Duration::from_hours(1));
--- a/crates/lab/examples/commits.rs
+++ b/crates/lab/examples/commits.rs
@@ -1,11 +1,12 @@
-//! Commits of control with synced disks, one by one and together, and restarts after many changes:
+//! Measures commits of the control replicas with synced disks, sequential and concurrent, and restarts after many
+//! changes:
 //! `cargo run --release -p curlewlift-lab --example commits`.
 
 #![allow(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "figures for people"
+    reason = "statistics for display"
 )]
 
 use std::time::Duration;
@@ -13,20 +14,24 @@
 
 use curlewlift_lab::site::Site;
 
-/// Commands one after another, and threads that give commands together.
-const ALONE: u64 = 100;
-const THREADS: u64 = 32;
-const EACH: u64 = 20;
+/// The number of sequential commands.
+const SEQUENTIAL_COMMANDS: u64 = 100;
+
+/// The number of operators that run commands concurrently, each in a thread of its own.
+const OPERATORS: u64 = 32;
+
+/// The number of commands per concurrent operator.
+const COMMANDS_PER_OPERATOR: u64 = 20;
 
 fn main() {
     let folder = std::env::temp_dir().join(format!("curlewlift-commits-{}", std::process::id()));
     for replicas in [1, 3] {
-        let place = folder.join(format!("commits-{replicas}"));
-        let mut site = Site::start(&place, &["a", "b", "c"], replicas, 0);
+        let site_folder = folder.join(format!("commits-{replicas}"));
+        let mut site = Site::start(&site_folder, &["a", "b", "c"], replicas, 0);
         site.wait_for_replicas(replicas);
         site.run("create tier t rank=0");
-        alone(&site, replicas);
-        together(&site, replicas);
+        run_sequential(&site, replicas);
+        run_concurrent(&site, replicas);
     }
     for changes in [500, 5_000] {
         restart(&folder.join(format!("restart-{changes}")), changes);
@@ -34,41 +39,43 @@
     let _ = std::fs::remove_dir_all(folder);
 }
 
-fn alone(site: &Site, replicas: usize) {
+fn run_sequential(site: &Site, replicas: usize) {
     let operator = site.operator();
-    let mut times: Vec<_> = (0..ALONE)
+    let mut times: Vec<_> = (0..SEQUENTIAL_COMMANDS)
         .map(|number| {
-            let began = Instant::now();
+            let started_at = Instant::now();
             let line = format!("change tier t first_ms={number}");
-            operator.run(10_000 + number, &line).expect("it is applied");
-            began.elapsed().as_secs_f64() * 1e3
+            operator
+                .run(10_000 + number, &line)
+                .expect("the command is applied");
+            started_at.elapsed().as_secs_f64() * 1e3
         })
         .collect();
     times.sort_by(f64::total_cmp);
-    let at = |part: f64| times[(times.len() as f64 * part) as usize];
+    let quantile = |fraction: f64| times[(times.len() as f64 * fraction) as usize];
     println!(
-        "{replicas} replicas, one by one, a connection each: median {:.2} ms, p95 {:.2} ms",
-        at(0.5),
-        at(0.95)
+        "{replicas} replicas, sequential commands, one connection each: median {:.2} ms, p95 {:.2} ms",
+        quantile(0.5),
+        quantile(0.95)
     );
 }
 
-fn together(site: &Site, replicas: usize) {
-    let began = Instant::now();
+fn run_concurrent(site: &Site, replicas: usize) {
+    let started_at = Instant::now();
     std::thread::scope(|scope| {
-        for thread in 0..THREADS {
+        for operator_index in 0..OPERATORS {
             let operator = site.operator();
             scope.spawn(move || {
-                for number in 0..EACH {
-                    let number = 100_000 + thread * 1_000 + number;
+                for number in 0..COMMANDS_PER_OPERATOR {
+                    let number = 100_000 + operator_index * 1_000 + number;
                     let line = format!("change tier t first_ms={number}");
-                    operator.run(number, &line).expect("it is applied");
+                    operator.run(number, &line).expect("the command is applied");
                 }
             });
         }
     });
-    let rate = (THREADS * EACH) as f64 / began.elapsed().as_secs_f64();
-    println!("{replicas} replicas, {THREADS} operators at once: {rate:.0} commits a second");
+    let rate = (OPERATORS * COMMANDS_PER_OPERATOR) as f64 / started_at.elapsed().as_secs_f64();
+    println!("{replicas} replicas, {OPERATORS} concurrent operators: {rate:.0} commits per second");
 }
 
 fn restart(folder: &std::path::Path, changes: u64) {
@@ -76,23 +83,25 @@
     site.run("create tier t rank=0");
     let operators: Vec<_> = (0..16).map(|_| site.operator()).collect();
     std::thread::scope(|scope| {
-        for (thread, operator) in operators.iter().enumerate() {
+        for (operator_index, operator) in operators.iter().enumerate() {
             scope.spawn(move || {
-                for number in (thread as u64..changes).step_by(16) {
+                for number in (operator_index as u64..changes).step_by(16) {
                     let line = format!("change tier t first_ms={number}");
-                    operator.run(10_000 + number, &line).expect("it is applied");
+                    operator
+                        .run(10_000 + number, &line)
+                        .expect("the command is applied");
                 }
             });
         }
     });
     site.kill_control(0);
-    let began = Instant::now();
+    let started_at = Instant::now();
     site.restart_control(0);
     while site.query("show tiers").is_err() {
         std::thread::sleep(Duration::from_millis(5));
     }
-    let took = began.elapsed().as_secs_f64();
+    let seconds = started_at.elapsed().as_secs_f64();
     println!(
-        "restart after {changes} changes: answers after {took:.2} s, an election's wait included"
+        "restart after {changes} changes: responds after {seconds:.2} s, including the election timeout"
     );
 }
--- a/crates/lab/examples/slopes.rs
+++ b/crates/lab/examples/slopes.rs
@@ -1,17 +1,17 @@
-//! Measures the slopes behind docs/CAPACITY.md:
-//! `cargo run --release -p curlewlift-lab --example slopes [part] [most entries]`.
+//! Measures how cost grows with size, for docs/CAPACITY.md:
+//! `cargo run --release -p curlewlift-lab --example slopes [part] [max entries]`.
 //!
-//! A part is one of owner, claims, leases, changes, views, requests, processes; without one all are run. What
-//! memory a part takes is only told by a run of that part alone.
+//! The part is one of owner, claims, leases, changes, views, requests and processes; by default all parts run. The
+//! memory figures of a part are only valid if it runs alone.
 //!
-//! The parts are timed by themselves on one thread; then a control replica and up to so many real
-//! entries (340 without a number) run on loopback in this process.
+//! The first parts run on one thread without sockets. The part `processes` runs a control replica and up to the given
+//! number of entries (default 340) on loopback in this process.
 
 #![allow(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "figures for people, far below where it matters"
+    reason = "statistics for display; the values are small enough"
 )]
 
 use std::collections::VecDeque;
@@ -52,80 +52,80 @@
 
 fn main() {
     let arguments: Vec<_> = std::env::args().skip(1).collect();
-    let most = arguments
+    let max_entries = arguments
         .iter()
         .find_map(|text| text.parse().ok())
         .unwrap_or(340);
-    let part = arguments.iter().find(|text| text.parse::<usize>().is_err());
-    let wanted = |name: &str| part.is_none_or(|part| part == name);
-    if wanted("claims") {
+    let selected = arguments.iter().find(|text| text.parse::<usize>().is_err());
+    let is_selected = |name: &str| selected.is_none_or(|selected| selected == name);
+    if is_selected("claims") {
         claims();
     }
-    if wanted("owner") {
+    if is_selected("owner") {
         owner();
     }
-    if wanted("leases") {
+    if is_selected("leases") {
         leases();
     }
-    if wanted("changes") {
+    if is_selected("changes") {
         changes();
     }
-    if wanted("views") {
+    if is_selected("views") {
         views();
     }
-    if wanted("requests") {
+    if is_selected("requests") {
         requests();
     }
-    if wanted("processes") {
-        processes(most);
+    if is_selected("processes") {
+        processes(max_entries);
     }
 }
 
-/// Points of a measurement and the straight line through them.
-fn fit(name: &str, unit: &str, points: &[(f64, f64)]) {
+/// Prints the points of a measurement and a straight line fitted to them.
+fn print_fit(name: &str, unit: &str, points: &[(f64, f64)]) {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|point| point.0).sum::<f64>() / count;
     let mean_y = points.iter().map(|point| point.1).sum::<f64>() / count;
-    let over: f64 = points
+    let covariance: f64 = points
         .iter()
         .map(|(x, y)| (x - mean_x) * (y - mean_y))
         .sum();
-    let under: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-    let slope = over / under;
-    let start = mean_y - slope * mean_x;
-    let off = points
+    let variance: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+    let slope = covariance / variance;
+    let intercept = mean_y - slope * mean_x;
+    let errors = points
         .iter()
-        .map(|(x, y)| (y - start - slope * x).abs() / y.abs().max(1e-9));
-    let worst = 100.0 * off.fold(0.0, f64::max);
-    let shown: Vec<_> = points.iter().map(|(x, y)| format!("{x}: {y:.2}")).collect();
-    println!("{name} [{unit}]: {}", shown.join(", "));
-    println!("  = {start:.3} + {slope:.5} x, worst point {worst:.0}% off");
+        .map(|(x, y)| (y - intercept - slope * x).abs() / y.abs().max(1e-9));
+    let max_error_percent = 100.0 * errors.fold(0.0, f64::max);
+    let formatted: Vec<_> = points.iter().map(|(x, y)| format!("{x}: {y:.2}")).collect();
+    println!("{name} [{unit}]: {}", formatted.join(", "));
+    println!("  = {intercept:.3} + {slope:.5} x, maximum error {max_error_percent:.0}%");
 }
 
-/// Microseconds of one call of `turn`.
-fn time(count: u32, mut turn: impl FnMut()) -> f64 {
-    let began = Wall::now();
+/// Returns the mean time of one call of `operation` in microseconds.
+fn time(count: u32, mut operation: impl FnMut()) -> f64 {
+    let started_at = Wall::now();
     for _ in 0..count {
-        turn();
+        operation();
     }
-    began.elapsed().as_secs_f64() * 1e6 / f64::from(count)
+    started_at.elapsed().as_secs_f64() * 1e6 / f64::from(count)
 }
 
-fn host(place: u64) -> id::Host {
-    format!("e{place}").parse().expect("a name")
+fn host(index: u64) -> id::Host {
+    format!("e{index}").parse().expect("a valid name")
 }
 
-fn member(place: u64) -> Member {
+fn member(index: u64) -> Member {
     Member {
-        host: host(place),
-        hall: format!("h{}", place % 6).parse().expect("a name"),
-        rpc: format!("127.0.0.1:{}", 10_000 + place)
+        host: host(index),
+        hall: format!("h{}", index % 6).parse().expect("a valid name"),
+        rpc: format!("127.0.0.1:{}", 10_000 + index)
             .parse()
-            .expect("an address"),
-        http: format!("127.0.0.1:{}", 20_000 + place)
+            .expect("a valid address"),
+        http: format!("127.0.0.1:{}", 20_000 + index)
             .parse()
-            .expect("an address"),
-        incarnation: place,
+            .expect("a valid address"),
+        incarnation: index,
         leaving: false,
         owns: true,
     }
@@ -135,45 +135,47 @@
     println!("\n# owner of a service's queue");
     let mut points = Vec::new();
     for servers in [10, 100, 600, 1_800] {
-        points.push((f64::from(servers), turn_time(servers, 1_000)));
+        points.push((f64::from(servers), request_time(servers, 1_000)));
     }
-    fit(
-        "a request's whole turn, by servers, 1,000 waiting",
-        "us",
-        &points,
-    );
+    print_fit("time per request, by servers, 1,000 queued", "us", &points);
     let mut points = Vec::new();
     for waiting in [1_000, 100_000] {
         let before = memory_bytes();
-        let took = turn_time(1_800, waiting);
+        let micros = request_time(1_800, waiting);
         let bytes = memory_bytes().saturating_sub(before) as f64 / f64::from(waiting);
-        println!("  {waiting} waiting: {took:.2} us a turn, {bytes:.0} bytes of new memory each");
-        points.push((f64::from(waiting), took));
+        println!(
+            "  {waiting} queued: {micros:.2} us per request, {bytes:.0} bytes of new memory each"
+        );
+        points.push((f64::from(waiting), micros));
     }
-    fit("the same, by what waits, 1,800 servers", "us", &points);
+    print_fit(
+        "time per request, by queued requests, 1,800 servers",
+        "us",
+        &points,
+    );
 }
 
-fn turn_time(servers: u32, waiting: u32) -> f64 {
+fn request_time(servers: u32, waiting: u32) -> f64 {
     let mut fleet = Fleet::default();
-    let spec = |place: u32| Spec {
-        name: format!("m{place}").parse().expect("a name"),
-        hall: format!("h{}", place % 6).parse().expect("a name"),
+    let spec = |index: u32| Spec {
+        name: format!("m{index}").parse().expect("a valid name"),
+        hall: format!("h{}", index % 6).parse().expect("a valid name"),
         slots: 16,
-        prefill: Rate([8_000, 4_000, 2_000][place as usize % 3]),
+        prefill: Rate([8_000, 4_000, 2_000][index as usize % 3]),
         decode: Rate(40),
     };
     fleet.set_servers((0..servers).map(spec).collect(), Instant::default());
     let mut queue = Queue::new(fleet, Tokens(u64::MAX));
     let customers: Vec<id::Customer> = (0..470)
-        .map(|n| format!("u{n}").parse().expect("a name"))
+        .map(|n| format!("u{n}").parse().expect("a valid name"))
         .collect();
     let mut running = VecDeque::new();
     let mut number = 0;
     let mut now = Instant::default();
-    let mut ask = |queue: &mut Queue, running: &mut VecDeque<Ticket>, now: Instant| {
+    let mut submit = |queue: &mut Queue, running: &mut VecDeque<Ticket>, now: Instant| {
         number += 1;
-        let far = now + Duration::from_secs(100_000) + Duration::from_micros(number);
-        let ask = Request {
+        let far_deadline = now + Duration::from_secs(100_000) + Duration::from_micros(number);
+        let request = Request {
             ticket: Ticket {
                 host: host(number % 340),
                 number: id::Ticket(number),
@@ -181,15 +183,15 @@
             customer: customers[number as usize % customers.len()].clone(),
             weight: 1,
             max_waiting: u32::MAX,
-            rank: u8::try_from(number % 4).expect("small"),
+            rank: u8::try_from(number % 4).expect("fits"),
             prompt: Tokens(200 + number % 500),
             max_output: Tokens(200),
             prefixes: Vec::new(),
             attempt: 0,
-            first_token_deadline: far,
-            deadline: far,
+            first_token_deadline: far_deadline,
+            deadline: far_deadline,
         };
-        queue.submit(ask, now);
+        queue.submit(request, now);
         for action in queue.take_actions() {
             if let Action::Grant { ticket, .. } = action {
                 running.push_back(ticket);
@@ -197,11 +199,11 @@
         }
     };
     while queue.waiting_count() < waiting as usize {
-        ask(&mut queue, &mut running, now);
+        submit(&mut queue, &mut running, now);
     }
     time(20_000, || {
         now = now + Duration::from_micros(260);
-        ask(&mut queue, &mut running, now);
+        submit(&mut queue, &mut running, now);
         let Some(ticket) = running.pop_front() else {
             return;
         };
@@ -225,18 +227,18 @@
 
 fn claims() {
     println!("\n# claims of request keys, at one of three replicas");
-    let own = member(0);
+    let own_member = member(0);
     let roster = Roster {
         number: id::View(1),
-        members: vec![own.clone()],
+        members: vec![own_member.clone()],
     };
-    let mut table = Table::new(own, Duration::from_secs(100_000), usize::MAX);
+    let mut table = Table::new(own_member, Duration::from_secs(100_000), usize::MAX);
     table.apply_view(&roster, &Roster::default(), Instant::default());
     let mut key = 0_u128;
     let before = memory_bytes();
     let mut points = Vec::new();
     for count in [100_000_u32, 200_000, 400_000, 800_000] {
-        let took = time(
+        let micros = time(
             count - u32::try_from(table.record_count()).unwrap_or(0),
             || {
                 key += 1;
@@ -257,16 +259,16 @@
                 table.claim(&claim, Instant::default());
             },
         );
-        println!("  up to {count} kept: {took:.2} us a claim");
+        println!("  up to {count} records: {micros:.2} us per claim");
         points.push((
             f64::from(count),
             memory_bytes().saturating_sub(before) as f64 / 1e6,
         ));
     }
-    fit("memory, by thousand records", "MB", &points);
+    print_fit("memory, by thousand records", "MB", &points);
 }
 
-fn machine(entries: u64, customers: u64, servers: u64) -> Machine {
+fn build_machine(entries: u64, customers: u64, servers: u64) -> Machine {
     let mut machine = Machine::default();
     let mut lines: Vec<_> = (0..4)
         .map(|n| format!("create tier t{n} rank={n}"))
@@ -295,13 +297,13 @@
     }
     for (number, line) in lines.into_iter().enumerate() {
         let command = Command {
-            operator: "root".parse().expect("a name"),
+            operator: "root".parse().expect("a valid name"),
             number: number as u64,
             line,
         };
         machine
             .apply(&Record::Command(command))
-            .expect("it is applied");
+            .expect("the command is applied");
     }
     machine
 }
@@ -310,19 +312,19 @@
     println!("\n# leases, at the leading control replica");
     let mut points = Vec::new();
     for entries in [10, 100, 340] {
-        let mut machine = machine(entries, 0, 0);
+        let mut machine = build_machine(entries, 0, 0);
         let members = (0..entries).map(member).collect();
         let number = id::View(1);
         machine
             .apply(&Record::Roster(Roster { number, members }))
-            .expect("a view");
+            .expect("the view is applied");
         let mut grantor = Grantor::new(LeaseTiming::default(), Instant::default());
-        let mut place = 0;
+        let mut index = 0;
         let revision = machine.get_snapshot().revision;
-        let took = time(20_000, || {
-            place = (place + 1) % entries;
+        let micros = time(20_000, || {
+            index = (index + 1) % entries;
             let renewal = Renewal {
-                member: member(place),
+                member: member(index),
                 held_view: number,
                 active_view: number,
                 shards_complete: true,
@@ -332,34 +334,34 @@
             let grant = grantor.renew(&renewal, &machine, Instant::default());
             assert!(grant.is_ok());
         });
-        points.push((entries as f64, took));
+        points.push((entries as f64, micros));
     }
-    fit("one renewal, by entries", "us", &points);
+    print_fit("one renewal, by entries", "us", &points);
 }
 
 fn changes() {
     println!("\n# configuration");
     let mut points = Vec::new();
     for scale in [1, 2, 4, 8] {
-        let mut machine = machine(340 * scale / 8, 470 * scale / 8, 1_800 * scale / 8);
+        let mut machine = build_machine(340 * scale / 8, 470 * scale / 8, 1_800 * scale / 8);
         let items = (340 + 470 + 1_800) * scale / 8 + 13;
         let size = machine.encode().len();
         let mut number = 1_000_000;
-        let took = time(200, || {
+        let micros = time(200, || {
             number += 1;
             let command = Command {
-                operator: "root".parse().expect("a name"),
+                operator: "root".parse().expect("a valid name"),
                 number,
                 line: format!("change customer u0 weight={}", number % 7 + 1),
             };
             machine
                 .apply(&Record::Command(command))
-                .expect("it is applied");
+                .expect("the command is applied");
         });
-        println!("  {items} items: {size} bytes of state, {took:.0} us to apply a change");
-        points.push((items as f64, took));
+        println!("  {items} items: {size} bytes of state, {micros:.0} us to apply a change");
+        points.push((items as f64, micros));
     }
-    fit("applying a change, by items", "us", &points);
+    print_fit("applying a change, by items", "us", &points);
 }
 
 fn views() {
@@ -370,72 +372,75 @@
             number: id::View(number),
             members: (0..count).map(member).collect(),
         };
-        let (one, two) = (roster(1, entries), roster(2, entries - 1));
+        let (old, new) = (roster(1, entries), roster(2, entries - 1));
         let mut table = Table::new(member(0), Duration::from_secs(1_000), 1_000);
-        table.apply_view(&one, &Roster::default(), Instant::default());
-        let took = time(1, || table.apply_view(&two, &one, Instant::default()));
-        points.push((entries as f64, took / 1_000.0));
+        table.apply_view(&old, &Roster::default(), Instant::default());
+        let micros = time(1, || table.apply_view(&new, &old, Instant::default()));
+        points.push((entries as f64, micros / 1_000.0));
     }
-    fit("taking up a view, by entries", "ms", &points);
+    print_fit("applying a view, by entries", "ms", &points);
 }
 
-/// What a request costs the entries: six of them, all by one client, engines that answer at once.
+/// Measures the CPU time of six entries per request, with one client and engines that respond at once.
 fn requests() {
-    println!("\n# requests through six entries: processor time of all entries");
+    println!("\n# requests through six entries: CPU time of all entries");
     let folder = std::env::temp_dir().join(format!("curlewlift-slopes-{}", std::process::id()));
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build();
-    let runtime = runtime.expect("a runtime");
+    let runtime = runtime.expect("the runtime starts");
     let mut site = Site::start(&folder, &["h1", "h2", "h3"], 1, 6);
     site.create_tiers();
     site.run("create service chat model=m");
     site.create_customer("ann", "live", "rate=100000 open=100000");
-    let shape = Speed {
+    let speed = Speed {
         prefill: 10_000_000,
         decode: 1_000_000,
     };
     let engines: Vec<_> = (0..4)
-        .map(|_| runtime.block_on(Engine::start(shape)))
+        .map(|_| runtime.block_on(Engine::start(speed)))
         .collect();
-    for (place, engine) in engines.iter().enumerate() {
+    for (index, engine) in engines.iter().enumerate() {
         let fields = "slots=1000 prefill=10000000 decode=1000000";
-        site.create_server(&format!("m{place}"), "chat", engine.address(), fields);
+        site.create_server(&format!("m{index}"), "chat", engine.address(), fields);
     }
     site.wait_for_revision();
-    let idle = spent(&runtime, &site, 0, 1);
-    println!("  idle: {:.2}% of a core an entry", 100.0 * idle / 6.0);
+    let idle_cpu = cpu_share(&runtime, &site, 0, 1);
+    println!("  idle: {:.2}% of a core per entry", 100.0 * idle_cpu / 6.0);
     let mut points = Vec::new();
     for rate in [50, 100, 200, 400] {
-        points.push((f64::from(rate), 1_000.0 * spent(&runtime, &site, rate, 1)));
+        points.push((
+            f64::from(rate),
+            1_000.0 * cpu_share(&runtime, &site, rate, 1),
+        ));
     }
-    fit(
-        "milliseconds a second, by requests a second of one token",
+    print_fit(
+        "CPU milliseconds per second, by requests per second of one token",
         "ms/s",
         &points,
     );
     let mut points = Vec::new();
     for tokens in [1, 50, 100, 200] {
-        let spent = spent(&runtime, &site, 100, tokens);
-        points.push((tokens as f64, 1e6 * spent / 100.0));
+        let cpu_share = cpu_share(&runtime, &site, 100, tokens);
+        points.push((tokens as f64, 1e6 * cpu_share / 100.0));
     }
-    fit("microseconds a request, by tokens", "us", &points);
-    control_bytes(&runtime, &site, &engines);
+    print_fit("CPU microseconds per request, by tokens", "us", &points);
+    print_message_bytes(&runtime, &site, &engines);
     drop(site);
     let _ = std::fs::remove_dir_all(folder);
 }
 
-/// Bytes a request between entries: all bytes less twice those of the caller's own hop.
-fn control_bytes(runtime: &tokio::runtime::Runtime, site: &Site, engines: &[Engine]) {
+/// Prints the bytes per request between entries: all bytes minus twice those of one hop of the caller.
+fn print_message_bytes(runtime: &tokio::runtime::Runtime, site: &Site, engines: &[Engine]) {
     const COUNT: usize = 400;
     let client = Client::new("key-ann");
-    let idle = {
+    let idle_rate = {
         let before = loopback_bytes();
         std::thread::sleep(Duration::from_secs(2));
         (loopback_bytes() - before) / 2.0
     };
-    let ask = |to: &dyn Fn(usize) -> std::net::SocketAddr, keyed: bool| {
-        let began = Wall::now();
+    let send = |to: &dyn Fn(usize) -> std::net::SocketAddr, keyed: bool| {
+        let started_at = Wall::now();
         let before = loopback_bytes();
         for number in 0..COUNT {
             let key = format!("k{number}");
@@ -444,26 +449,26 @@
             let body = Client::chat("m", "hello", 1, true);
             runtime.block_on(client.post(to(number), headers, body));
         }
-        let rest = idle * began.elapsed().as_secs_f64();
-        (loopback_bytes() - before - rest) / COUNT as f64
+        let background = idle_rate * started_at.elapsed().as_secs_f64();
+        (loopback_bytes() - before - background) / COUNT as f64
     };
-    let direct = ask(&|number| engines[number % engines.len()].address(), false);
-    let drawn = ask(&|number| site.entry(number % 6), false);
-    let keyed = ask(&|number| site.entry(number % 6), true);
+    let one_hop = send(&|number| engines[number % engines.len()].address(), false);
+    let through_entries = send(&|number| site.entry(number % 6), false);
+    let keyed = send(&|number| site.entry(number % 6), true);
     println!(
-        "  bytes a request: one hop {direct:.0}; between entries {:.0}, with a caller's key {:.0}",
-        drawn - 2.0 * direct,
-        keyed - 2.0 * direct
+        "  bytes per request: one hop {one_hop:.0}; between entries {:.0}, with a caller's key {:.0}",
+        through_entries - 2.0 * one_hop,
+        keyed - 2.0 * one_hop
     );
 }
 
-/// Seconds of processor time a second that all entries spend under a load.
-fn spent(runtime: &tokio::runtime::Runtime, site: &Site, rate: u32, tokens: u64) -> f64 {
+/// Returns the CPU time per second of all entries under a load.
+fn cpu_share(runtime: &tokio::runtime::Runtime, site: &Site, rate: u32, tokens: u64) -> f64 {
     const SECONDS: u32 = 4;
     let before = thread_cpu_seconds("entry");
-    let began = Wall::now();
+    let started_at = Wall::now();
     let client = Client::new("key-ann");
-    let entries: Vec<_> = (0..6).map(|place| site.entry(place)).collect();
+    let entries: Vec<_> = (0..6).map(|index| site.entry(index)).collect();
     runtime.block_on(async {
         let mut tasks = Vec::new();
         let total = rate * SECONDS;
@@ -478,52 +483,53 @@
             }));
         }
         for task in tasks {
-            task.await.expect("a request is answered");
+            task.await.expect("the request task does not panic");
         }
-        tokio::time::sleep_until((began + Duration::from_secs(u64::from(SECONDS))).into()).await;
+        tokio::time::sleep_until((started_at + Duration::from_secs(u64::from(SECONDS))).into())
+            .await;
     });
-    (thread_cpu_seconds("entry") - before) / began.elapsed().as_secs_f64()
+    (thread_cpu_seconds("entry") - before) / started_at.elapsed().as_secs_f64()
 }
 
-fn processes(most: usize) {
+fn processes(max_entries: usize) {
     println!("\n# real processes on loopback: one control replica and entries, idle");
     let folder = std::env::temp_dir().join(format!("curlewlift-slopes-{}", std::process::id()));
     let mut cpu = Vec::new();
     let mut bytes = Vec::new();
-    let mut mem = Vec::new();
+    let mut memory = Vec::new();
     let counts = [10, 40, 120, 340];
-    for entries in counts.into_iter().filter(|entries| *entries <= most) {
+    for entries in counts.into_iter().filter(|entries| *entries <= max_entries) {
         let before = memory_bytes();
         let halls = ["h1", "h2", "h3", "h4", "h5", "h6"];
-        let began = Wall::now();
-        let place = folder.join(entries.to_string());
-        let mut site = Site::start_with(&place, &halls, 1, entries, LeaseTiming::default());
-        let ready = began.elapsed().as_secs_f64();
+        let started_at = Wall::now();
+        let site_folder = folder.join(entries.to_string());
+        let mut site = Site::start_with(&site_folder, &halls, 1, entries, LeaseTiming::default());
+        let ready_seconds = started_at.elapsed().as_secs_f64();
         std::thread::sleep(Duration::from_secs(2));
         let (cpu_before, bytes_before, time_before) =
             (cpu_seconds(), loopback_bytes(), Wall::now());
         std::thread::sleep(Duration::from_secs(5));
         let seconds = time_before.elapsed().as_secs_f64();
-        let spent = 100.0 * (cpu_seconds() - cpu_before) / seconds;
+        let cpu_percent = 100.0 * (cpu_seconds() - cpu_before) / seconds;
         let rate = (loopback_bytes() - bytes_before) / seconds / 1_000.0;
-        let kept = memory_bytes().saturating_sub(before) as f64 / 1e6;
-        let changed = Wall::now();
+        let memory_mb = memory_bytes().saturating_sub(before) as f64 / 1e6;
+        let changed_at = Wall::now();
         site.run("create tier t1 rank=1");
         site.wait_for_revision();
-        let force = changed.elapsed().as_secs_f64();
+        let apply_seconds = changed_at.elapsed().as_secs_f64();
         println!(
-            "  {entries} entries: {spent:.1}% of a core and {rate:.1} KB/s in all, {kept:.0} MB more; \
-             ready in {ready:.1} s; a change in force everywhere in {force:.2} s"
+            "  {entries} entries: {cpu_percent:.1}% of a core and {rate:.1} KB/s in total, {memory_mb:.0} MB more; \
+             ready in {ready_seconds:.1} s; a change in effect at all entries in {apply_seconds:.2} s"
         );
-        cpu.push((entries as f64, spent));
+        cpu.push((entries as f64, cpu_percent));
         bytes.push((entries as f64, rate));
-        mem.push((entries as f64, kept));
+        memory.push((entries as f64, memory_mb));
         drop(site);
     }
     if cpu.len() > 1 {
-        fit("processor of all, by entries", "% of a core", &cpu);
-        fit("loopback of all, by entries", "KB/s", &bytes);
-        fit("memory of all, by entries", "MB", &mem);
+        print_fit("CPU of all, by entries", "% of a core", &cpu);
+        print_fit("loopback of all, by entries", "KB/s", &bytes);
+        print_fit("memory of all, by entries", "MB", &memory);
     }
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/lab/examples/verdicts.rs
+++ b/crates/lab/examples/verdicts.rs
@@ -1,11 +1,11 @@
-//! Three ways to judge a version by its answers, on the same drawn answers: the product's own, a fixed window,
-//! and a posterior of the whole trial.
+//! Compares three methods to judge a version by its responses, on the same random responses: the product's own
+//! sequential test, a fixed window, and a posterior over the whole trial.
 //!
 //! `cargo run --release -p curlewlift-lab --example verdicts`
 
 #![allow(
     clippy::cast_precision_loss,
-    reason = "figures for people, far below where it matters"
+    reason = "statistics for display; the values are small enough"
 )]
 
 use std::collections::VecDeque;
@@ -18,26 +18,27 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
+/// The number of random sequences per version.
 const SEEDS: u64 = 2_000;
 
-/// Answers of the version on trial: a tenth of 150 requests a second in 12 s.
-const ANSWERS: usize = 180;
+/// Responses of the version on trial: a tenth of 150 requests per second for 12 s.
+const RESPONSES: usize = 180;
 
 /// Servers of the version on trial.
 const SERVERS: usize = 10;
 
-/// The answers that a fixed window holds, and by how much more of them must be bad.
-const WINDOW: (usize, f64) = (40, 0.2);
+/// The size of the fixed window, and by how much the rate of bad responses in it must exceed the normal rate.
+const WINDOW_TEST: (usize, f64) = (40, 0.2);
 
-/// How many deviations the posterior must lie above what is usual and a little more.
-const SURE: f64 = 3.1;
+/// By how many standard deviations the posterior must exceed the normal rate plus 2 %.
+const POSTERIOR_DEVIATIONS: f64 = 3.1;
 
-/// A version: so many answers are bad, and so many before it turns.
+/// A version: its normal rate of bad responses, its rate with the fault, and after how many responses the fault starts.
 struct Version {
     name: &'static str,
-    usual: f64,
-    bad: f64,
-    turns: usize,
+    normal_rate: f64,
+    faulty_rate: f64,
+    fault_starts_at: usize,
 }
 
 const VERSIONS: [Version; 6] = [
@@ -49,50 +50,55 @@
     version("half fail after 120, 12 in 100 anyway", 0.12, 0.5, 120),
 ];
 
-const fn version(name: &'static str, usual: f64, bad: f64, turns: usize) -> Version {
+const fn version(
+    name: &'static str,
+    normal_rate: f64,
+    faulty_rate: f64,
+    fault_starts_at: usize,
+) -> Version {
     Version {
         name,
-        usual,
-        bad,
-        turns,
+        normal_rate,
+        faulty_rate,
+        fault_starts_at,
     }
 }
 
 fn main() {
-    println!("| version | way | condemned | bad answers until then, mean and most |");
+    println!("| version | method | rejected | bad responses until then, mean and maximum |");
     println!("|---|---|---|---|");
     for version in &VERSIONS {
-        line(version, "odds (the product's)", odds);
-        line(version, "window of 40", window);
-        line(version, "posterior of all", posterior);
+        print_row(version, "odds (the product's)", sequential_test);
+        print_row(version, "window of 40", window);
+        print_row(version, "posterior of all", posterior);
     }
 }
 
-/// After how many answers one is condemned, by the answers and the usual part of bad ones.
-type Way = fn(&[bool], f64, u64) -> Option<usize>;
+/// Returns after how many responses a version is rejected, given the responses, the normal rate of bad ones and a seed.
+type Method = fn(&[bool], f64, u64) -> Option<usize>;
 
-fn line(version: &Version, name: &str, way: Way) {
-    let mut counts = Vec::new();
+fn print_row(version: &Version, name: &str, method: Method) {
+    let mut bad_counts = Vec::new();
     for seed in 0..SEEDS {
         let mut random = SmallRng::seed_from_u64(seed);
-        let answers = (0..ANSWERS).map(|at| {
-            let often = if at < version.turns {
-                version.usual
+        let responses = (0..RESPONSES).map(|index| {
+            let rate = if index < version.fault_starts_at {
+                version.normal_rate
             } else {
-                version.bad
+                version.faulty_rate
             };
-            random.random_bool(often)
+            random.random_bool(rate)
         });
-        let answers: Vec<bool> = answers.collect();
-        if let Some(at) = way(&answers, version.usual, seed) {
-            counts.push(answers[..at].iter().filter(|is_bad| **is_bad).count());
+        let responses: Vec<bool> = responses.collect();
+        if let Some(count) = method(&responses, version.normal_rate, seed) {
+            bad_counts.push(responses[..count].iter().filter(|is_bad| **is_bad).count());
         }
     }
-    let condemned = counts.len() as f64 / SEEDS as f64;
-    let mean = counts.iter().sum::<usize>() as f64 / counts.len().max(1) as f64;
-    let most = counts.iter().max().copied().unwrap_or(0);
+    let rejected_share = bad_counts.len() as f64 / SEEDS as f64;
+    let mean = bad_counts.iter().sum::<usize>() as f64 / bad_counts.len().max(1) as f64;
+    let max = bad_counts.iter().max().copied().unwrap_or(0);
     println!(
-        "| {} | {name} | {condemned:.4} | {mean:.1}, {most} |",
+        "| {} | {name} | {rejected_share:.4} | {mean:.1}, {max} |",
         version.name
     );
 }
@@ -113,40 +119,40 @@
     }
 }
 
-fn odds(answers: &[bool], usual: f64, seed: u64) -> Option<usize> {
+fn sequential_test(responses: &[bool], normal_rate: f64, seed: u64) -> Option<usize> {
     let mut random = SmallRng::seed_from_u64(seed ^ 1);
     let mut baseline = Baseline::default();
     for server in 0..600 {
-        baseline.record(&sample(server % 100, random.random_bool(usual)));
+        baseline.record(&sample(server % 100, random.random_bool(normal_rate)));
     }
     let mut judge = Judge::default();
-    answers.iter().enumerate().find_map(|(at, is_bad)| {
-        judge.record(&sample(at % SERVERS, *is_bad), &baseline, SERVERS, true);
-        judge.evidence_against().map(|_| at + 1)
+    responses.iter().enumerate().find_map(|(index, is_bad)| {
+        judge.record(&sample(index % SERVERS, *is_bad), &baseline, SERVERS, true);
+        judge.evidence_against().map(|_| index + 1)
     })
 }
 
-fn window(answers: &[bool], usual: f64, _: u64) -> Option<usize> {
+fn window(responses: &[bool], normal_rate: f64, _: u64) -> Option<usize> {
     let mut newest = VecDeque::new();
-    answers.iter().enumerate().find_map(|(at, is_bad)| {
+    responses.iter().enumerate().find_map(|(index, is_bad)| {
         newest.push_back(*is_bad);
-        if newest.len() < WINDOW.0 {
+        if newest.len() < WINDOW_TEST.0 {
             return None;
         }
         let bad = newest.iter().filter(|is_bad| **is_bad).count() as f64;
         newest.pop_front();
-        (bad / WINDOW.0 as f64 > usual + WINDOW.1).then_some(at + 1)
+        (bad / WINDOW_TEST.0 as f64 > normal_rate + WINDOW_TEST.1).then_some(index + 1)
     })
 }
 
-/// A beta posterior by its mean and deviation.
-fn posterior(answers: &[bool], usual: f64, _: u64) -> Option<usize> {
+/// A beta posterior, by its mean and standard deviation.
+fn posterior(responses: &[bool], normal_rate: f64, _: u64) -> Option<usize> {
     let (mut bad, mut good) = (1.0, 1.0);
-    answers.iter().enumerate().find_map(|(at, is_bad)| {
+    responses.iter().enumerate().find_map(|(index, is_bad)| {
         *(if *is_bad { &mut bad } else { &mut good }) += 1.0;
         let all: f64 = bad + good;
         let mean = bad / all;
         let deviation = (mean * (1.0 - mean) / (all + 1.0)).sqrt();
-        (mean - deviation * SURE > usual + 0.02).then_some(at + 1)
+        (mean - deviation * POSTERIOR_DEVIATIONS > normal_rate + 0.02).then_some(index + 1)
     })
 }
