--- a/crates/core/tests/support/backoff.rs
+++ b/crates/core/tests/support/backoff.rs
@@ -95,14 +95,14 @@
     }
 }
 
-struct Node {
+struct GatewayState {
     host: id::Host,
     pool: Pool,
     /// The last grant that it received.
     last_grant: GrantId,
-    cut: bool,
+    is_cut: bool,
     /// Until when it is suspended.
-    suspended: Instant,
+    suspended_until: Instant,
     /// When it applies the next copy of the server list.
     next_copy: Instant,
 }
@@ -134,12 +134,12 @@
 
 pub(crate) struct World {
     pub(crate) now: Instant,
-    nodes: Vec<Node>,
+    gateways: Vec<GatewayState>,
     hub: Option<Hub>,
     next_hub: Option<Instant>,
     engines: Vec<Engine>,
     /// Past server lists, newest last.
-    lists: Vec<(Instant, Arc<ServerList>)>,
+    past_lists: Vec<(Instant, Arc<ServerList>)>,
     /// When the server list next changes, if a server has started draining.
     list_change_at: Option<Instant>,
     requests: Vec<Request>,
@@ -162,11 +162,11 @@
     pub(crate) fn new(seed: u64, flaw: Option<Flaw>) -> Self {
         let mut world = Self {
             now: Instant::default() + Duration::from_secs(10),
-            nodes: Vec::new(),
+            gateways: Vec::new(),
             hub: None,
             next_hub: None,
             engines: (0..SERVERS).map(|_| Engine::new(0)).collect(),
-            lists: Vec::new(),
+            past_lists: Vec::new(),
             list_change_at: None,
             requests: Vec::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -178,8 +178,10 @@
             refused: 0,
             total_latency: Duration::ZERO,
         };
-        world.nodes = (0..GATEWAYS).map(|index| world.node(index)).collect();
-        world.lists.push((world.now, world.server_list()));
+        world.gateways = (0..GATEWAYS)
+            .map(|index| world.new_gateway(index))
+            .collect();
+        world.past_lists.push((world.now, world.server_list()));
         world.start_hub();
         (0..GATEWAYS).for_each(|index| world.update_server_list(index));
         world
@@ -197,13 +199,13 @@
         Duration::from_millis(from + self.random_below(below))
     }
 
-    fn node(&self, index: usize) -> Node {
-        Node {
+    fn new_gateway(&self, index: usize) -> GatewayState {
+        GatewayState {
             host: format!("g{index}").parse().expect("a valid name"),
             pool: Pool::new(pool::Tuning::default(), index as u64),
             last_grant: GrantId::default(),
-            cut: false,
-            suspended: self.now,
+            is_cut: false,
+            suspended_until: self.now,
             next_copy: self.now,
         }
     }
@@ -233,10 +235,10 @@
     fn recent_list(&mut self) -> Arc<ServerList> {
         let lag = self.millis(0, MAX_LIST_AGE_MS);
         let at = self.now - lag;
-        let mut copies = self.lists.iter().rev();
+        let mut copies = self.past_lists.iter().rev();
         let copy = copies.find(|(made, _)| *made <= at);
         copy.map_or_else(
-            || Arc::clone(&self.lists[0].1),
+            || Arc::clone(&self.past_lists[0].1),
             |(_, list)| Arc::clone(list),
         )
     }
@@ -254,20 +256,20 @@
         let servers = recent_list.servers.iter().cloned().map(Arc::new);
         let servers: Vec<_> = servers.collect();
         let forgets_notices = self.flaw == Some(Flaw::StateInServerList);
-        let new_node = self.node(index);
+        let new_gateway = self.new_gateway(index);
         let next_copy = self.now + self.millis(300, MAX_COPY_INTERVAL_MS);
-        let node = &mut self.nodes[index];
-        node.next_copy = next_copy;
+        let gateway_state = &mut self.gateways[index];
+        gateway_state.next_copy = next_copy;
         if forgets_notices {
-            node.pool = new_node.pool;
+            gateway_state.pool = new_gateway.pool;
         }
-        node.pool.inherit_notices(&servers, self.now);
-        node.pool.update_servers(servers);
+        gateway_state.pool.inherit_notices(&servers, self.now);
+        gateway_state.pool.update_servers(servers);
     }
 
     /// Changes the platform's server list.
     fn change_list(&mut self) {
-        self.lists.push((self.now, self.server_list()));
+        self.past_lists.push((self.now, self.server_list()));
     }
 
     /// Makes the first `count` servers reject `rejected_percent` of requests and ask for a backoff of `millis`; with
@@ -305,10 +307,10 @@
                 self.next_hub = Some(self.now + pause);
             }
             1 => self.restart(index),
-            2 => self.nodes[index].suspended = self.now + self.millis(100, 5_000),
+            2 => self.gateways[index].suspended_until = self.now + self.millis(100, 5_000),
             3 => {
-                let cut = !self.nodes[index].cut;
-                self.nodes[index].cut = cut;
+                let is_cut = !self.gateways[index].is_cut;
+                self.gateways[index].is_cut = is_cut;
             }
             4 => {
                 let incarnation = self.engines[engine].incarnation + 1;
@@ -338,7 +340,7 @@
 
     /// Restarts a gateway; its server state and requests are forgotten.
     fn restart(&mut self, index: usize) {
-        self.nodes[index] = self.node(index);
+        self.gateways[index] = self.new_gateway(index);
         self.requests.retain(|request| request.gateway != index);
         for engine in &mut self.engines {
             engine
@@ -359,8 +361,8 @@
             }
             self.advance_hub();
             for index in 0..GATEWAYS {
-                let node = &self.nodes[index];
-                if self.now >= node.next_copy.max(node.suspended) {
+                let gateway_state = &self.gateways[index];
+                if self.now >= gateway_state.next_copy.max(gateway_state.suspended_until) {
                     self.update_server_list(index);
                 }
             }
@@ -368,7 +370,7 @@
                 let index = self.random_index(GATEWAYS);
                 self.submit_request(index);
             }
-            self.serve();
+            self.grant_ready();
             let requests = std::mem::take(&mut self.requests);
             for request in requests {
                 let next = self.advance(request);
@@ -391,22 +393,24 @@
     }
 
     fn is_hub_reachable(&self, index: usize) -> bool {
-        self.hub.is_some() && !self.nodes[index].cut
+        self.hub.is_some() && !self.gateways[index].is_cut
     }
 
     /// Submits a request of a caller to a gateway.
     fn submit_request(&mut self, index: usize) {
         let now = self.now;
-        if now < self.nodes[index].suspended {
+        if now < self.gateways[index].suspended_until {
             return;
         }
         let is_hub_reachable = self.is_hub_reachable(index);
-        let node = &mut self.nodes[index];
+        let gateway_state = &mut self.gateways[index];
         let stage = match &mut self.hub {
-            Some(hub) if is_hub_reachable => match hub.request_slot(slot_request(node, now), now) {
-                SlotDecision::Queued(ticket, _) => Stage::QueuedAtHub(ticket),
-                _ => return,
-            },
+            Some(hub) if is_hub_reachable => {
+                match hub.request_slot(slot_request(gateway_state, now), now) {
+                    SlotDecision::Queued(ticket, _) => Stage::QueuedAtHub(ticket),
+                    _ => return,
+                }
+            }
             _ => {
                 let request = pool::Request {
                     arrived: now,
@@ -414,7 +418,7 @@
                     wait_until: now + WAIT_LIMIT,
                     ..pool::Request::default()
                 };
-                Stage::QueuedAtGateway(node.pool.enqueue(request, now).0)
+                Stage::QueuedAtGateway(gateway_state.pool.enqueue(request, now).0)
             }
         };
         self.requests.push(Request {
@@ -426,7 +430,7 @@
     }
 
     /// Makes the hub and the gateways grant slots.
-    fn serve(&mut self) {
+    fn grant_ready(&mut self) {
         let now = self.now;
         let grants = self.hub.as_mut().map(|hub| hub.grant_slots(now));
         for (ticket, grant) in grants.into_iter().flatten() {
@@ -438,11 +442,11 @@
             }
         }
         for index in 0..GATEWAYS {
-            if now < self.nodes[index].suspended {
+            if now < self.gateways[index].suspended_until {
                 continue;
             }
-            for assignment in self.nodes[index].pool.assign(now) {
-                let due_at = now + self.connecting();
+            for assignment in self.gateways[index].pool.assign(now) {
+                let due_at = now + self.connection_time();
                 let matches_ticket = |request: &&mut Request| {
                     let own = matches!(&request.stage, Stage::QueuedAtGateway(own) if *own == assignment.ticket);
                     own && request.gateway == index
@@ -456,7 +460,7 @@
     }
 
     /// Returns a random time to set up a connection.
-    fn connecting(&mut self) -> Duration {
+    fn connection_time(&mut self) -> Duration {
         if self.random_below(4) == 0 {
             self.millis(0, 700)
         } else {
@@ -467,8 +471,10 @@
     /// Moves a request to its next stage if that is due; none if it has ended.
     fn advance(&mut self, mut request: Request) -> Option<Request> {
         let now = self.now;
-        let is_here = !matches!(request.stage, Stage::Sent(_));
-        if now < request.due_at || (is_here && now < self.nodes[request.gateway].suspended) {
+        let is_at_gateway = !matches!(request.stage, Stage::Sent(_));
+        if now < request.due_at
+            || (is_at_gateway && now < self.gateways[request.gateway].suspended_until)
+        {
             return Some(request);
         }
         let index = request.gateway;
@@ -482,12 +488,12 @@
             }
             Stage::QueuedAtGateway(ticket) => {
                 self.refused += 1;
-                self.nodes[index].pool.cancel(ticket);
+                self.gateways[index].pool.cancel(ticket);
                 return None;
             }
             Stage::Granted(grant) => self.accept_grant(index, grant)?,
             Stage::Connecting(server) => self.send(index, server)?,
-            Stage::Sent(server) => self.arrive(index, request.started_at, server),
+            Stage::Sent(server) => self.reach_server(index, request.started_at, server),
             Stage::Responded(server, outcome, notices) => {
                 if matches!(outcome, AttemptOutcome::Answered { .. }) {
                     self.served += 1;
@@ -501,14 +507,14 @@
     }
 
     fn accept_grant(&mut self, index: usize, grant: Grant) -> Option<(Stage, Instant)> {
-        let (now, due_at) = (self.now, self.now + self.connecting());
+        let (now, due_at) = (self.now, self.now + self.connection_time());
         let server = Arc::new(grant.server);
         let checks_notices = self.flaw != Some(Flaw::NoCheckAtGrant);
-        let node = &mut self.nodes[index];
-        if grant.id.follows(node.last_grant) {
-            node.last_grant = grant.id;
+        let gateway_state = &mut self.gateways[index];
+        if grant.id.follows(gateway_state.last_grant) {
+            gateway_state.last_grant = grant.id;
         }
-        if !node.pool.accept_grant(&server, Tokens(0), now) && checks_notices {
+        if !gateway_state.pool.accept_grant(&server, Tokens(0), now) && checks_notices {
             self.report(index, &server, AttemptOutcome::Unknown);
             return None;
         }
@@ -517,12 +523,12 @@
 
     fn send(&mut self, index: usize, server: Arc<Server>) -> Option<(Stage, Instant)> {
         let (now, due_at) = (self.now, self.now + self.millis(1, 4));
-        let is_excluded = self.nodes[index]
+        let is_excluded = self.gateways[index]
             .pool
             .get_notices()
             .excludes(&server.incarnation, now);
         if is_excluded && self.flaw.is_none() {
-            self.nodes[index].pool.finish_attempt(
+            self.gateways[index].pool.finish_attempt(
                 &server.incarnation,
                 AttemptOutcome::Unknown,
                 now,
@@ -532,7 +538,7 @@
         Some((Stage::Sent(server), due_at))
     }
 
-    fn arrive(
+    fn reach_server(
         &mut self,
         gateway: usize,
         started_at: Instant,
@@ -610,10 +616,10 @@
                 Notice::Backoff(length) => AttemptOutcome::Backoff(*length),
                 _ => AttemptOutcome::Gone,
             };
-            self.nodes[index].pool.record_notice(server, notice, now);
+            self.gateways[index].pool.record_notice(server, notice, now);
             self.report(index, server, seen_at);
         }
-        self.nodes[index]
+        self.gateways[index]
             .pool
             .finish_attempt(&server.incarnation, outcome, now);
         self.report(index, server, outcome);
@@ -624,7 +630,7 @@
         if !self.is_hub_reachable(index) || self.random_below(4) == 0 {
             return;
         }
-        let node = &self.nodes[index];
+        let gateway_state = &self.gateways[index];
         let ended = AttemptEnd {
             service: server.service.clone(),
             incarnation: Arc::clone(&server.incarnation),
@@ -632,10 +638,10 @@
             outcome,
         };
         let report = Report {
-            last_grant: node.last_grant,
-            loads: node.pool.loads().collect(),
+            last_grant: gateway_state.last_grant,
+            loads: gateway_state.pool.loads().collect(),
             ended: vec![ended],
-            ..messages::report(&node.host)
+            ..messages::report(&gateway_state.host)
         };
         if let Some(hub) = &mut self.hub {
             hub.report(&report, self.now);
@@ -643,11 +649,11 @@
     }
 }
 
-fn slot_request(node: &Node, now: Instant) -> SlotRequest {
+fn slot_request(gateway_state: &GatewayState, now: Instant) -> SlotRequest {
     SlotRequest {
-        avoid: node.pool.avoided(&[], now).collect(),
-        backing_off: node.pool.get_notices().backing_off(now).collect(),
+        avoid: gateway_state.pool.avoided(&[], now).collect(),
+        backing_off: gateway_state.pool.get_notices().backing_off(now).collect(),
         allowed_halls: None,
-        ..messages::slot_request(&node.host)
+        ..messages::slot_request(&gateway_state.host)
     }
 }
--- a/crates/core/tests/support/crashes.rs
+++ b/crates/core/tests/support/crashes.rs
@@ -47,24 +47,24 @@
     Answer,
 }
 
-struct Node {
+struct GatewayState {
     host: id::Host,
     quarantine: LocalTracker,
     /// Since when it has been in contact with the hub; none without contact.
     connected_since: Option<Instant>,
-    cut: bool,
+    is_cut: bool,
     /// Until when it is suspended.
-    suspended: Option<Instant>,
+    suspended_until: Option<Instant>,
 }
 
-impl Node {
+impl GatewayState {
     fn new(index: usize) -> Self {
         Self {
             host: format!("g{index}").parse().expect("a valid name"),
             quarantine: LocalTracker::default(),
             connected_since: None,
-            cut: false,
-            suspended: None,
+            is_cut: false,
+            suspended_until: None,
         }
     }
 }
@@ -89,7 +89,7 @@
 
 pub(crate) struct World {
     pub(crate) now: Instant,
-    nodes: Vec<Node>,
+    gateways: Vec<GatewayState>,
     hub: Option<Hub>,
     next_hub: Option<Instant>,
     list: List,
@@ -112,7 +112,7 @@
     pub(crate) fn new(seed: u64) -> Self {
         let mut world = Self {
             now: Instant::default() + CONTACT_TIME,
-            nodes: (0..GATEWAYS).map(Node::new).collect(),
+            gateways: (0..GATEWAYS).map(GatewayState::new).collect(),
             hub: None,
             next_hub: None,
             list: List::default(),
@@ -175,16 +175,16 @@
                 self.list.apply(step);
             }
         }
-        self.nodes
+        self.gateways
             .iter_mut()
-            .for_each(|node| node.connected_since = None);
+            .for_each(|gateway_state| gateway_state.connected_since = None);
     }
 
     /// Restarts all processes; they keep only what was committed to the log.
     pub(crate) fn restart_all(&mut self) {
         self.replace_hub();
         self.running.clear();
-        self.nodes = (0..GATEWAYS).map(Node::new).collect();
+        self.gateways = (0..GATEWAYS).map(GatewayState::new).collect();
     }
 
     /// Injects a random fault.
@@ -193,15 +193,15 @@
         match self.random_below(6) {
             0 => self.replace_hub(),
             1 => self.restart_all(),
-            2 => self.nodes[index].cut = !self.nodes[index].cut,
+            2 => self.gateways[index].is_cut = !self.gateways[index].is_cut,
             3 => {
-                self.nodes[index] = Node::new(index);
+                self.gateways[index] = GatewayState::new(index);
                 self.running.retain(|running| running.gateway != index);
             }
             4 => {
                 let length = Duration::from_millis(500 + self.random_below(6_000) as u64);
-                self.nodes[index].suspended = Some(self.now + length);
-                self.nodes[index].connected_since = None;
+                self.gateways[index].suspended_until = Some(self.now + length);
+                self.gateways[index].connected_since = None;
             }
             _ => self.loss_percent = self.random_below(50) as u64,
         }
@@ -210,9 +210,9 @@
     /// Ends message loss, cut links and suspensions.
     pub(crate) fn heal(&mut self) {
         self.loss_percent = 0;
-        for node in &mut self.nodes {
-            node.cut = false;
-            node.suspended = None;
+        for gateway_state in &mut self.gateways {
+            gateway_state.is_cut = false;
+            gateway_state.suspended_until = None;
         }
     }
 
@@ -222,7 +222,7 @@
             self.now = self.now + STEP;
             self.advance_hub();
             self.finish_due();
-            (0..GATEWAYS).for_each(|index| self.sync(index));
+            (0..GATEWAYS).for_each(|index| self.poll_hub(index));
         }
     }
 
@@ -272,7 +272,7 @@
 
     fn complete(&mut self, running: Running) {
         let now = self.now;
-        let quarantine = &mut self.nodes[running.gateway].quarantine;
+        let quarantine = &mut self.gateways[running.gateway].quarantine;
         quarantine.record_completion(running.identity, running.permit, now);
         self.report(running.gateway);
     }
@@ -290,7 +290,7 @@
         let mut stopped: Vec<_> = self.running.extract_if(.., runs_there).collect();
         stopped.push(cause);
         for stopped in stopped {
-            let quarantine = &mut self.nodes[stopped.gateway].quarantine;
+            let quarantine = &mut self.gateways[stopped.gateway].quarantine;
             quarantine.record_crash(stopped.identity.clone(), stopped.permit, &server, now);
             self.report(stopped.gateway);
             if stopped.behavior == Behavior::Answer {
@@ -302,19 +302,21 @@
     /// Whether a message between a gateway and the hub arrives this time.
     fn is_reachable(&mut self, index: usize) -> bool {
         let is_dropped = (self.random_below(100) as u64) < self.loss_percent;
-        let (node, now) = (&self.nodes[index], self.now);
-        let is_awake = node.suspended.is_none_or(|until| until <= now);
-        self.hub.is_some() && !node.cut && is_awake && !is_dropped
+        let (gateway_state, now) = (&self.gateways[index], self.now);
+        let is_awake = gateway_state
+            .suspended_until
+            .is_none_or(|until| until <= now);
+        self.hub.is_some() && !gateway_state.is_cut && is_awake && !is_dropped
     }
 
     fn report(&mut self, index: usize) {
         if !self.is_reachable(index) {
             return;
         }
-        let node = &self.nodes[index];
+        let gateway_state = &self.gateways[index];
         let report = Report {
-            observations: node.quarantine.get_evidence().unacknowledged().0,
-            ..messages::report(&node.host)
+            observations: gateway_state.quarantine.get_evidence().unacknowledged().0,
+            ..messages::report(&gateway_state.host)
         };
         if let Some(hub) = &mut self.hub {
             hub.report(&report, self.now);
@@ -322,21 +324,22 @@
     }
 
     /// Makes a gateway poll the hub, ten times a second on average.
-    fn sync(&mut self, index: usize) {
+    fn poll_hub(&mut self, index: usize) {
         if self.random_below(10) != 0 {
             return;
         }
         if !self.is_reachable(index) {
-            let node = &mut self.nodes[index];
-            if self.hub.is_none() || node.cut || node.suspended.is_some() {
-                node.connected_since = None;
+            let gateway_state = &mut self.gateways[index];
+            if self.hub.is_none() || gateway_state.is_cut || gateway_state.suspended_until.is_some()
+            {
+                gateway_state.connected_since = None;
             }
             return;
         }
-        let node = &mut self.nodes[index];
-        node.suspended = None;
-        let (observed, upto) = node.quarantine.get_evidence().unacknowledged();
-        let poll = poll(node, observed);
+        let gateway_state = &mut self.gateways[index];
+        gateway_state.suspended_until = None;
+        let (observed, upto) = gateway_state.quarantine.get_evidence().unacknowledged();
+        let poll = poll(gateway_state, observed);
         let Some(hub) = &mut self.hub else {
             return;
         };
@@ -346,12 +349,12 @@
         if !self.is_reachable(index) {
             return;
         }
-        let node = &mut self.nodes[index];
-        node.quarantine.acknowledge(reply.hub_id, upto);
+        let gateway_state = &mut self.gateways[index];
+        gateway_state.quarantine.acknowledge(reply.hub_id, upto);
         if let Some(update) = &reply.quarantine {
-            node.quarantine.apply_update(update);
+            gateway_state.quarantine.apply_update(update);
         }
-        node.connected_since.get_or_insert(self.now);
+        gateway_state.connected_since.get_or_insert(self.now);
     }
 
     /// Sends a request to a gateway.
@@ -361,11 +364,12 @@
         identity: &Identity,
         behavior: Behavior,
     ) -> SendOutcome {
-        let is_awake = self.nodes[index].suspended.is_none();
+        let is_awake = self.gateways[index].suspended_until.is_none();
         if !is_awake {
             return SendOutcome::NoServer;
         }
-        let outcome = if self.nodes[index].connected_since.is_some() && self.is_reachable(index) {
+        let outcome = if self.gateways[index].connected_since.is_some() && self.is_reachable(index)
+        {
             self.request_grant(index, identity)
         } else {
             self.choose_locally(index, identity)
@@ -384,8 +388,8 @@
         index: usize,
         identity: &Identity,
     ) -> Result<(Arc<str>, Option<u64>), SendOutcome> {
-        let node = &self.nodes[index];
-        let slot_request = slot_request(node, identity);
+        let gateway_state = &self.gateways[index];
+        let slot_request = slot_request(gateway_state, identity);
         let now = self.now;
         let hub = self.hub.as_mut().expect("the hub is reachable");
         let ticket = match hub.request_slot(slot_request, now) {
@@ -407,7 +411,7 @@
         index: usize,
         identity: &Identity,
     ) -> Result<(Arc<str>, Option<u64>), SendOutcome> {
-        if !self.nodes[index].quarantine.may_send(identity) {
+        if !self.gateways[index].quarantine.may_send(identity) {
             return Err(SendOutcome::Rejected(Rejection::Quarantined));
         }
         let server = self.random_below(SERVERS);
@@ -428,7 +432,7 @@
         permit: Option<u64>,
     ) {
         let duration = Duration::from_millis(30 + self.random_below(800) as u64);
-        let connected_since = self.nodes[index].connected_since;
+        let connected_since = self.gateways[index].connected_since;
         if connected_since.is_some_and(|since| self.now.since(since) >= CONTACT_TIME) {
             let sent = self.sent.entry(identity.clone()).or_default();
             sent.push(self.now);
@@ -453,22 +457,25 @@
     }
 }
 
-fn poll(node: &Node, observations: Vec<Observation>) -> Poll {
+fn poll(gateway_state: &GatewayState, observations: Vec<Observation>) -> Poll {
     Poll {
         gateway: Gateway {
             hall: "a".into(),
             callers: "127.0.0.1:80".parse().expect("a valid address"),
         },
-        quarantine_version: node.quarantine.get_version(),
+        quarantine_version: gateway_state.quarantine.get_version(),
         observations,
-        ..messages::poll(&node.host)
+        ..messages::poll(&gateway_state.host)
     }
 }
 
-fn slot_request(node: &Node, identity: &Identity) -> SlotRequest {
+fn slot_request(gateway_state: &GatewayState, identity: &Identity) -> SlotRequest {
     SlotRequest {
         identity: identity.clone(),
-        observations: node.quarantine.get_evidence().unacknowledged_for(identity),
-        ..messages::slot_request(&node.host)
+        observations: gateway_state
+            .quarantine
+            .get_evidence()
+            .unacknowledged_for(identity),
+        ..messages::slot_request(&gateway_state.host)
     }
 }
--- a/crates/core/tests/support/gateways.rs
+++ b/crates/core/tests/support/gateways.rs
@@ -71,7 +71,7 @@
 }
 
 /// One gateway, and the reply in flight to it.
-struct Node {
+struct GatewayState {
     host: id::Host,
     limiter: LocalLimiter,
     last_reply: u64,
@@ -80,10 +80,10 @@
     reply: Option<(Instant, Reply)>,
     cut: bool,
     /// Until when it is suspended: it does nothing, and receives what has arrived meanwhile when it wakes.
-    suspended: Instant,
+    suspended_until: Instant,
 }
 
-impl Node {
+impl GatewayState {
     fn new(index: usize, now: Instant) -> Self {
         Self {
             host: format!("g{index}").parse().expect("a valid name"),
@@ -93,7 +93,7 @@
             asked_at: now,
             reply: None,
             cut: false,
-            suspended: now,
+            suspended_until: now,
         }
     }
 
@@ -113,7 +113,7 @@
 
 /// Gateways, a hub, a log, and the requests admitted within the window.
 pub(crate) struct World {
-    nodes: Vec<Node>,
+    gateways: Vec<GatewayState>,
     hub: Option<Hub>,
     /// When the next hub starts, if there is none.
     next_hub: Option<Instant>,
@@ -144,7 +144,9 @@
     pub(crate) fn with(count: usize, seed: u64, quota: Quota) -> Self {
         let now = Instant::default();
         let mut world = Self {
-            nodes: (0..count).map(|index| Node::new(index, now)).collect(),
+            gateways: (0..count)
+                .map(|index| GatewayState::new(index, now))
+                .collect(),
             hub: None,
             next_hub: None,
             shares: Shares::default(),
@@ -243,13 +245,13 @@
     }
 
     pub(crate) fn cut(&mut self, index: usize, cut: bool) {
-        self.nodes[index].cut = cut;
-        self.nodes[index].reply = None;
+        self.gateways[index].cut = cut;
+        self.gateways[index].reply = None;
     }
 
     /// Suspends a gateway for `length`.
     pub(crate) fn suspend(&mut self, index: usize, length: Duration) {
-        self.nodes[index].suspended = self.now + length;
+        self.gateways[index].suspended_until = self.now + length;
     }
 
     /// Returns a load far above the quota, about equal to it, or so low that the token buckets fill up.
@@ -263,17 +265,17 @@
 
     /// Injects a random fault.
     pub(crate) fn inject_fault(&mut self) {
-        let count = self.nodes.len() as u64;
+        let count = self.gateways.len() as u64;
         let index = usize::try_from(self.random_below(count)).expect("fits in usize");
         match self.random_below(8) {
             0 => self.replace_hub(),
             1 => self.loss_percent = self.random_below(60),
             // The gateway restarts.
-            2 => self.nodes[index] = Node::new(index, self.now),
+            2 => self.gateways[index] = GatewayState::new(index, self.now),
             // All gateways restart.
             3 if self.random_below(4) == 0 => {
-                for index in 0..self.nodes.len() {
-                    self.nodes[index] = Node::new(index, self.now);
+                for index in 0..self.gateways.len() {
+                    self.gateways[index] = GatewayState::new(index, self.now);
                 }
                 self.replace_hub();
             }
@@ -281,15 +283,15 @@
             4 => {
                 let name =
                     1_000 + usize::try_from(self.random_below(1_000_000)).expect("fits in usize");
-                self.nodes[index] = Node::new(name, self.now);
+                self.gateways[index] = GatewayState::new(name, self.now);
             }
             5 => {
-                for index in 0..self.nodes.len() {
+                for index in 0..self.gateways.len() {
                     let cut = self.random_below(3) == 0;
                     self.cut(index, cut);
                 }
             }
-            6 => (0..self.nodes.len()).for_each(|index| self.cut(index, false)),
+            6 => (0..self.gateways.len()).for_each(|index| self.cut(index, false)),
             _ => self.cut(index, true),
         }
     }
@@ -300,7 +302,7 @@
         while self.now < until {
             self.now = self.now + STEP;
             self.advance_hub();
-            (0..self.nodes.len()).for_each(|index| self.sync(index));
+            (0..self.gateways.len()).for_each(|index| self.poll_hub(index));
             self.update_waiting();
             self.send_requests(load);
         }
@@ -333,33 +335,34 @@
     }
 
     /// Makes a gateway apply a reply that has arrived, discard one that is late, or poll again.
-    fn sync(&mut self, index: usize) {
+    fn poll_hub(&mut self, index: usize) {
         let (now, loss_percent) = (self.now, self.loss_percent);
         let (is_lost, delay) = (
             self.random_below(100) < loss_percent,
             self.random_below(100),
         );
         let slow = self.random_below(40) == 0;
-        let node = &mut self.nodes[index];
-        if now < node.suspended {
+        let gateway_state = &mut self.gateways[index];
+        if now < gateway_state.suspended_until {
             return;
         }
-        if let Some((due, reply)) = node.reply.take() {
-            if due <= now && !node.cut {
-                node.last_reply = reply.number;
-                node.reply_received = Some(now);
-                node.limiter
-                    .set_share(reply.admission_share, node.asked_at, now);
-            } else if now.since(node.asked_at) < REPLY_TIMEOUT {
-                node.reply = Some((due, reply));
+        if let Some((due, reply)) = gateway_state.reply.take() {
+            if due <= now && !gateway_state.cut {
+                gateway_state.last_reply = reply.number;
+                gateway_state.reply_received = Some(now);
+                gateway_state
+                    .limiter
+                    .set_share(reply.admission_share, gateway_state.asked_at, now);
+            } else if now.since(gateway_state.asked_at) < REPLY_TIMEOUT {
+                gateway_state.reply = Some((due, reply));
             }
             return;
         }
-        let (Some(hub), false) = (&mut self.hub, node.cut) else {
+        let (Some(hub), false) = (&mut self.hub, gateway_state.cut) else {
             return;
         };
-        node.asked_at = now;
-        let poll = node.poll();
+        gateway_state.asked_at = now;
+        let poll = gateway_state.poll();
         hub.on_poll(&poll, now);
         let reply = hub.reply(&poll, &Publication::default(), now);
         let delay = if slow { delay * 8 } else { delay };
@@ -368,15 +371,15 @@
         } else {
             now + Duration::from_millis(40 + delay)
         };
-        node.reply = Some((due, reply));
+        gateway_state.reply = Some((due, reply));
     }
 
     fn send_requests(&mut self, load: f64) {
         self.tokens_due += load * STEP.as_secs_f64();
         while self.tokens_due > 0.0 {
             let cost = 200 + self.random_below(5_000);
-            let index =
-                usize::try_from(self.random_below(self.nodes.len() as u64)).expect("fits in usize");
+            let index = usize::try_from(self.random_below(self.gateways.len() as u64))
+                .expect("fits in usize");
             #[allow(clippy::cast_precision_loss)]
             {
                 self.tokens_due -= cost as f64;
@@ -431,21 +434,21 @@
         let now = self.now;
         let is_unserved = self.random_below(100) < self.unserved_percent;
         let leaves_at = now + Duration::from_millis(self.random_below(1_000));
-        let node = &mut self.nodes[index];
-        if now < node.suspended {
+        let gateway_state = &mut self.gateways[index];
+        if now < gateway_state.suspended_until {
             return false;
         }
         let charge = Charge {
             customer: customer(),
             cost,
         };
-        let is_reply_recent = node
+        let is_reply_recent = gateway_state
             .reply_received
             .is_some_and(|reply_received| now.since(reply_received) < HUB_REPLY_MAX_AGE);
-        let (Some(hub), true) = (&mut self.hub, is_reply_recent && !node.cut) else {
+        let (Some(hub), true) = (&mut self.hub, is_reply_recent && !gateway_state.cut) else {
             return self.is_admitted_locally(index, &charge);
         };
-        let mut slot_request = slot_request(&node.host, charge);
+        let mut slot_request = slot_request(&gateway_state.host, charge);
         if is_unserved {
             slot_request.tried = vec!["s".into()];
             slot_request.avoid = vec![("s".into(), Duration::from_secs(10))];
@@ -465,15 +468,17 @@
     /// Whether a request is admitted without the hub: by the gateway, or by a standby that it reaches.
     fn is_admitted_locally(&mut self, index: usize, charge: &Charge) -> bool {
         let (now, quota) = (self.now, self.quota);
-        if self.nodes[index].limiter.acquire(charge, &quota, now) {
+        if self.gateways[index].limiter.acquire(charge, &quota, now) {
             return true;
         }
         let start =
-            usize::try_from(self.random_below(self.nodes.len() as u64)).expect("fits in usize");
-        let (before, after) = self.nodes.split_at_mut(start);
+            usize::try_from(self.random_below(self.gateways.len() as u64)).expect("fits in usize");
+        let (before, after) = self.gateways.split_at_mut(start);
         let standbys = after.iter_mut().chain(before);
-        let awake = |node: &&mut Node| !node.cut && node.suspended <= now;
-        let standbys = standbys.filter(|node| node.limiter.get_share(now) > 0.0);
+        let awake = |gateway_state: &&mut GatewayState| {
+            !gateway_state.cut && gateway_state.suspended_until <= now
+        };
+        let standbys = standbys.filter(|gateway_state| gateway_state.limiter.get_share(now) > 0.0);
         let standbys = standbys.filter(awake);
         let mut candidates = standbys.take(MAX_STANDBYS_ASKED);
         candidates.any(|standby| standby.limiter.acquire(charge, &quota, now))
--- a/crates/core/tests/support/limits.rs
+++ b/crates/core/tests/support/limits.rs
@@ -115,8 +115,8 @@
         }
     }
 
-    /// The largest limit in effect at some time in the window that ends now. A limit stays in effect until a gateway has
-    /// passed on a later one and the requests in flight by then have arrived.
+    /// The largest limit in effect at some time in the window that ends now. A limit stays in effect until a gateway
+    /// has passed on a later one and the requests in flight by then have arrived.
     fn max_announced(&self, now: Instant) -> f64 {
         let (mut max_rate, mut superseded) = (0.0_f64, None);
         for announced in self.announced.iter().rev() {
@@ -159,14 +159,14 @@
     }
 }
 
-struct Node {
+struct GatewayState {
     host: id::Host,
     pool: Pool,
     limits: LocalReports,
     /// The hub that it uses, and when it last received a reply from it.
     hub: Option<(u64, Instant)>,
-    cut: bool,
-    suspended: Instant,
+    is_cut: bool,
+    suspended_until: Instant,
     /// When it polls the hub next.
     next_poll: Instant,
 }
@@ -217,7 +217,7 @@
 
 pub(crate) struct World {
     pub(crate) now: Instant,
-    nodes: Vec<Node>,
+    gateways: Vec<GatewayState>,
     /// The hub and its id.
     hub: Option<(u64, Hub)>,
     next_hub: Option<Instant>,
@@ -241,7 +241,7 @@
         let now = Instant::default() + Duration::from_secs(10);
         let mut world = Self {
             now,
-            nodes: Vec::new(),
+            gateways: Vec::new(),
             hub: None,
             next_hub: Some(now),
             engines: (0..SERVERS).map(|_| Engine::new(0)).collect(),
@@ -255,7 +255,9 @@
             served: 0,
             refused: 0,
         };
-        world.nodes = (0..GATEWAYS).map(|index| world.node(index)).collect();
+        world.gateways = (0..GATEWAYS)
+            .map(|index| world.new_gateway(index))
+            .collect();
         world
     }
 
@@ -271,16 +273,16 @@
         Duration::from_millis(from + self.random_below(below))
     }
 
-    fn node(&mut self, index: usize) -> Node {
+    fn new_gateway(&mut self, index: usize) -> GatewayState {
         let mut pool = Pool::new(pool::Tuning::default(), index as u64);
         pool.update_servers(self.servers());
-        Node {
+        GatewayState {
             host: format!("g{index}").parse().expect("a valid name"),
             pool,
             limits: LocalReports::new(self.random.next_u64()),
             hub: None,
-            cut: false,
-            suspended: self.now,
+            is_cut: false,
+            suspended_until: self.now,
             next_poll: self.now,
         }
     }
@@ -317,9 +319,9 @@
 
     /// Whether any gateway considers a server limited.
     pub(crate) fn is_limited_anywhere(&self) -> bool {
-        self.nodes
+        self.gateways
             .iter()
-            .any(|node| node.limits.all_limits().next().is_some())
+            .any(|gateway_state| gateway_state.limits.all_limits().next().is_some())
     }
 
     /// Stops the hub; another one starts after `pause`.
@@ -330,9 +332,9 @@
 
     /// Ends cut links and suspensions, and starts a hub if there is none.
     pub(crate) fn heal(&mut self) {
-        for node in &mut self.nodes {
-            node.cut = false;
-            node.suspended = self.now;
+        for gateway_state in &mut self.gateways {
+            gateway_state.is_cut = false;
+            gateway_state.suspended_until = self.now;
         }
         if self.hub.is_none() {
             self.next_hub = Some(self.now);
@@ -349,15 +351,15 @@
                 self.change_hub(pause);
             }
             2 => {
-                self.nodes[index] = self.node(index);
+                self.gateways[index] = self.new_gateway(index);
                 self.requests.retain(|request| request.gateway != index);
                 self.exchanges.retain(|exchange| exchange.gateway != index);
                 for engine in &mut self.engines {
                     engine.limit_seen_at.remove(&index);
                 }
             }
-            3 => self.nodes[index].suspended = self.now + self.millis(100, 5_000),
-            4 => self.nodes[index].cut = !self.nodes[index].cut,
+            3 => self.gateways[index].suspended_until = self.now + self.millis(100, 5_000),
+            4 => self.gateways[index].is_cut = !self.gateways[index].is_cut,
             5 => {
                 let incarnation = self.engines[engine].incarnation + 1;
                 let limit = self.engines[engine]
@@ -379,10 +381,10 @@
     fn update_server_list(&mut self) {
         let (servers, server_list) = (self.servers(), self.server_list());
         for index in 0..GATEWAYS {
-            let node = &mut self.nodes[index];
-            node.pool.update_servers(servers.clone());
+            let gateway_state = &mut self.gateways[index];
+            gateway_state.pool.update_servers(servers.clone());
             let servers = servers.iter().map(|server| &**server);
-            let changes = node.limits.observe_servers(servers, self.now);
+            let changes = gateway_state.limits.observe_servers(servers, self.now);
             self.apply_limits(index, changes);
         }
         if let Some((_, hub)) = &mut self.hub {
@@ -405,12 +407,12 @@
             self.exchange_messages();
             for _ in 0..load {
                 let index = self.random_index(GATEWAYS);
-                if self.now >= self.nodes[index].suspended {
+                if self.now >= self.gateways[index].suspended_until {
                     let request = self.submit_request(index, Vec::new());
                     self.requests.push(request);
                 }
             }
-            self.serve();
+            self.grant_ready();
             for request in std::mem::take(&mut self.requests) {
                 let next = self.advance(request);
                 self.requests.extend(next);
@@ -421,31 +423,35 @@
     /// Makes gateways poll the hub, each with one poll at a time.
     fn exchange_messages(&mut self) {
         for index in 0..GATEWAYS {
-            if self.now < self.nodes[index].next_poll.max(self.nodes[index].suspended) {
+            if self.now
+                < self.gateways[index]
+                    .next_poll
+                    .max(self.gateways[index].suspended_until)
+            {
                 continue;
             }
             // A poll without a reply in time is abandoned.
             self.exchanges.retain(|exchange| exchange.gateway != index);
             let due_at = self.now + self.millis(1, 30);
-            let node = &mut self.nodes[index];
-            node.next_poll = self.now + REPLY_TIMEOUT;
+            let gateway_state = &mut self.gateways[index];
+            gateway_state.next_poll = self.now + REPLY_TIMEOUT;
             let poll = Poll {
-                limit_reports: node.limits.pending_reports(),
-                limits_version: node.limits.get_table_version(),
-                ..messages::poll(&node.host)
+                limit_reports: gateway_state.limits.pending_reports(),
+                limits_version: gateway_state.limits.get_table_version(),
+                ..messages::poll(&gateway_state.host)
             };
             self.exchanges.push(Exchange {
                 gateway: index,
                 asked_at: self.now,
                 due_at,
-                last_number: node.limits.get_last_number(),
+                last_number: gateway_state.limits.get_last_number(),
                 direction: Direction::Poll(Box::new(poll)),
             });
         }
         for exchange in std::mem::take(&mut self.exchanges) {
             if self.now < exchange.due_at {
                 self.exchanges.push(exchange);
-            } else if self.random_below(10) > 0 && !self.nodes[exchange.gateway].cut {
+            } else if self.random_below(10) > 0 && !self.gateways[exchange.gateway].is_cut {
                 self.deliver(exchange);
             }
         }
@@ -469,8 +475,8 @@
                 });
             }
             Direction::Reply(reply) => {
-                let is_here = now >= self.nodes[exchange.gateway].suspended;
-                if is_here && now.since(exchange.asked_at) < REPLY_TIMEOUT {
+                let is_at_gateway = now >= self.gateways[exchange.gateway].suspended_until;
+                if is_at_gateway && now.since(exchange.asked_at) < REPLY_TIMEOUT {
                     self.apply_reply(exchange.gateway, &reply, exchange.last_number);
                 }
             }
@@ -480,11 +486,11 @@
     fn apply_reply(&mut self, index: usize, reply: &Reply, last_number: u64) {
         let now = self.now;
         let pause = self.millis(15, 200);
-        let node = &mut self.nodes[index];
-        node.next_poll = now + pause;
-        node.hub = Some((reply.hub_id, now));
+        let gateway_state = &mut self.gateways[index];
+        gateway_state.next_poll = now + pause;
+        gateway_state.hub = Some((reply.hub_id, now));
         let update = reply.limits.as_ref();
-        let changes = node
+        let changes = gateway_state
             .limits
             .apply_reply(reply.hub_id, last_number, update, now);
         self.apply_limits(index, changes);
@@ -494,7 +500,7 @@
         if self.flaw == Some(Flaw::IgnoresLimitsWithoutHub) {
             return;
         }
-        let pool = &mut self.nodes[index].pool;
+        let pool = &mut self.gateways[index].pool;
         for Change { key, limit } in changes {
             pool.set_limit(&key, limit.as_ref(), self.now);
         }
@@ -502,8 +508,9 @@
 
     /// Whether a gateway requests slots from the hub.
     fn uses_hub(&self, index: usize) -> bool {
-        let node = &self.nodes[index];
-        node.hub
+        let gateway_state = &self.gateways[index];
+        gateway_state
+            .hub
             .is_some_and(|(_, at)| self.now.since(at) < HUB_REPLY_MAX_AGE)
     }
 
@@ -520,7 +527,7 @@
                 tried: tried.clone(),
                 ..pool::Request::default()
             };
-            let ticket = self.nodes[index].pool.enqueue(request, now).0;
+            let ticket = self.gateways[index].pool.enqueue(request, now).0;
             (now + WAIT_LIMIT, Stage::QueuedAtGateway(ticket))
         };
         Request {
@@ -533,7 +540,7 @@
     }
 
     /// Makes the hub and the gateways grant slots.
-    fn serve(&mut self) {
+    fn grant_ready(&mut self) {
         let now = self.now;
         let (mut grants, mut doomed) = (Vec::new(), Vec::new());
         if let Some((_, hub)) = &mut self.hub {
@@ -552,11 +559,11 @@
             }
         }
         for index in 0..GATEWAYS {
-            if now < self.nodes[index].suspended {
+            if now < self.gateways[index].suspended_until {
                 continue;
             }
-            for assignment in self.nodes[index].pool.assign(now) {
-                let due_at = now + self.connecting();
+            for assignment in self.gateways[index].pool.assign(now) {
+                let due_at = now + self.connection_time();
                 let matches_ticket = |request: &&mut Request| {
                     let own = matches!(&request.stage, Stage::QueuedAtGateway(own) if *own == assignment.ticket);
                     own && request.gateway == index
@@ -570,7 +577,7 @@
     }
 
     /// Returns a random time to set up a connection.
-    fn connecting(&mut self) -> Duration {
+    fn connection_time(&mut self) -> Duration {
         if self.random_below(8) == 0 {
             self.millis(0, 700)
         } else {
@@ -581,8 +588,10 @@
     /// Moves a request to its next stage if that is due; none if it has ended.
     fn advance(&mut self, request: Request) -> Option<Request> {
         let now = self.now;
-        let is_here = !matches!(request.stage, Stage::Sent(..));
-        if now < request.due_at || (is_here && now < self.nodes[request.gateway].suspended) {
+        let is_at_gateway = !matches!(request.stage, Stage::Sent(..));
+        if now < request.due_at
+            || (is_at_gateway && now < self.gateways[request.gateway].suspended_until)
+        {
             return Some(request);
         }
         let (index, asked_at, tried) = (request.gateway, request.asked_at, request.tried);
@@ -597,7 +606,7 @@
             }
             Stage::QueuedAtGateway(ticket) => {
                 self.refused += 1;
-                self.nodes[index].pool.cancel(ticket);
+                self.gateways[index].pool.cancel(ticket);
                 return None;
             }
             Stage::Granted(grant) => self.accept_grant(index, grant, asked_at)?,
@@ -614,7 +623,7 @@
                 let grant_id = grant.map_or(GrantId::default(), |grant| grant.id);
                 self.sent_uncharged +=
                     u32::from(!is_charged && self.had_seen_limit(index, &server, sent));
-                self.arrive(index, server, grant_id, granted_at)
+                self.reach_server(index, server, grant_id, granted_at)
             }
             Stage::Responded(server, grant_id, granted_at, limit_message, outcome) => {
                 self.process_response(index, &server, &limit_message, grant_id, granted_at);
@@ -639,13 +648,13 @@
 
     fn request_slot(&mut self, index: usize, tried: &[Arc<str>]) -> Option<(Stage, Instant)> {
         let now = self.now;
-        let node = &self.nodes[index];
+        let gateway_state = &self.gateways[index];
         let slot_request = SlotRequest {
             tried: tried.to_vec(),
-            ..messages::slot_request(&node.host)
+            ..messages::slot_request(&gateway_state.host)
         };
         // The request goes to the current leader at the address that last replied.
-        let hub = self.hub.as_mut().filter(|_| !node.cut);
+        let hub = self.hub.as_mut().filter(|_| !gateway_state.is_cut);
         if let Some(SlotDecision::Queued(ticket, _)) =
             hub.map(|(_, hub)| hub.request_slot(slot_request, now))
         {
@@ -661,15 +670,15 @@
         grant: Grant,
         asked_at: Instant,
     ) -> Option<(Stage, Instant)> {
-        let (now, due_at) = (self.now, self.now + self.connecting());
+        let (now, due_at) = (self.now, self.now + self.connection_time());
         // A host that was suspended receives a grant that is long out of date.
         let is_late = now.since(asked_at) > WAIT_LIMIT + GRANT_DELIVERY_TIME;
         let checks_limit = self.flaw != Some(Flaw::NoCheckAtGrant);
         let server = Arc::new(grant.server.clone());
-        let node = &mut self.nodes[index];
-        let is_blocked = !grant.rate_charged && node.limits.blocks(&server, grant.id);
+        let gateway_state = &mut self.gateways[index];
+        let is_blocked = !grant.rate_charged && gateway_state.limits.blocks(&server, grant.id);
         let is_blocked = is_blocked && checks_limit;
-        if is_late || is_blocked || !node.pool.accept_grant(&server, Tokens(0), now) {
+        if is_late || is_blocked || !gateway_state.pool.accept_grant(&server, Tokens(0), now) {
             self.refused += 1;
             self.report(index);
             return None;
@@ -687,7 +696,7 @@
         let due_at = self.now + self.millis(1, 4);
         let is_charged = grant.as_ref().is_some_and(|grant| grant.rate_charged);
         let grant_id = grant.as_ref().map_or(GrantId::default(), |grant| grant.id);
-        let is_blocked = !is_charged && self.nodes[index].limits.blocks(&server, grant_id);
+        let is_blocked = !is_charged && self.gateways[index].limits.blocks(&server, grant_id);
         let checks_limit = !matches!(
             self.flaw,
             Some(Flaw::NoCheckBeforeSending | Flaw::NoCheckAtGrant | Flaw::IgnoresLimitsWithoutHub)
@@ -700,7 +709,8 @@
         Some((Stage::Sent(server, grant, granted_at, self.now), due_at))
     }
 
-    /// Whether a gateway had passed on a response with the limit that the server still announces before it sent the request.
+    /// Whether a gateway had passed on a response with the limit, which the server still announces, before it sent the
+    /// request.
     fn had_seen_limit(&self, index: usize, server: &Server, sent: Instant) -> bool {
         let has_its_name = |index: &usize| *server.name == format!("s{index}");
         let engine = (0..SERVERS).find(has_its_name).expect("the server exists");
@@ -709,7 +719,7 @@
         engine.limit.is_some() && seen_at.is_some_and(|seen_at| *seen_at < sent)
     }
 
-    fn arrive(
+    fn reach_server(
         &mut self,
         gateway: usize,
         server: Arc<Server>,
@@ -801,15 +811,15 @@
             }
         }
         let any_lifts = self.flaw == Some(Flaw::AnyResponseLiftsLimit);
-        let grant_id = match self.nodes[index].hub {
+        let grant_id = match self.gateways[index].hub {
             Some((hub, _)) if any_lifts => GrantId {
                 hub_id: hub,
                 number: u64::MAX,
             },
             _ => grant_id,
         };
-        let node = &mut self.nodes[index];
-        node.limits.record_response(
+        let gateway_state = &mut self.gateways[index];
+        gateway_state.limits.record_response(
             server,
             &limit_message.announcement,
             grant_id,
@@ -817,27 +827,27 @@
             now,
         );
         let key = Key::from_server(server);
-        let limit = node.limits.get(&key);
+        let limit = gateway_state.limits.get(&key);
         self.apply_limits(index, vec![Change { key, limit }]);
     }
 
     /// Records the outcome of an attempt, and reports it.
     fn finish_attempt(&mut self, index: usize, server: &Server, outcome: AttemptOutcome) {
-        let pool = &mut self.nodes[index].pool;
+        let pool = &mut self.gateways[index].pool;
         pool.finish_attempt(&server.incarnation, outcome, self.now);
         self.report(index);
     }
 
     /// Reports the requests in flight and the pending limit reports to the hub, if the message arrives.
     fn report(&mut self, index: usize) {
-        if !self.uses_hub(index) || self.nodes[index].cut || self.random_below(4) == 0 {
+        if !self.uses_hub(index) || self.gateways[index].is_cut || self.random_below(4) == 0 {
             return;
         }
-        let node = &self.nodes[index];
+        let gateway_state = &self.gateways[index];
         let report = Report {
-            loads: node.pool.loads().collect(),
-            limit_reports: node.limits.pending_reports(),
-            ..messages::report(&node.host)
+            loads: gateway_state.pool.loads().collect(),
+            limit_reports: gateway_state.limits.pending_reports(),
+            ..messages::report(&gateway_state.host)
         };
         if let Some((_, hub)) = &mut self.hub {
             hub.report(&report, self.now);
--- a/crates/curlewlift/tests/platform/engine.rs
+++ b/crates/curlewlift/tests/platform/engine.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ReceivedRequest {
     pub at: Instant,
-    /// The request line and the headers, in lower case but for the values.
+    /// The request line and the headers, as sent.
     pub head: String,
     pub body: String,
 }
@@ -372,7 +372,7 @@
         host: &str,
         last_event: Option<u32>,
     ) {
-        // `first=PLAY`: only the engine `i-1` does so.
+        // `first=PLAY`: only the engine `i-1` behaves as PLAY says, the others answer.
         let behavior = match behavior.split_once('=') {
             Some(("first", behavior)) if self.id == "i-1" => behavior,
             Some(_) => "answer",
@@ -433,6 +433,7 @@
     }
 }
 
+/// The header of a signed response.
 const SIGNED: &str = "X-Response-Signature: sealed\r\n";
 
 fn head(status: u16, id: &str, headers: &str) -> String {
--- a/crates/curlewlift/tests/platform/three_hosts.rs
+++ b/crates/curlewlift/tests/platform/three_hosts.rs
@@ -44,8 +44,8 @@
         send_request(self.hosts.callers(host), &head, "question")
     }
 
-    /// Sends requests to a host until `engine` has received one and the response `is_wanted`; the other engines ask for a
-    /// short backoff meanwhile.
+    /// Sends requests to a host until `engine` has received one and the response `is_wanted`; the other engines ask for
+    /// a short backoff meanwhile.
     pub(crate) fn send_until(
         &self,
         host: usize,
--- a/crates/lab/examples/slopes.rs
+++ b/crates/lab/examples/slopes.rs
@@ -268,8 +268,8 @@
     print_fit("memory, by thousand records", "MB", &points);
 }
 
-fn build_machine(entries: u64, customers: u64, servers: u64) -> Machine {
-    let mut machine = Machine::default();
+fn build_state(entries: u64, customers: u64, servers: u64) -> Machine {
+    let mut state = Machine::default();
     let mut lines: Vec<_> = (0..4)
         .map(|n| format!("create tier t{n} rank={n}"))
         .collect();
@@ -301,26 +301,26 @@
             number: number as u64,
             line,
         };
-        machine
+        state
             .apply(&Record::Command(command))
             .expect("the command is applied");
     }
-    machine
+    state
 }
 
 fn leases() {
     println!("\n# leases, at the leading control replica");
     let mut points = Vec::new();
     for entries in [10, 100, 340] {
-        let mut machine = build_machine(entries, 0, 0);
+        let mut state = build_state(entries, 0, 0);
         let members = (0..entries).map(member).collect();
         let number = id::View(1);
-        machine
+        state
             .apply(&Record::Roster(Roster { number, members }))
             .expect("the view is applied");
         let mut grantor = Grantor::new(LeaseTiming::default(), Instant::default());
         let mut index = 0;
-        let revision = machine.get_snapshot().revision;
+        let revision = state.get_snapshot().revision;
         let micros = time(20_000, || {
             index = (index + 1) % entries;
             let renewal = Renewal {
@@ -331,7 +331,7 @@
                 revision,
                 stopped: false,
             };
-            let grant = grantor.renew(&renewal, &machine, Instant::default());
+            let grant = grantor.renew(&renewal, &state, Instant::default());
             assert!(grant.is_ok());
         });
         points.push((entries as f64, micros));
@@ -343,9 +343,9 @@
     println!("\n# configuration");
     let mut points = Vec::new();
     for scale in [1, 2, 4, 8] {
-        let mut machine = build_machine(340 * scale / 8, 470 * scale / 8, 1_800 * scale / 8);
+        let mut state = build_state(340 * scale / 8, 470 * scale / 8, 1_800 * scale / 8);
         let items = (340 + 470 + 1_800) * scale / 8 + 13;
-        let size = machine.encode().len();
+        let size = state.encode().len();
         let mut number = 1_000_000;
         let micros = time(200, || {
             number += 1;
@@ -354,7 +354,7 @@
                 number,
                 line: format!("change customer u0 weight={}", number % 7 + 1),
             };
-            machine
+            state
                 .apply(&Record::Command(command))
                 .expect("the command is applied");
         });
