--- a/crates/curlewlift/tests/broken_answers.rs
+++ b/crates/curlewlift/tests/broken_answers.rs
@@ -8,11 +8,11 @@
 use curlewlift_lab::client::Client;
 use curlewlift_lab::standin::Faults;
 
-use support::Small;
+use support::SmallSystem;
 
 #[test]
 fn broken_stream() {
-    let small = Small::start("broken_stream", 1, 1, 1);
+    let small = SmallSystem::start("broken_stream", 1, 1, 1);
     small.engines[0].set_faults(Faults {
         break_after: Some(300),
         ..Faults::default()
@@ -28,15 +28,15 @@
         reply.body
     );
     assert!(reply.body.ends_with("code=0 outcome=run\n\n"));
-    assert_eq!(small.most_runs(), 1);
+    assert_eq!(small.max_runs(), 1);
 }
 
 #[test]
 fn unresumable_stream() {
-    let small = Small::start("unresumable_stream", 1, 1, 1);
+    let small = SmallSystem::start("unresumable_stream", 1, 1, 1);
     small.engines[0].set_faults(Faults {
         break_after: Some(300),
-        lose: true,
+        lose_stream: true,
         ..Faults::default()
     });
     let body = Client::chat("m", "hello", 20, true);
@@ -50,9 +50,9 @@
 
 #[test]
 fn short_response() {
-    let small = Small::start("short_response", 1, 1, 1);
+    let small = SmallSystem::start("short_response", 1, 1, 1);
     small.engines[0].set_faults(Faults {
-        short: true,
+        truncate: true,
         ..Faults::default()
     });
     let body = Client::chat("m", "hello", 20, false);
@@ -70,7 +70,7 @@
 
 #[test]
 fn refusing_server() {
-    let small = Small::start("refusing_server", 1, 1, 2);
+    let small = SmallSystem::start("refusing_server", 1, 1, 2);
     small.engines[0].set_faults(Faults {
         refuse: true,
         ..Faults::default()
@@ -82,7 +82,7 @@
             .block_on(small.ann.post(small.site.entry(0), &[], body));
         assert_eq!(reply.status, 200, "{}", reply.body);
     }
-    assert!(small.engines[0].tally().runs.is_empty());
+    assert!(small.engines[0].stats().runs.is_empty());
     small.engines[1].set_faults(Faults {
         refuse: true,
         ..Faults::default()
@@ -97,7 +97,7 @@
 
 #[test]
 fn responses_matched() {
-    let small = Small::start("responses_matched", 1, 2, 1);
+    let small = SmallSystem::start("responses_matched", 1, 2, 1);
     let send = |number: u64| {
         let ann = small.ann.clone();
         let address = small.site.entry(usize::from(number.is_multiple_of(2)));
@@ -117,14 +117,14 @@
 
 #[test]
 fn refused_connection() {
-    let mut small = Small::start("refused_connection", 1, 1, 1);
+    let mut small = SmallSystem::start("refused_connection", 1, 1, 1);
     // A port that was free a moment ago, so that nothing listens on it.
     let free = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let closed_port = free.local_addr().expect("an address");
     drop(free);
     small.site.run("create service away");
-    small.site.server("a1", "away", closed_port, "");
-    small.site.wait_in_force();
+    small.site.create_server("a1", "away", closed_port, "");
+    small.site.wait_for_revision();
     let address = small.site.entry(0);
     let refused = small
         .ann
@@ -142,8 +142,10 @@
         "no byte of the request was sent"
     );
     // With a second server that is reachable, the requests go there.
-    small.site.server("a2", "away", small.plain.address(), "");
-    small.site.wait_in_force();
+    small
+        .site
+        .create_server("a2", "away", small.plain.address(), "");
+    small.site.wait_for_revision();
     for number in 0..4 {
         let path = format!("/services/away/{number}");
         let reply = small.ann.send(address, Method::POST, &path, &[], "");
--- a/crates/curlewlift/tests/dead_entry.rs
+++ b/crates/curlewlift/tests/dead_entry.rs
@@ -8,13 +8,13 @@
 
 use axum::http::Method;
 
-use support::Small;
+use support::SmallSystem;
 
 const CHARGE_PATH: &str = "/services/pay/charge";
 
 #[test]
 fn charge_once() {
-    let mut small = Small::start("charge_once", 1, 4, 1);
+    let mut small = SmallSystem::start("charge_once", 1, 4, 1);
     small.plain.set_delay(Duration::from_secs(2));
     let headers = [("idempotency-key", "c1")];
     let (ann, address) = (small.ann.clone(), small.site.entry(0));
@@ -51,7 +51,7 @@
 
 #[test]
 fn other_entries_serve() {
-    let mut small = Small::start("other_entries_serve", 1, 4, 2);
+    let mut small = SmallSystem::start("other_entries_serve", 1, 4, 2);
     small.site.kill_entry(3);
     let body = curlewlift_lab::client::Client::chat("m", "hello", 3, false);
     for entry in 0..3 {
@@ -64,7 +64,7 @@
 
 #[test]
 fn all_replicas_lost() {
-    let mut small = Small::start("all_replicas_lost", 1, 4, 1);
+    let mut small = SmallSystem::start("all_replicas_lost", 1, 4, 1);
     let headers = [("idempotency-key", "c2")];
     let first = small.ann.send(
         small.site.entry(0),
--- a/crates/curlewlift/tests/planned_stop.rs
+++ b/crates/curlewlift/tests/planned_stop.rs
@@ -8,11 +8,11 @@
 use axum::http::Method;
 use curlewlift_lab::client::Client;
 
-use support::Small;
+use support::SmallSystem;
 
 #[test]
 fn serves_until_end() {
-    let mut small = Small::start("serves_until_end", 1, 4, 2);
+    let mut small = SmallSystem::start("serves_until_end", 1, 4, 2);
     let address = small.site.entry(0);
     let ann = small.ann.clone();
     let long = small.runtime.spawn(async move {
@@ -39,7 +39,7 @@
 
 #[test]
 fn address_withdrawn() {
-    let mut small = Small::start("address_withdrawn", 1, 4, 1);
+    let mut small = SmallSystem::start("address_withdrawn", 1, 4, 1);
     let stopped = small.site.entry(0).to_string();
     small.site.run("stop host e1");
     small.site.wait_for_view_of(&[1, 2, 3], 3);
--- a/crates/curlewlift/tests/platform_backoff.rs
+++ b/crates/curlewlift/tests/platform_backoff.rs
@@ -13,8 +13,8 @@
 
 use std::time::Duration;
 
-use platform::Came;
-use platform::Trio;
+use platform::ReceivedRequest;
+use platform::ThreeHosts;
 use platform::wait;
 
 /// How many requests of a host may arrive during a backoff.
@@ -25,39 +25,39 @@
 
 /// Asserts that these hosts back off from two of three servers while the third serves all requests, and that the two
 /// are used again once they accept requests.
-fn assert_backoff(world: &Trio, hosts: &[usize]) {
+fn assert_backoff(world: &ThreeHosts, hosts: &[usize]) {
     let (backing_off, last) = (&world.engines[..2], hosts[hosts.len() - 1]);
     for engine in backing_off {
-        engine.ask_for_rest(Some(BACKOFF_S));
+        engine.set_backoff(Some(BACKOFF_S));
     }
-    for answer in world.press(hosts, Duration::from_secs(4)) {
+    for answer in world.send_for(hosts, Duration::from_secs(4)) {
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
     for engine in backing_off {
         assert_eq!(
-            engine.rested_from(),
+            engine.count_backoff_hosts(),
             hosts.len(),
             "each host was asked to back off"
         );
         assert!(
-            engine.disturbed() <= ALLOWED_IN_BACKOFF,
+            engine.max_in_backoff() <= ALLOWED_IN_BACKOFF,
             "{}",
-            engine.disturbed()
+            engine.max_in_backoff()
         );
-        engine.ask_for_rest(None);
-        world.until(last, engine, |_| true);
+        engine.set_backoff(None);
+        world.send_until(last, engine, |_| true);
     }
 }
 
 #[test]
 fn two_back_off() {
-    assert_backoff(&Trio::start("kept"), &[0, 1, 2]);
+    assert_backoff(&ThreeHosts::start("kept"), &[0, 1, 2]);
 }
 
 /// A host that can't reach the hub backs off as well.
 #[test]
 fn backoff_without_hub() {
-    let mut world = Trio::start("no_hub_rest");
+    let mut world = ThreeHosts::start("no_hub_rest");
     world.hosts.kill(0);
     world.hosts.kill(1);
     assert_backoff(&world, &[2]);
@@ -66,44 +66,44 @@
 /// A broken stream is not resumed at a server with a long backoff, but waits for one whose backoff ends soon.
 #[test]
 fn stream_resumed_elsewhere() {
-    let world = Trio::start("stream_elsewhere");
+    let world = ThreeHosts::start("stream_elsewhere");
     let [first, backing_off, other] = &world.engines[..] else {
         unreachable!("three engines");
     };
-    backing_off.ask_for_rest(Some("20"));
-    world.until(0, backing_off, |_| true);
-    let received_before = backing_off.came().len();
-    other.ask_for_rest(Some("0.4"));
+    backing_off.set_backoff(Some("20"));
+    world.send_until(0, backing_off, |_| true);
+    let received_before = backing_off.received().len();
+    other.set_backoff(Some("0.4"));
     wait("the host is asked to back off", || {
-        world.ask(0, 0);
-        other.rested_from() > 0
+        world.send_open(0, 0);
+        other.count_backoff_hosts() > 0
     });
-    other.ask_for_rest(None);
-    let answer = world.play(0, 1, "/resume/", "break");
+    other.set_backoff(None);
+    let answer = world.send(0, 1, "/resume/", "break");
     assert!(answer.body.ends_with("data: e6\n\n"), "{}", answer.body);
-    assert_eq!(backing_off.came().len(), received_before);
-    let others = [first.came(), other.came()].concat();
-    let is_resumed = |received: &Came| received.header("last-event-id") == Some("2");
+    assert_eq!(backing_off.received().len(), received_before);
+    let others = [first.received(), other.received()].concat();
+    let is_resumed = |received: &ReceivedRequest| received.header("last-event-id") == Some("2");
     assert!(others.iter().any(is_resumed));
 }
 
 /// All servers ask for a backoff: callers are refused at once with the cause and the time of a retry.
 #[test]
 fn all_back_off() {
-    let world = Trio::start("all_rest");
+    let world = ThreeHosts::start("all_rest");
     for engine in &world.engines {
-        engine.ask_for_rest(Some(BACKOFF_S));
+        engine.set_backoff(Some(BACKOFF_S));
     }
-    let answers = world.press(&[0, 1, 2], Duration::from_secs(4));
+    let answers = world.send_for(&[0, 1, 2], Duration::from_secs(4));
     for answer in &answers {
         assert_eq!(answer.status, 503, "{}", answer.body);
         assert!(answer.header("retry-after").is_some());
     }
     for engine in &world.engines {
         assert!(
-            engine.disturbed() <= ALLOWED_IN_BACKOFF,
+            engine.max_in_backoff() <= ALLOWED_IN_BACKOFF,
             "{}",
-            engine.disturbed()
+            engine.max_in_backoff()
         );
     }
     // Some were told to retry when the first backoff ends.
@@ -120,11 +120,11 @@
 /// An invalid backoff time excludes no server.
 #[test]
 fn invalid_times() {
-    let world = Trio::start("odd_times");
+    let world = ThreeHosts::start("odd_times");
     for time in ["soon", "-3", "Wed, 21 Oct 2099 07:28:00 GMT", "NaN", "0"] {
-        world.engines[0].ask_for_rest(Some(time));
-        world.until(0, &world.engines[0], |_| true);
-        world.engines[0].ask_for_rest(None);
-        world.until(0, &world.engines[0], |_| true);
+        world.engines[0].set_backoff(Some(time));
+        world.send_until(0, &world.engines[0], |_| true);
+        world.engines[0].set_backoff(None);
+        world.send_until(0, &world.engines[0], |_| true);
     }
 }
--- a/crates/curlewlift/tests/platform_draining.rs
+++ b/crates/curlewlift/tests/platform_draining.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use platform::Engine;
-use platform::Trio;
+use platform::ThreeHosts;
 use platform::entry;
 use platform::wait;
 
@@ -17,29 +17,29 @@
 const DRAIN_GRACE: Duration = Duration::from_secs(3);
 
 /// Sends requests until a host has forwarded a response with the first server's draining notice.
-fn forward_notice(world: &Trio, host: usize) {
-    world.engines[0].leave();
-    world.until(host, &world.engines[0], |answer| {
+fn forward_notice(world: &ThreeHosts, host: usize) {
+    world.engines[0].start_draining();
+    world.send_until(host, &world.engines[0], |answer| {
         answer.status == 200 && answer.header("server-leaving") == Some("1")
     });
 }
 
 /// Asserts that none of `count` requests to each of these hosts reaches the first server.
-fn assert_avoided(world: &Trio, hosts: &[usize], count: usize, path: &str, play: &str) {
-    let before = world.engines[0].came().len();
+fn assert_avoided(world: &ThreeHosts, hosts: &[usize], count: usize, path: &str, play: &str) {
+    let before = world.engines[0].received().len();
     for number in 0..count {
         for host in hosts {
-            let answer = world.play(*host, number, path, play);
+            let answer = world.send(*host, number, path, play);
             assert_eq!(answer.status, 200, "{}", answer.body);
         }
     }
-    assert_eq!(world.engines[0].came().len(), before);
+    assert_eq!(world.engines[0].received().len(), before);
 }
 
 /// Every host learns of it from a response or from the hub; broken streams are not resumed at that server either.
 #[test]
 fn notice_in_response() {
-    let world = Trio::start("said_in_answer");
+    let world = ThreeHosts::start("said_in_answer");
     forward_notice(&world, 0);
     std::thread::sleep(DRAIN_GRACE);
     assert_avoided(&world, &[0, 1, 2], 40, "/open/", "answer");
@@ -49,7 +49,7 @@
 /// A host without a hub also obeys the notice in a response; a changed copy of the list in between does not undo it.
 #[test]
 fn notice_without_hub() {
-    let mut world = Trio::start("no_hub_leaving");
+    let mut world = ThreeHosts::start("no_hub_leaving");
     world.hosts.kill(0);
     world.hosts.kill(1);
     forward_notice(&world, 2);
@@ -61,15 +61,15 @@
 /// After the server is replaced by one with another name, the new one is used.
 #[test]
 fn replaced_server() {
-    let world = Trio::start("another_life");
+    let world = ThreeHosts::start("another_life");
     forward_notice(&world, 0);
     let replacement = Engine::start("i-4");
     let listed = [&world.engines[1], &replacement];
     let entries = listed.map(|engine| entry(engine, "chat", "ready"));
     world.hosts.list(entries.to_vec());
     wait("the new server receives a request", || {
-        world.engines[1].ask_for_rest(Some("0.3"));
-        world.ask(0, 0);
-        !replacement.came().is_empty()
+        world.engines[1].set_backoff(Some("0.3"));
+        world.send_open(0, 0);
+        !replacement.received().is_empty()
     });
 }
--- a/crates/curlewlift/tests/platform_entries.rs
+++ b/crates/curlewlift/tests/platform_entries.rs
@@ -8,10 +8,10 @@
 use platform::Answer;
 use platform::Engine;
 use platform::Hosts;
-use platform::ask;
 use platform::document;
 use platform::entry;
 use platform::folder;
+use platform::send_request;
 use platform::wait;
 use serde_json::Value;
 use serde_json::json;
@@ -21,7 +21,7 @@
         "GET /safe/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: r-{round}\r\nX-Play: {play}\r\n\
          X-Deadline-Ms: 5000\r\nAuthorization: Bearer key-ann"
     );
-    ask(hosts.callers(round % 3), &head, "")
+    send_request(hosts.callers(round % 3), &head, "")
 }
 
 /// Twelve malformed entries, made from a valid one.
@@ -65,7 +65,7 @@
     entries.insert(6, valid[0].clone());
     entries.push(valid[1].clone());
     hosts.list(entries);
-    let was_used = |engine: &Engine| !engine.came().is_empty();
+    let was_used = |engine: &Engine| !engine.received().is_empty();
     let mut rounds = 0..2_000;
     wait("both servers are used", || {
         let round = rounds.next().expect("in time");
@@ -102,14 +102,14 @@
     wait("the restarted server is used", || {
         round += 1;
         get(&hosts, round, "answer");
-        !restarted.came().is_empty()
+        !restarted.received().is_empty()
     });
-    let before = former.came().len();
+    let before = former.received().len();
     for round in 0..30 {
         assert_eq!(get(&hosts, 1_000 + round, "answer").status, 200, "{round}");
     }
     assert_eq!(
-        former.came().len(),
+        former.received().len(),
         before,
         "no request goes to the former server"
     );
@@ -121,11 +121,11 @@
     let engine = Engine::start("i-1");
     let hosts = Hosts::start(folder("list_rests"), &[(&engine, "chat")]);
     hosts.configure(&document(7).to_string());
-    hosts.refuse_list("1.5");
+    hosts.reject_list_calls("1.5");
     // Hosts that don't reach the hub fetch the list too, each over its own connection.
     let mut pauses = Vec::new();
     wait("a host has sent three requests", || {
-        let rejected = hosts.turned_away();
+        let rejected = hosts.rejected_list_calls();
         pauses.clear();
         for (caller, at) in &rejected {
             let mut later = rejected
--- a/crates/curlewlift/tests/platform_limits.rs
+++ b/crates/curlewlift/tests/platform_limits.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use platform::Engine;
-use platform::Trio;
+use platform::ThreeHosts;
 use platform::wait;
 
 /// The span in which requests are counted.
@@ -32,13 +32,13 @@
 fn announce_limit(engines: &[Engine], rate: usize) {
     let limit = rate.to_string();
     for engine in engines {
-        engine.name_limit(Some(&limit));
+        engine.set_limit(Some(&limit));
     }
 }
 
 /// Asserts that an engine received no more requests than its limit allows.
 fn assert_within_limit(engine: &Engine, rate: usize) {
-    let received = engine.most_of_told(WINDOW);
+    let received = engine.max_from_informed(WINDOW);
     let (factor, extra) = ALLOWED_IN_WINDOW;
     assert!(
         received <= rate * factor + extra,
@@ -50,14 +50,14 @@
 /// Two of three servers announce a limit, and the third serves the remaining requests.
 #[test]
 fn two_limited() {
-    let world = Trio::start("limit_kept");
+    let world = ThreeHosts::start("limit_kept");
     announce_limit(&world.engines[..2], LIMIT_PER_S);
-    for answer in world.press(&[0, 1, 2], Duration::from_secs(7)) {
+    for answer in world.send_for(&[0, 1, 2], Duration::from_secs(7)) {
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
     for engine in &world.engines[..2] {
         assert!(
-            engine.named_to() > 0,
+            engine.count_limit_hosts() > 0,
             "{}: no host received the limit",
             engine.id
         );
@@ -69,9 +69,9 @@
 /// of a retry.
 #[test]
 fn all_limited() {
-    let world = Trio::start("all_limited");
+    let world = ThreeHosts::start("all_limited");
     announce_limit(&world.engines, LIMIT_PER_S);
-    let answers = world.press(&[0, 1, 2], Duration::from_secs(7));
+    let answers = world.send_for(&[0, 1, 2], Duration::from_secs(7));
     for engine in &world.engines {
         assert_within_limit(engine, LIMIT_PER_S);
     }
@@ -90,15 +90,15 @@
 /// A host that can't reach the hub observes the limits as well.
 #[test]
 fn limited_without_hub() {
-    let mut world = Trio::start("no_hub_limit");
+    let mut world = ThreeHosts::start("no_hub_limit");
     announce_limit(&world.engines, LIMIT_PER_S);
-    world.press(&[2], Duration::from_secs(1));
+    world.send_for(&[2], Duration::from_secs(1));
     world.hosts.kill(0);
     world.hosts.kill(1);
-    world.press(&[2], Duration::from_secs(6));
+    world.send_for(&[2], Duration::from_secs(6));
     for engine in &world.engines {
         assert!(
-            engine.named_to() > 0,
+            engine.count_limit_hosts() > 0,
             "{}: no host received the limit",
             engine.id
         );
@@ -109,15 +109,15 @@
 /// Once the servers withdraw their limits, all hosts use them as before.
 #[test]
 fn limits_withdrawn() {
-    let world = Trio::start("limit_lifted");
+    let world = ThreeHosts::start("limit_lifted");
     announce_limit(&world.engines, 1);
-    let answers = world.press(&[0, 1, 2], Duration::from_secs(2));
+    let answers = world.send_for(&[0, 1, 2], Duration::from_secs(2));
     assert!(answers.iter().any(|answer| answer.status != 200));
     for engine in &world.engines {
-        engine.name_limit(None);
+        engine.set_limit(None);
     }
     let all_served = || {
-        let answers = world.press(&[0, 1, 2], Duration::from_millis(200));
+        let answers = world.send_for(&[0, 1, 2], Duration::from_millis(200));
         answers.iter().all(|answer| answer.status == 200)
     };
     wait("all requests are served", all_served);
@@ -126,10 +126,10 @@
 /// An invalid limit excludes no server, and the lowest limit excludes one for 5 s only.
 #[test]
 fn invalid_limits() {
-    let world = Trio::start("odd_limits");
+    let world = ThreeHosts::start("odd_limits");
     for limit in ["few", "-3", "NaN", "inf", "1e9", "", "0"] {
-        world.engines[0].name_limit(Some(limit));
-        world.until(0, &world.engines[0], |_| true);
-        world.until(0, &world.engines[0], |_| true);
+        world.engines[0].set_limit(Some(limit));
+        world.send_until(0, &world.engines[0], |_| true);
+        world.send_until(0, &world.engines[0], |_| true);
     }
 }
--- a/crates/curlewlift/tests/platform_narrow.rs
+++ b/crates/curlewlift/tests/platform_narrow.rs
@@ -10,9 +10,9 @@
 
 use platform::Engine;
 use platform::Hosts;
-use platform::ask;
 use platform::document;
 use platform::folder;
+use platform::send_request;
 use platform::wait;
 use serde_json::Value;
 use serde_json::json;
@@ -71,7 +71,7 @@
          Authorization: Bearer key-ann"
     );
     wait("the large table is in effect at all gateways", || {
-        let mut host_indices = hosts.places();
-        host_indices.all(|host| ask(hosts.callers(host), &head, "").status == 200)
+        let mut host_indices = hosts.indices();
+        host_indices.all(|host| send_request(hosts.callers(host), &head, "").status == 200)
     });
 }
--- a/crates/curlewlift/tests/platform_quarantine.rs
+++ b/crates/curlewlift/tests/platform_quarantine.rs
@@ -14,10 +14,10 @@
 use platform::Answer;
 use platform::Engine;
 use platform::Hosts;
-use platform::ask;
 use platform::document;
 use platform::entry;
 use platform::folder;
+use platform::send_request;
 use platform::wait;
 
 /// Maximum number of servers that a request may crash: three until it is quarantined, and three attempts that
@@ -56,7 +56,7 @@
             "POST {path} HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: try-{number}\r\n\
              X-Play: {play}\r\nX-Deadline-Ms: 5000\r\nAuthorization: Bearer key-{customer}"
         );
-        ask(self.hosts.callers(host), &head, "question")
+        send_request(self.hosts.callers(host), &head, "question")
     }
 
     /// Puts all servers on the list again, and waits until crashed ones run again.
@@ -69,7 +69,7 @@
 
     /// The number of servers that have crashed under a request.
     fn crashes(&self) -> u64 {
-        self.engines.iter().map(Engine::ended).sum()
+        self.engines.iter().map(Engine::crash_count).sum()
     }
 }
 
@@ -104,16 +104,16 @@
         deployment.restore_engines();
     }
     assert_eq!(deployment.crashes(), 3);
-    for host in deployment.hosts.places() {
+    for host in deployment.hosts.indices() {
         deployment.hosts.kill(host);
     }
-    for host in deployment.hosts.places() {
+    for host in deployment.hosts.indices() {
         deployment.hosts.boot(host, false);
     }
     wait("all hosts are ready", || {
         deployment
             .hosts
-            .places()
+            .indices()
             .all(|host| deployment.hosts.is_ready(host))
     });
     for round in 0..3 {
--- a/crates/curlewlift/tests/platform_requests.rs
+++ b/crates/curlewlift/tests/platform_requests.rs
@@ -6,9 +6,9 @@
 use platform::Answer;
 use platform::Engine;
 use platform::Hosts;
-use platform::ask;
 use platform::document;
 use platform::folder;
+use platform::send_request;
 use platform::wait;
 
 /// Hosts with an active configuration, and the two engines of the service `chat`.
@@ -32,12 +32,15 @@
             "POST /{route}/path?q=1 HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: {play}-1\r\n\
              X-Play: {play}\r\nX-Deadline-Ms: 5000\r\nAuthorization: Bearer key-ann"
         );
-        ask(self.hosts.callers(0), &head, "question")
+        send_request(self.hosts.callers(0), &head, "question")
     }
 
     /// The number of requests that reached an engine.
     fn received(&self) -> usize {
-        self.engines.iter().map(|engine| engine.came().len()).sum()
+        self.engines
+            .iter()
+            .map(|engine| engine.received().len())
+            .sum()
     }
 }
 
@@ -47,10 +50,10 @@
     let head = "POST /safe/a%20b?x=%2F HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: one\r\n\
                 X-Deadline-Ms: 5000\r\nAuthorization: Bearer key-ann\r\nX-Tenant: forged\r\n\
                 X-Hold: forged\r\nKv-From: forged\r\nX-Model: m\r\nX-Token-Counts: 10,20";
-    let answer = ask(deployment.hosts.callers(1), head, "the body");
+    let answer = send_request(deployment.hosts.callers(1), head, "the body");
     assert_eq!((answer.status, answer.body.as_str()), (200, "done"));
     assert_eq!(answer.header("x-response-signature"), Some("sealed"));
-    let received = deployment.engines.iter().flat_map(Engine::came);
+    let received = deployment.engines.iter().flat_map(Engine::received);
     let received: Vec<_> = received.collect();
     assert_eq!(received.len(), 1);
     assert!(
@@ -192,7 +195,10 @@
     });
     drop(stream);
     wait("the connection to the engine is closed", || {
-        deployment.engines.iter().any(|engine| engine.left() == 1)
+        deployment
+            .engines
+            .iter()
+            .any(|engine| engine.abandoned_count() == 1)
     });
 }
 
@@ -214,7 +220,7 @@
     let status = |request_line: &str, headers: &str| {
         let head =
             format!("{request_line} HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a{headers}");
-        ask(deployment.hosts.callers(0), &head, "").status
+        send_request(deployment.hosts.callers(0), &head, "").status
     };
     let ann = "\r\nAuthorization: Bearer key-ann";
     assert_eq!(status("GET /safe/", ""), 401);
@@ -234,7 +240,7 @@
     let large_body = "x".repeat(100_001);
     let head = format!("POST /safe/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a{ann}");
     assert_eq!(
-        ask(deployment.hosts.callers(0), &head, &large_body).status,
+        send_request(deployment.hosts.callers(0), &head, &large_body).status,
         413
     );
 }
@@ -246,11 +252,11 @@
                 Authorization: Bearer key-ben";
     // The quota is 250 tokens, plus what is refilled meanwhile; each request costs 100.
     let statuses: Vec<_> = (0..8)
-        .map(|_| ask(deployment.hosts.callers(0), head, "").status)
+        .map(|_| send_request(deployment.hosts.callers(0), head, "").status)
         .collect();
     let served = statuses.iter().filter(|status| **status == 200).count();
     assert!((2..=3).contains(&served), "{statuses:?}");
-    let answer = ask(deployment.hosts.callers(0), head, "");
+    let answer = send_request(deployment.hosts.callers(0), head, "");
     assert_eq!(answer.status, 429);
     assert!(answer.header("retry-after").is_some());
     assert_eq!(
@@ -267,7 +273,7 @@
     let head = "GET /safe/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a\r\n\
                 X-Token-Counts: 18446744073709551615,2\r\nAuthorization: Bearer key-ben";
     let statuses: Vec<_> = (0..4)
-        .map(|_| ask(deployment.hosts.callers(0), head, "").status)
+        .map(|_| send_request(deployment.hosts.callers(0), head, "").status)
         .collect();
     let refused = statuses.iter().filter(|status| **status == 429).count();
     assert!(refused >= 3, "{statuses:?}");
@@ -277,7 +283,7 @@
 fn draining_gets_none() {
     let deployment = Deployment::start("draining_gets_none");
     deployment.hosts.drain(&deployment.engines[0]);
-    let received = |engine: &Engine| engine.came().len();
+    let received = |engine: &Engine| engine.received().len();
     wait("no host sends requests to the first engine", || {
         let before = received(&deployment.engines[0]);
         (0..12).for_each(|_| drop(deployment.play("safe", "answer")));
--- a/crates/curlewlift/tests/platform_seeds.rs
+++ b/crates/curlewlift/tests/platform_seeds.rs
@@ -9,9 +9,9 @@
 
 use platform::Engine;
 use platform::Hosts;
-use platform::ask;
 use platform::document;
 use platform::folder;
+use platform::send_request;
 use platform::wait;
 
 /// Number of hosts without a disk.
@@ -21,7 +21,7 @@
 fn is_served(hosts: &Hosts, host: usize) -> bool {
     let head = "GET /safe/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a\r\n\
                 X-Deadline-Ms: 5000\r\nAuthorization: Bearer key-ann";
-    hosts.is_ready(host) && ask(hosts.callers(host), head, "").status == 200
+    hosts.is_ready(host) && send_request(hosts.callers(host), head, "").status == 200
 }
 
 /// Starts hosts with a configuration and one engine.
@@ -36,7 +36,7 @@
 #[test]
 fn one_restarted() {
     let mut hosts = start("one_restarted");
-    hosts.name_seeds(&[4, 5]);
+    hosts.set_seeds(&[4, 5]);
     hosts.kill(3);
     hosts.boot(3, false);
     wait("the restarted host serves again", || is_served(&hosts, 3));
@@ -46,11 +46,11 @@
 #[test]
 fn all_restarted() {
     let mut hosts = start("all_restarted");
-    hosts.name_seeds(&[3, 4, 5]);
-    hosts.places().for_each(|host| hosts.kill(host));
-    hosts.places().for_each(|host| hosts.boot(host, false));
+    hosts.set_seeds(&[3, 4, 5]);
+    hosts.indices().for_each(|host| hosts.kill(host));
+    hosts.indices().for_each(|host| hosts.boot(host, false));
     wait("all hosts serve again", || {
-        hosts.places().all(|host| is_served(&hosts, host))
+        hosts.indices().all(|host| is_served(&hosts, host))
     });
 }
 
@@ -58,13 +58,13 @@
 #[test]
 fn lost_disk() {
     let mut hosts = start("seeds_lost_disk");
-    hosts.name_seeds(&[3, 4, 5]);
+    hosts.set_seeds(&[3, 4, 5]);
     hosts.kill(0);
     hosts.wipe(0);
     hosts.boot(0, false);
     wait("the restarted host serves again", || is_served(&hosts, 0));
     wait("the host with the blank disk counts again", || {
-        hosts.counts_again(0)
+        hosts.was_readmitted(0)
     });
     hosts.kill(1);
     wait("a newer table is accepted with its vote", || {
--- a/crates/curlewlift/tests/platform_slots.rs
+++ b/crates/curlewlift/tests/platform_slots.rs
@@ -5,9 +5,9 @@
 use platform::Answer;
 use platform::Engine;
 use platform::Hosts;
-use platform::ask;
 use platform::document;
 use platform::folder;
+use platform::send_request;
 use platform::wait;
 
 fn get(hosts: &Hosts, host: usize, round: usize) -> Answer {
@@ -15,7 +15,7 @@
         "GET /safe/ HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: {host}-{round}\r\n\
          X-Deadline-Ms: 5000\r\nAuthorization: Bearer key-ann"
     );
-    ask(hosts.callers(host), &head, "")
+    send_request(hosts.callers(host), &head, "")
 }
 
 #[test]
@@ -36,7 +36,7 @@
     }
     let read_table = "GET /api/config/get HTTP/1.1\r\nHost: x";
     wait("the last host refuses a read for lack of a leader", || {
-        ask(hosts.control(2), read_table, "").status == 503
+        send_request(hosts.control(2), read_table, "").status == 503
     });
     for round in 30..60 {
         assert_eq!(get(&hosts, 2, round).status, 200, "{round}");
--- a/crates/curlewlift/tests/platform_suspended.rs
+++ b/crates/curlewlift/tests/platform_suspended.rs
@@ -7,9 +7,9 @@
 use platform::Answer;
 use platform::Engine;
 use platform::Hosts;
-use platform::ask;
 use platform::document;
 use platform::folder;
+use platform::send_request;
 use platform::wait;
 
 /// How long a host is suspended: longer than any deadline, lease or quota share here.
@@ -28,7 +28,7 @@
         "POST /safe/{path} HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: {path}\r\n\
          X-Play: {play}\r\nX-Deadline-Ms: 5000\r\nAuthorization: Bearer key-ann"
     );
-    ask(hosts.callers(host), &head, "question")
+    send_request(hosts.callers(host), &head, "question")
 }
 
 /// A request from before the suspension is past its deadline afterwards, so it is not sent to another server, although
@@ -39,12 +39,12 @@
     let answer = std::thread::scope(|scope| {
         let answer = scope.spawn(|| play(&hosts, 0, "one", "close-late"));
         wait("an engine receives the request", || {
-            engines.iter().any(|engine| !engine.came().is_empty())
+            engines.iter().any(|engine| !engine.received().is_empty())
         });
         hosts.suspend(0, SUSPENSION);
         answer.join().expect("the caller receives a response")
     });
-    let received: usize = engines.iter().map(|engine| engine.came().len()).sum();
+    let received: usize = engines.iter().map(|engine| engine.received().len()).sum();
     assert_eq!(received, 1, "{}", answer.body);
     assert_eq!(
         answer.status, 502,
@@ -66,7 +66,7 @@
         wait("the leader accepts a table", || {
             hosts.put(0, &document(8 + round as u64).to_string()) == 200
         });
-        for host in hosts.places() {
+        for host in hosts.indices() {
             wait("callers are served", || {
                 play(&hosts, host, "again", "answer").status == 200
             });
@@ -85,9 +85,9 @@
         wait("the leader accepts a table", || {
             hosts.put(1, &document(version).to_string()) == 200
         });
-        for host in hosts.places() {
+        for host in hosts.indices() {
             hosts.suspend(host, SUSPENSION);
-            let answer = ask(hosts.control(host), read_table, "");
+            let answer = send_request(hosts.control(host), read_table, "");
             let newest = format!("\"version\":{version},");
             let is_newest = answer.body.contains(&newest);
             assert!(
--- a/crates/curlewlift/tests/request_keys.rs
+++ b/crates/curlewlift/tests/request_keys.rs
@@ -9,13 +9,13 @@
 use axum::http::Method;
 use curlewlift_lab::client::Client;
 
-use support::Small;
+use support::SmallSystem;
 
 const KEY_HEADER: &str = "idempotency-key";
 
 #[test]
 fn concurrent_requests() {
-    let small = Small::start("concurrent_requests", 1, 3, 2);
+    let small = SmallSystem::start("concurrent_requests", 1, 3, 2);
     let body = Client::chat("m", "hello", 40, false);
     let send_to = |entry: usize| {
         let ann = small.ann.clone();
@@ -34,12 +34,12 @@
         second.body
     );
     assert_eq!(first.body, second.body);
-    assert_eq!(small.most_runs(), 1);
+    assert_eq!(small.max_runs(), 1);
 }
 
 #[test]
 fn retry_elsewhere() {
-    let small = Small::start("retry_elsewhere", 1, 3, 1);
+    let small = SmallSystem::start("retry_elsewhere", 1, 3, 1);
     let body = Client::chat("m", "hello", 5, true);
     let headers = [(KEY_HEADER, "k1")];
     let first = small.ann.post(small.site.entry(0), &headers, body.clone());
@@ -47,7 +47,7 @@
     let retry = small.ann.post(small.site.entry(2), &headers, body);
     let retry = small.runtime.block_on(retry);
     assert_eq!(first.body, retry.body);
-    assert_eq!(small.most_runs(), 1);
+    assert_eq!(small.max_runs(), 1);
     let path = "/curlewlift/requests/k1";
     let state = small
         .ann
@@ -58,7 +58,7 @@
 
 #[test]
 fn other_body() {
-    let small = Small::start("other_body", 1, 3, 1);
+    let small = SmallSystem::start("other_body", 1, 3, 1);
     let headers = [(KEY_HEADER, "k1")];
     let first = small.ann.post(
         small.site.entry(0),
@@ -80,12 +80,12 @@
         );
         assert_eq!(refused.header("curlewlift-outcome"), "not-run");
     }
-    assert_eq!(small.engines[0].tally().runs.len(), 1);
+    assert_eq!(small.engines[0].stats().runs.len(), 1);
 }
 
 #[test]
 fn two_customers() {
-    let small = Small::start("two_customers", 1, 3, 1);
+    let small = SmallSystem::start("two_customers", 1, 3, 1);
     let headers = [(KEY_HEADER, "k1")];
     let body = Client::chat("m", "hello", 3, false);
     let ann = small
@@ -104,12 +104,12 @@
         .runtime
         .block_on(small.ben.post(small.site.entry(0), &headers, body));
     assert_eq!((ann.status, ben.status), (200, 200));
-    assert_eq!(small.engines[0].tally().runs.len(), 2);
+    assert_eq!(small.engines[0].stats().runs.len(), 2);
 }
 
 #[test]
 fn retry_after_disconnect() {
-    let small = Small::start("retry_after_disconnect", 1, 3, 1);
+    let small = SmallSystem::start("retry_after_disconnect", 1, 3, 1);
     let body = Client::chat("m", "hello", 200, true);
     let headers = [(KEY_HEADER, "k1")];
     let first = small.ann.post(small.site.entry(0), &headers, body.clone());
@@ -125,12 +125,12 @@
         .block_on(small.ann.post(small.site.entry(1), &headers, body));
     assert_eq!(retry.body.matches("\"delta\"").count(), 200);
     assert!(retry.body.ends_with("code=0 outcome=run\n\n"));
-    assert_eq!(small.most_runs(), 1);
+    assert_eq!(small.max_runs(), 1);
 }
 
 #[test]
 fn generated_key() {
-    let mut small = Small::start("generated_key", 1, 3, 1);
+    let mut small = SmallSystem::start("generated_key", 1, 3, 1);
     let body = Client::chat("m", "hello", 5, false);
     let first = small
         .runtime
@@ -163,7 +163,7 @@
             "5001"
         );
     }
-    assert_eq!(small.most_runs(), 1);
+    assert_eq!(small.max_runs(), 1);
     let unread_body = Client::chat("m", "unseen", 5, false);
     let unread = small
         .runtime
--- a/crates/curlewlift/tests/reused_connections.rs
+++ b/crates/curlewlift/tests/reused_connections.rs
@@ -13,7 +13,7 @@
 use std::sync::atomic::Ordering;
 
 use axum::http::Method;
-use support::Small;
+use support::SmallSystem;
 
 /// Starts a server that responds to the first request of each connection, reads the second one and
 /// closes the connection. Returns its address and the count of requests that it has read.
@@ -50,11 +50,11 @@
 
 #[test]
 fn not_resent() {
-    let mut small = Small::start("not_resent", 1, 1, 1);
+    let mut small = SmallSystem::start("not_resent", 1, 1, 1);
     let (address, count) = closing_server();
     small.site.run("create service odd sole=[\"POST /sole\"]");
-    small.site.server("o1", "odd", address, "");
-    small.site.wait_in_force();
+    small.site.create_server("o1", "odd", address, "");
+    small.site.wait_for_revision();
     let entry = small.site.entry(0);
     let post = |path: &str| {
         let reply = small.ann.send(entry, Method::POST, path, &[], "body");
--- a/crates/curlewlift/tests/strict_tiers.rs
+++ b/crates/curlewlift/tests/strict_tiers.rs
@@ -6,17 +6,17 @@
 use std::time::Duration;
 
 use curlewlift_lab::client::Client;
-use support::Small;
+use support::SmallSystem;
 
 #[test]
 fn lower_tier_shed() {
-    let mut small = Small::start("lower_tier_shed", 1, 3, 1);
+    let mut small = SmallSystem::start("lower_tier_shed", 1, 3, 1);
     // One slow slot, and a queue with room for about twenty short requests.
     small
         .site
         .run("change server m1 slots=1 decode=20 prefill=2000");
     small.site.run("change service chat work=500");
-    small.site.wait_in_force();
+    small.site.wait_for_revision();
     let send = |number: usize| {
         let is_high = number % 2 == 1;
         let client = if is_high {
@@ -51,5 +51,5 @@
         "requests of the lower tier are shed"
     );
     assert_eq!(count(true, "3001"), 0);
-    assert_eq!(small.most_runs(), 1);
+    assert_eq!(small.max_runs(), 1);
 }
--- a/crates/curlewlift/tests/whole_path.rs
+++ b/crates/curlewlift/tests/whole_path.rs
@@ -4,11 +4,11 @@
 
 use curlewlift_lab::client::Client;
 
-use support::Small;
+use support::SmallSystem;
 
 #[test]
 fn streamed_chat() {
-    let small = Small::start("streamed_chat_path", 1, 1, 1);
+    let small = SmallSystem::start("streamed_chat_path", 1, 1, 1);
     let body = Client::chat("m", "hello", 5, true);
     let reply = small
         .runtime
@@ -26,7 +26,7 @@
 
 #[test]
 fn whole_chat() {
-    let small = Small::start("whole_chat", 1, 1, 1);
+    let small = SmallSystem::start("whole_chat", 1, 1, 1);
     let body = Client::chat("m", "hello", 5, false);
     let reply = small
         .runtime
@@ -38,7 +38,7 @@
 
 #[test]
 fn plain_call() {
-    let small = Small::start("plain_call_path", 1, 1, 1);
+    let small = SmallSystem::start("plain_call_path", 1, 1, 1);
     let method = "PUT".parse().expect("a method");
     let path = "/services/pay/a/b?c=d";
     let entry = small.site.entry(0);
