--- a/crates/core/src/quota/tolerance.rs
+++ b/crates/core/src/quota/tolerance.rs
@@ -39,7 +39,7 @@
     /// use curlewlift_core::quota::Tolerance;
     /// use curlewlift_core::route::Quota;
     /// use curlewlift_core::route::Unit;
-    /// let quota = Allowance { unit: Unit::Requests, rate: 10.0, burst: 20.0 };
+    /// let quota = Quota { unit: Unit::Requests, rate: 10.0, burst: 20.0 };
     /// let tolerance = Tolerance { window: Duration::from_secs(8), ratio: 0.1, slack: 0.0 };
     /// assert!((tolerance.fill_rate(&quota) - 10.8125).abs() < 1e-9);
     /// assert!((Tolerance::default().fill_rate(&quota) - 10.0).abs() < 1e-9);
--- a/crates/core/src/rollout/judge.rs
+++ b/crates/core/src/rollout/judge.rs
@@ -108,14 +108,14 @@
 /// # Examples
 ///
 /// ```
-/// use curlewlift_core::pool::End;
+/// use curlewlift_core::pool::AttemptOutcome;
 /// use curlewlift_core::rollout::Baseline;
 /// use curlewlift_core::rollout::Judge;
 /// use curlewlift_core::rollout::Sample;
 /// let mut judge = Judge::default();
 /// let baseline = Baseline::default();
 /// for server in ["s1", "s2", "s1", "s2"] {
-///     let outcome = End::Failed;
+///     let outcome = AttemptOutcome::Failed;
 ///     let sample = Sample { rule: "chat".into(), server: server.into(), outcome };
 ///     judge.record(&sample, &baseline, 2, true);
 /// }
