--- a/crates/core/src/gateway/hub.rs
+++ b/crates/core/src/gateway/hub.rs
@@ -93,8 +93,8 @@
 /// Number of standbys where not all gateways can be one.
 ///
 /// A share of a customer's tolerance must allow some requests: a two-hundredth of it is less than
-/// one request, so that nothing was admitted. With fewer standbys, the loss of one sets a larger
-/// fraction of all quotas aside for 10 s.
+/// one request, so that nothing was admitted. With fewer standbys, the loss of one keeps a larger
+/// fraction of all quotas reserved for 10 s.
 const MAX_STANDBYS: usize = 8;
 
 /// Largest number of gateways that are all standbys. This saves the call to a standby, and an
@@ -142,7 +142,7 @@
     pub(super) tracker: quarantine::Tracker,
     /// The committed list of requests in quarantine.
     pub(super) quarantine: quarantine::List,
-    /// The limits that servers named.
+    /// The limits that servers announced.
     pub(super) limits: limit::Table,
     /// The requests that quarantine has removed from the queue.
     pub(super) rejected: Vec<Ticket>,
--- a/crates/core/src/gateway/polls.rs
+++ b/crates/core/src/gateway/polls.rs
@@ -95,8 +95,8 @@
     ///
     /// Load pattern: a thousand gateways, each with one request in two seconds. If each polls four
     /// times a second, the polls alone take half of a leader's core. Standbys, whose shares the hub
-    /// sets aside when they time out, and gateways beside a replica poll as often as in a small
-    /// deployment.
+    /// reserves when they acknowledge no reply, and gateways beside a replica poll as often as in a
+    /// small deployment.
     #[must_use]
     pub fn poll_timeout(&self, poll: &Poll) -> Duration {
         let gateway_count = self.gateway_count();
--- a/crates/core/src/gateway/shares.rs
+++ b/crates/core/src/gateway/shares.rs
@@ -76,8 +76,8 @@
     /// When the last change was proposed.
     changed_at: Instant,
     replies: BTreeMap<Host, GatewayReplies>,
-    /// The last result of [`ShareAllocator::hub_fraction`], and until when it is valid.
-    hub_fraction: Option<(f64, Instant)>,
+    /// The last result of [`ShareAllocator::hub_share`], and until when it is valid.
+    hub_share: Option<(f64, Instant)>,
 }
 
 impl ShareAllocator {
@@ -91,7 +91,7 @@
             proposed: None,
             changed_at: now,
             replies: BTreeMap::new(),
-            hub_fraction: None,
+            hub_share: None,
         }
     }
 
@@ -105,7 +105,7 @@
         }
         self.shares = shares.clone();
         self.proposed = None;
-        self.hub_fraction = None;
+        self.hub_share = None;
     }
 
     /// Records a gateway's poll, which acknowledges the reply `last_reply`.
@@ -118,7 +118,7 @@
                 .is_none_or(|acknowledged| acknowledged + quota::SHARE_RESERVE_DELAY <= now);
             replies.acknowledged_at = Some(replies.last_reply.1);
             if was_set_aside {
-                self.hub_fraction = None;
+                self.hub_share = None;
             }
         }
     }
@@ -147,8 +147,8 @@
     ///
     /// It is called for each request and computed again only when it can have changed, as this
     /// takes time linear in the number of holders.
-    pub fn hub_fraction(&mut self, now: Instant) -> f64 {
-        if let Some((fraction, valid_until)) = self.hub_fraction
+    pub fn hub_share(&mut self, now: Instant) -> f64 {
+        if let Some((fraction, valid_until)) = self.hub_share
             && now < valid_until
         {
             return fraction;
@@ -166,7 +166,7 @@
             |(count, valid_until), expiry| (count + 1, valid_until.min(expiry)),
         );
         let fraction = 1.0 - self.shares.fraction(self.shares.holders.len() - count);
-        self.hub_fraction = Some((fraction, valid_until));
+        self.hub_share = Some((fraction, valid_until));
         fraction
     }
 
--- a/crates/core/src/gateway/slots.rs
+++ b/crates/core/src/gateway/slots.rs
@@ -141,13 +141,15 @@
         }
     }
 
-    /// Sets aside what gateways that have timed out may be admitting without the hub.
+    /// Reserves the shares of the standbys that may be admitting requests without the hub, as they
+    /// have acknowledged no reply lately.
     pub(super) fn reserve_for_standbys(&mut self, now: Instant) {
-        let hub_fraction = self.standby_shares.hub_fraction(now);
-        self.limiter.set_hub_share(hub_fraction, now);
+        let hub_share = self.standby_shares.hub_share(now);
+        self.limiter.set_hub_share(hub_share, now);
     }
 
-    /// Does what depends on time alone: gateways time out, and their shares are set aside.
+    /// Does what depends on time alone: shares of unresponsive standbys are reserved, and gateways time
+    /// out.
     pub fn tick(&mut self, now: Instant) {
         self.reserve_for_standbys(now);
         self.scan_gateways(now);
