--- a/crates/core/src/limit/local.rs
+++ b/crates/core/src/limit/local.rs
@@ -25,7 +25,7 @@
 /// How long the server list may take to show a new incarnation of a server. A limit received meanwhile under the
 /// previous incarnation may come from the new one. Covers the lag of the platform's list and four fetches of a host
 /// without a hub.
-const MAX_LIST_DELAY: Duration = Duration::from_secs(5);
+const MAX_LIST_LAG: Duration = Duration::from_secs(5);
 
 /// For how many servers the incarnation seen last is remembered.
 const MAX_LATEST_INCARNATIONS: usize = 4_096;
@@ -83,7 +83,7 @@
         let known = self.get(&key);
         if let Announcement::Limited(rate) = announcement {
             self.announced
-                .retain(|_, (_, at)| now.since(*at) < MAX_LIST_DELAY);
+                .retain(|_, (_, at)| now.since(*at) < MAX_LIST_LAG);
             self.announced.insert(key.clone(), (*rate, now));
         }
         let rate = match announcement {
@@ -157,7 +157,7 @@
             .iter()
             .filter(|(other, _)| is_same_server(other));
         let recent = others.filter(|(other, (_, at))| {
-            other.incarnation != key.incarnation && now.since(*at) < MAX_LIST_DELAY
+            other.incarnation != key.incarnation && now.since(*at) < MAX_LIST_LAG
         });
         let rates = recent.map(|(_, (rate, _))| *rate);
         rates.reduce(|a, b| if a < b { a } else { b })
