--- a/crates/core/src/gateway/retries.rs
+++ b/crates/core/src/gateway/retries.rs
@@ -7,15 +7,16 @@
 use crate::pool::RetryAllowance;
 use crate::quota::Bucket;
 
-/// Fraction of the retry floor that the hub grants in a window. Half of it may be used at once.
-const HUB_FLOOR_FRACTION: f64 = 0.2;
+/// Fraction of [`RetryAllowance::min_retries`] that the hub grants in a window. Half of it may be used at once.
+const HUB_MIN_RETRIES_FRACTION: f64 = 0.2;
 
 /// The retries that the hub grants, by service.
 ///
-/// Load pattern: a thousand gateways, and a service whose attempts often fail. A thousandth of the
-/// floor is less than one retry, and what a gateway's own requests earn does not cover the next
-/// failure. A gateway acquires the missing retry here together with the slot. Each bucket starts
-/// empty and fills evenly, so that successive hubs grant no more than a single one would.
+/// Load pattern: a thousand gateways, and a service whose attempts often fail. A thousandth of
+/// the minimum number of retries is less than one, and what a gateway's own requests earn does not
+/// cover the next failure. A gateway acquires the missing retry here together with the slot. Each
+/// bucket starts empty and fills evenly, so that successive hubs grant no more than a single one
+/// would.
 #[derive(Clone, Debug)]
 pub(super) struct Retries {
     allowance: Option<RetryAllowance>,
@@ -39,7 +40,7 @@
         let Some(allowance) = self.allowance else {
             return false;
         };
-        let depth = allowance.min_retries * HUB_FLOOR_FRACTION / 2.0;
+        let depth = allowance.min_retries * HUB_MIN_RETRIES_FRACTION / 2.0;
         let rate = depth / allowance.window.as_secs_f64();
         let bucket = self.buckets.entry(service.clone());
         let bucket = bucket.or_insert_with(|| Bucket::new(0.0, self.started));
