--- a/crates/core/src/gateway/dispatch.rs
+++ b/crates/core/src/gateway/dispatch.rs
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Applies changes of the limits that servers named.
+    /// Applies changes of the limits that servers announced.
     pub(super) fn set_limits(&mut self, changes: impl Iterator<Item = Change>, now: Instant) {
         for Change { key, limit } in changes {
             if let Some(pool) = self.pools.get_mut(&key.service) {
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Returns for how long requests have waited only because of limits that servers named, since
+    /// Returns for how long requests have waited only because of limits that servers announced, since
     /// the last call.
     pub(super) fn take_limit_wait(&mut self) -> Duration {
         self.pools.values_mut().map(Pool::take_limit_wait).sum()
--- a/crates/core/src/gateway/grant.rs
+++ b/crates/core/src/gateway/grant.rs
@@ -70,7 +70,7 @@
     pub server: Server,
     /// The number of the permit of the request, if servers crashed under requests of its identity.
     pub permit: Option<u64>,
-    /// Whether the request was charged to a limit that the server named.
+    /// Whether the request was charged to a limit that the server announced.
     pub rate_charged: bool,
     /// Whether the grant includes the retry that the gateway asked for.
     pub includes_retry: bool,
@@ -140,6 +140,6 @@
     pub ended: Vec<AttemptEnd>,
     /// Its observations of requests under which servers crashed.
     pub observations: Vec<Observation>,
-    /// Its reports of limits that servers named.
+    /// Its reports of limits that servers announced.
     pub limit_reports: Reports,
 }
--- a/crates/core/src/gateway/limits.rs
+++ b/crates/core/src/gateway/limits.rs
@@ -1,4 +1,4 @@
-//! How the hub handles the limits that servers report.
+//! How the hub handles the limits that servers announce.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     }
 
     /// Returns for how long requests of all services have waited only because of limits that
-    /// servers reported, since the last call.
+    /// servers announced, since the last call.
     pub fn take_limit_wait(&mut self) -> Duration {
         self.dispatcher.take_limit_wait()
     }
--- a/crates/core/src/gateway/rollouts.rs
+++ b/crates/core/src/gateway/rollouts.rs
@@ -83,7 +83,7 @@
         version != 0 && version != poll.policy_version
     }
 
-    /// Observes outcomes of a version on trial and of the version beside it.
+    /// Records the outcomes of attempts on a version on trial and on the version that it is to replace.
     pub(super) fn observe_outcomes(&mut self, attempts: &[AttemptEnd]) {
         for attempt in attempts {
             if !self.trials.is_active(&attempt.service) {
@@ -96,8 +96,9 @@
                 continue;
             };
             let servers = self.accepting_servers(&attempt.service);
-            let servers = servers.filter(|server| server.version == version).count();
-            self.trials.record_attempt_end(attempt, &version, servers);
+            let server_count = servers.filter(|server| server.version == version).count();
+            self.trials
+                .record_attempt_end(attempt, &version, server_count);
         }
     }
 
--- a/crates/core/src/gateway/sync.rs
+++ b/crates/core/src/gateway/sync.rs
@@ -90,7 +90,7 @@
     pub quarantine_version: u64,
     /// Its observations of requests under which servers crashed.
     pub observations: Vec<quarantine::Observation>,
-    /// Its reports of limits that servers named.
+    /// Its reports of limits that servers announced.
     pub limit_reports: limit::Reports,
     /// The hub whose limits it applies, and their version.
     pub limits_version: (u64, u64),
@@ -108,7 +108,7 @@
     pub hub_id: u64,
     /// The update of the quarantine list.
     pub quarantine: Option<quarantine::Update>,
-    /// The update of the limits that servers named.
+    /// The update of the limits that servers announced.
     pub limits: Option<limit::Update>,
     /// The number of the active table.
     pub newest_table: u64,
