--- a/crates/core/src/pool/choose.rs
+++ b/crates/core/src/pool/choose.rs
@@ -13,11 +13,11 @@
 /// servers with nearly equal scores.
 const TIE_BREAK_WEIGHT: f64 = 0.3;
 
-/// The lower bound of a server's latency, relative to the mean: a few unusually fast answers must not draw every
+/// The lower bound of a server's latency, relative to the mean: a few unusually fast responses must not draw every
 /// request to one server.
 const MIN_RELATIVE_LATENCY: f64 = 0.2;
 
-/// The upper bound of a server's latency, relative to the mean: a few unusually slow answers must not keep all
+/// The upper bound of a server's latency, relative to the mean: a few unusually slow responses must not keep all
 /// requests away from a server.
 const MAX_RELATIVE_LATENCY: f64 = 5.0;
 
--- a/crates/core/src/pool/first_byte_time.rs
+++ b/crates/core/src/pool/first_byte_time.rs
@@ -1,17 +1,17 @@
-//! Estimates the time to the first byte of an answer.
+//! Estimates the time to the first byte of a response.
 
 use std::time::Duration;
 
-/// The weight of a new measurement in the mean (RFC 6298). The mean follows a change within some eight answers.
+/// The weight of a new measurement in the mean (RFC 6298). The mean follows a change within some eight responses.
 const MEAN_WEIGHT: f64 = 0.125;
 
 /// The weight of a new measurement in the deviation (RFC 6298).
 const DEVIATION_WEIGHT: f64 = 0.25;
 
-/// How many deviations the estimate adds to the mean; most answers have begun by then.
+/// How many deviations the estimate adds to the mean; most responses have begun by then.
 const ADDED_DEVIATIONS: f64 = 1.0;
 
-/// A moving estimate of the time from sending a request to the first byte of its answer.
+/// A moving estimate of the time from sending a request to the first byte of its response.
 ///
 /// # Examples
 ///
@@ -45,7 +45,7 @@
         });
     }
 
-    /// The time within which most answers begin; zero before the first measurement.
+    /// The time within which most responses begin; zero before the first measurement.
     #[must_use]
     pub fn estimate(&self) -> Duration {
         let estimate = self
--- a/crates/core/src/pool/notices.rs
+++ b/crates/core/src/pool/notices.rs
@@ -1,4 +1,4 @@
-//! What backend servers announce about themselves in their answers to this host: that they want no requests for a
+//! What backend servers announce about themselves in their responses to this host: that they want no requests for a
 //! time, or that they are draining.
 //!
 //! Load pattern: servers at their limit reject requests and ask for a backoff, several at once and each host
@@ -123,7 +123,7 @@
 
     /// Applies recent notices of other incarnations of a listed server to it, as they may have come from this one.
     ///
-    /// A notice that an incarnation drains only causes a short backoff: the next answer shows whether it was this
+    /// A notice that an incarnation drains only causes a short backoff: the next response shows whether it was this
     /// one, and another incarnation's notice must not exclude it for good.
     pub fn inherit(&mut self, server: &Server, now: Instant) {
         let others = self.by_incarnation.iter();
--- a/crates/core/src/pool/queue.rs
+++ b/crates/core/src/pool/queue.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Position {
     pub(super) rank: Rank,
-    /// Whether it is too late for the answer to begin within the latency objective.
+    /// Whether it is too late for the response to begin within the latency objective.
     pub(super) late: bool,
     pub(super) arrived: Instant,
     pub(super) ticket: Ticket,
--- a/crates/core/src/pool/request.rs
+++ b/crates/core/src/pool/request.rs
@@ -25,7 +25,7 @@
     pub rank: Rank,
     /// When it first arrived; a retried request keeps this time, and with it its queue position.
     pub arrived: Instant,
-    /// The latest time to send it so that its answer begins within the latency objective.
+    /// The latest time to send it so that its response begins within the latency objective.
     pub send_by: Instant,
     /// The latest time until which it stays queued.
     pub wait_until: Instant,
@@ -106,7 +106,7 @@
 pub enum AttemptOutcome {
     /// The server answered.
     Answered {
-        /// From sending the request to the first byte of the answer.
+        /// From sending the request to the first byte of the response.
         first_byte: Duration,
         /// The mean time between two chunks of a stream, if there were several.
         gap: Option<Duration>,
--- a/crates/core/src/pool/server_health.rs
+++ b/crates/core/src/pool/server_health.rs
@@ -10,13 +10,13 @@
 /// The longest time that a broken server is avoided. Afterwards one request probes it.
 const MAX_BREAK_AVOIDANCE: Duration = Duration::from_secs(5);
 
-/// How long a server without room is avoided: some requests' time at a fast engine.
+/// How long a server without room is avoided: about the time that a fast engine takes for a few requests.
 const FULL_AVOIDANCE: Duration = Duration::from_millis(120);
 
 /// How many breaks in a row a server may have to be still used if all servers are suspect.
 const MAX_BREAKS_AS_LAST_RESORT: u32 = 2;
 
-/// The weight of one answer in the failure rate.
+/// The weight of one response in the failure rate.
 const FAILURE_WEIGHT: f64 = 0.15;
 
 /// The failures of a server.
@@ -30,7 +30,7 @@
 }
 
 impl ServerHealth {
-    /// Records an answer.
+    /// Records a response.
     pub fn record_answer(&mut self) {
         self.breaks_in_a_row = 0;
         self.is_recovering = false;
@@ -38,7 +38,7 @@
         self.failure_rate *= 1.0 - FAILURE_WEIGHT;
     }
 
-    /// Records an answer that reports an error.
+    /// Records a response that reports an error.
     pub fn record_failure(&mut self) {
         self.failure_rate += (1.0 - self.failure_rate) * FAILURE_WEIGHT;
     }
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The decaying share of its answers that failed, 0 to 1.
+    /// The decaying share of its responses that failed, 0 to 1.
     #[must_use]
     pub fn failure_rate(&self) -> f64 {
         self.failure_rate
--- a/crates/core/src/pool/server_latency.rs
+++ b/crates/core/src/pool/server_latency.rs
@@ -4,7 +4,7 @@
 
 /// The weight of a new measurement in the moving mean.
 ///
-/// About eight answers make up most of the mean: an engine that becomes five times slower shows
+/// About eight responses make up most of the mean: an engine that becomes five times slower shows
 /// within seconds, a single outlier does not.
 const WEIGHT: f64 = 0.2;
 
--- a/crates/core/src/pool/server_state.rs
+++ b/crates/core/src/pool/server_state.rs
@@ -21,11 +21,11 @@
     pub(super) own_requests: u32,
     /// Requests in flight of other gateways, as last reported.
     pub(super) other_requests: u32,
-    /// Prompt tokens of requests sent from here whose answers have not begun.
+    /// Prompt tokens of requests sent from here whose responses have not begun.
     pub(super) own_unread_prompt: u64,
     /// The same of other gateways, as last reported.
     pub(super) other_unread_prompt: u64,
-    /// The time to the first byte of an answer.
+    /// The time to the first byte of a response.
     pub(super) first_byte: ServerLatency,
     /// The time between two chunks of a stream.
     pub(super) gap: ServerLatency,
--- a/crates/core/src/pool/servers.rs
+++ b/crates/core/src/pool/servers.rs
@@ -66,8 +66,8 @@
         }
     }
 
-    /// The same pool for the hub, which grants slots to all gateways: it hands out the rate limits that servers
-    /// announce.
+    /// The same pool for the hub, which grants slots to all gateways. Only there requests are sent to servers that have
+    /// announced a rate limit.
     #[must_use]
     pub fn for_all_gateways(self) -> Self {
         Self {
@@ -252,7 +252,7 @@
         }
     }
 
-    /// Sets how many requests a server has in flight, as it reported in an answer.
+    /// Sets how many requests a server has in flight, as it reported in a response.
     pub fn update_load(&mut self, incarnation: &str, in_flight: u32) {
         self.servers.update(incarnation, |state| {
             state.other_requests = in_flight.saturating_sub(state.own_requests);
--- a/crates/core/src/pool/trial_version.rs
+++ b/crates/core/src/pool/trial_version.rs
@@ -2,8 +2,8 @@
 //!
 //! Load pattern: a version may be bad only under load, but it gets a tenth of the requests at most. Spread over all
 //! its servers, these would leave them idle. They are therefore sent to few of its servers, which run as many requests
-//! as servers of other versions do, so that answers are compared at equal load. Requests of a rarely used rule would be
-//! sampled last, so rules with too few samples go first.
+//! as servers of other versions do, so that responses are compared at equal load. Requests of a rarely used rule would
+//! be sampled last, so rules with too few samples go first.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -72,7 +72,7 @@
         });
         // Servers below the mean load go first, in an order that changes every second, so that all servers are sampled,
         // a few at a time. A server that fails by itself goes last, as it does in other versions. Without this, and
-        // with half of all servers failing half of their answers, three of ten good versions looked bad compared with
+        // with half of all servers failing half of their responses, three of ten good versions looked bad compared with
         // others whose failing servers no longer got requests.
         let second = now.0 / 1_000_000;
         let order = |state: &ServerState| {
--- a/crates/core/src/pool/wait_limit.rs
+++ b/crates/core/src/pool/wait_limit.rs
@@ -15,7 +15,7 @@
 /// Callers wait for no longer than their remaining time divided by this, whatever retry time they are given.
 const MAX_RETRY_AFTER_DIVISOR: u32 = 3;
 
-/// The shortest time after which a caller should retry: some requests' time at an engine.
+/// The shortest time after which a caller should retry: about the time that an engine takes for a few requests.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// What limits a request's time in the queue.
@@ -36,18 +36,18 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaitLimit {
-    /// The latency objective: the time within which its answer should begin.
+    /// The latency objective: the time within which its response should begin.
     pub objective: Duration,
     /// The time since it arrived.
     pub waited: Duration,
     /// The time until its deadline.
     pub remaining: Duration,
-    /// The expected time from sending it to the first byte of its answer.
+    /// The expected time from sending it to the first byte of its response.
     pub first_byte: Duration,
 }
 
 impl WaitLimit {
-    /// The time within which it must be sent for its answer to begin within the objective.
+    /// The time within which it must be sent for its response to begin within the objective.
     #[must_use]
     pub fn send_within(&self) -> Duration {
         self.objective.saturating_sub(self.waited + self.first_byte)
--- a/crates/core/src/route/kind.rs
+++ b/crates/core/src/route/kind.rs
@@ -22,7 +22,7 @@
         matches!(self, Self::Safe | Self::Resumable)
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     #[must_use]
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::Streaming | Self::Resumable)
--- a/crates/core/src/route/rule.rs
+++ b/crates/core/src/route/rule.rs
@@ -30,7 +30,7 @@
     pub kind: Kind,
     /// The longest time that a request may take in total.
     pub timeout: Duration,
-    /// The latency objective: the time within which an answer, or the first event of a stream, should arrive.
+    /// The latency objective: the time within which a response, or the first event of a stream, should arrive.
     pub objective: Duration,
     /// The longest time between two chunks of a stream that still meets the objective; `None` for no such objective.
     pub max_gap: Option<Duration>,
