--- a/crates/core/src/quota/local.rs
+++ b/crates/core/src/quota/local.rs
@@ -13,19 +13,19 @@
 use super::Tolerance;
 use super::to_f64;
 
-/// How long a gateway must be without a response from the hub before it admits requests by its share of the quotas
+/// How long a gateway must be without a reply from the hub before it admits requests by its share of the quotas
 /// themselves.
 ///
-/// The hub reserves that share once [`SHARE_RESERVE_DELAY`] has passed without a sign that one of its responses has
-/// arrived; the request for that response was sent at most 0.6 s earlier. The rest is for clocks that differ.
+/// The hub reserves that share once [`SHARE_RESERVE_DELAY`] has passed without a sign that one of its replies has
+/// arrived; the poll that it replied to was sent at most 0.6 s earlier. The rest is for clocks that differ.
 pub const LOCAL_QUOTA_DELAY: Duration = Duration::from_millis(1_400);
 
-/// How long the hub waits for a sign that one of its responses has arrived at a gateway before it reserves that
+/// How long the hub waits for a sign that one of its replies has arrived at a gateway before it reserves that
 /// gateway's share: two rounds of polls, and the delay of a busy host.
 pub const SHARE_RESERVE_DELAY: Duration = Duration::from_millis(700);
 
-/// How long a share is valid at a gateway after the request for it was sent. The hub considers it expired after the
-/// same time.
+/// How long a share is valid at a gateway, from when the gateway sent the poll that the hub replied to with it. The hub
+/// considers it expired after the same time.
 ///
 /// If it is longer, a host that is gone for good takes more from the remaining ones; if it is shorter, a gateway that
 /// is cut off rejects customers sooner.
@@ -84,9 +84,9 @@
         }
     }
 
-    /// Sets the share (0 to 1) from the hub's response to a request that was sent at `requested_at`; the share of the
+    /// Sets the share (0 to 1) from the hub's reply to a poll that was sent at `polled_at`; the share of the
     /// quotas themselves goes back to the hub.
-    pub fn set_share(&mut self, share: f64, requested_at: Instant, now: Instant) {
+    pub fn set_share(&mut self, share: f64, polled_at: Instant, now: Instant) {
         let previous = self.get_share(now);
         if previous <= 0.0 {
             self.held_since = now;
@@ -101,7 +101,7 @@
                 buckets.quota_bucket = Bucket::new(0.0, now);
             }
         }
-        self.share.set(share, requested_at);
+        self.share.set(share, polled_at);
     }
 
     /// Returns the share at `now`; 0 if the gateway has none or it has expired.
@@ -112,8 +112,8 @@
 
     /// Since when the gateway has admitted requests by its share of the quotas; `None` while the hub is responsive.
     fn quota_since(&self, now: Instant) -> Option<Instant> {
-        let requested_at = self.share.get_requested_at()?;
-        (now.since(requested_at) >= LOCAL_QUOTA_DELAY).then(|| requested_at + LOCAL_QUOTA_DELAY)
+        let polled_at = self.share.get_polled_at()?;
+        (now.since(polled_at) >= LOCAL_QUOTA_DELAY).then(|| polled_at + LOCAL_QUOTA_DELAY)
     }
 
     /// Charges a request and returns whether it is admitted; a rejected one costs nothing.
