--- a/crates/core/src/limit/local.rs
+++ b/crates/core/src/limit/local.rs
@@ -262,16 +262,16 @@
         self.last_number
     }
 
-    /// Applies a reply of the hub `hub` that acknowledges all reports up to number `acknowledged` and may contain an
+    /// Applies a reply of the hub `hub_id` that acknowledges all reports up to number `acknowledged` and may contain an
     /// update of its table; returns the limits that may have changed here.
     pub fn apply_reply(
         &mut self,
-        hub: u64,
+        hub_id: u64,
         acknowledged: u64,
         update: Option<&Update>,
         now: Instant,
     ) -> Vec<Change> {
-        let is_other = hub != self.table_version.0;
+        let is_other = hub_id != self.table_version.0;
         let previous = if is_other {
             std::mem::take(&mut self.table)
         } else {
@@ -280,7 +280,7 @@
         let mut changed = self.acknowledge(acknowledged);
         if is_other {
             self.report_to_new_hub(previous, now);
-            self.table_version = (hub, 0);
+            self.table_version = (hub_id, 0);
         }
         if let Some(update) = update {
             changed.extend(self.apply_update(update));
--- a/crates/core/src/limit/table.rs
+++ b/crates/core/src/limit/table.rs
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug)]
 pub struct Table {
     /// The random number that identifies the hub.
-    hub: u64,
+    hub_id: u64,
     entries: BTreeMap<Key, Entry>,
     received: BTreeMap<id::Host, Received>,
     /// Increases with each published change.
@@ -97,11 +97,11 @@
 }
 
 impl Table {
-    /// Creates an empty table of the hub identified by the random number `hub`.
+    /// Creates an empty table of the hub identified by the random number `hub_id`.
     #[must_use]
-    pub fn new(hub: u64) -> Self {
+    pub fn new(hub_id: u64) -> Self {
         Self {
-            hub,
+            hub_id,
             entries: BTreeMap::new(),
             received: BTreeMap::new(),
             version: 0,
@@ -151,7 +151,8 @@
     fn apply_report(&mut self, report: &Report, last_grant: u64, now: Instant) -> bool {
         let entry = self.entries.get_mut(&report.key);
         let is_newer = |entry: &Entry| {
-            report.grant_id.hub_id == self.hub && report.grant_id.number > entry.newer_after_grant
+            report.grant_id.hub_id == self.hub_id
+                && report.grant_id.number > entry.newer_after_grant
         };
         let Some(rate) = report.rate else {
             // A response that may be older than the limit does not lift it.
@@ -162,7 +163,7 @@
             }
             return is_lifted;
         };
-        let confirmed = report.grant_id.hub_id == self.hub;
+        let confirmed = report.grant_id.hub_id == self.hub_id;
         if let Some(entry) = entry {
             entry.limit.confirmed |= confirmed;
             // If the two rates may have been announced in either order, the lower one applies.
@@ -243,20 +244,20 @@
         true
     }
 
-    /// Returns whether a gateway with `version` of the table of the hub `hub` needs an update.
+    /// Returns whether a gateway with `version` of the table of the hub `hub_id` needs an update.
     #[must_use]
-    pub fn is_outdated(&self, (hub, version): (u64, u64)) -> bool {
-        hub != self.hub || version != self.version
+    pub fn is_outdated(&self, (hub_id, version): (u64, u64)) -> bool {
+        hub_id != self.hub_id || version != self.version
     }
 
     /// Returns the update from a gateway's version to the current one; `None` if it has the current one.
     #[must_use]
-    pub fn update_since(&self, (hub, version): (u64, u64)) -> Option<Update> {
-        if !self.is_outdated((hub, version)) {
+    pub fn update_since(&self, (hub_id, version): (u64, u64)) -> Option<Update> {
+        if !self.is_outdated((hub_id, version)) {
             return None;
         }
         let missing = self.version.checked_sub(version);
-        let missing = missing.filter(|_| hub == self.hub);
+        let missing = missing.filter(|_| hub_id == self.hub_id);
         let missing = missing.and_then(|missing| usize::try_from(missing).ok());
         let first = missing.and_then(|missing| self.recent.len().checked_sub(missing));
         let changes = match first {
--- a/crates/core/src/quarantine/evidence.rs
+++ b/crates/core/src/quarantine/evidence.rs
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Acknowledged {
     /// The hub's random number.
-    hub: u64,
+    hub_id: u64,
     /// The number of the last observation that the hub has received.
     last_number: u64,
 }
@@ -105,12 +105,15 @@
         pending
     }
 
-    /// Notes that the hub `hub` has acknowledged all observations up to `last_number`.
-    pub fn acknowledge(&mut self, hub: u64, last_number: u64) {
+    /// Notes that the hub `hub_id` has acknowledged all observations up to `last_number`.
+    pub fn acknowledge(&mut self, hub_id: u64, last_number: u64) {
         // A new hub has not received what was reported to the previous one.
-        let is_same = self.acknowledged.hub == hub;
+        let is_same = self.acknowledged.hub_id == hub_id;
         let last_number = if is_same { last_number } else { 0 };
-        self.acknowledged = Acknowledged { hub, last_number };
+        self.acknowledged = Acknowledged {
+            hub_id,
+            last_number,
+        };
     }
 
     /// Returns the servers that crashed here under a request since it last got a complete response.
--- a/crates/core/src/quarantine/local.rs
+++ b/crates/core/src/quarantine/local.rs
@@ -103,8 +103,8 @@
         self.evidence.record(observation, now);
     }
 
-    /// Notes that the hub `hub` has acknowledged all observations up to `last_number`.
-    pub fn acknowledge(&mut self, hub: u64, last_number: u64) {
-        self.evidence.acknowledge(hub, last_number);
+    /// Notes that the hub `hub_id` has acknowledged all observations up to `last_number`.
+    pub fn acknowledge(&mut self, hub_id: u64, last_number: u64) {
+        self.evidence.acknowledge(hub_id, last_number);
     }
 }
