--- a/crates/core/src/quarantine/tracker.rs
+++ b/crates/core/src/quarantine/tracker.rs
@@ -40,7 +40,7 @@
 const QUARANTINE_RETENTION: Duration = Duration::from_hours(24);
 
 /// How long a proposed change may take to be committed before it is proposed again.
-const REPROPOSE_DELAY: Duration = Duration::from_secs(1);
+const REPROPOSE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How often cases are scanned for expired ones.
 const EXPIRY_SCAN_INTERVAL: Duration = Duration::from_secs(1);
@@ -294,7 +294,7 @@
     /// Returns the changes of the list to propose for the log now.
     pub fn propose_steps(&mut self, now: Instant) -> Vec<Step> {
         self.release_expired(now);
-        let is_pending = |proposed| now.since(proposed) < REPROPOSE_DELAY;
+        let is_pending = |proposed| now.since(proposed) < REPROPOSE_INTERVAL;
         if !self.is_dirty || self.proposed.is_some_and(is_pending) {
             return Vec::new();
         }
