--- a/crates/core/src/rollout/trials.rs
+++ b/crates/core/src/rollout/trials.rs
@@ -140,12 +140,12 @@
         let Some(rollout) = self.active.get_mut(&ended.service) else {
             return;
         };
-        let watched = ended.rollout.as_ref();
-        let Some(watched) = watched.filter(|watched| watched.target == rollout.target) else {
+        let tag = ended.rollout.as_ref();
+        let Some(tag) = tag.filter(|tag| tag.target == rollout.target) else {
             return;
         };
         let sample = Sample {
-            rule: Arc::clone(&watched.rule),
+            rule: Arc::clone(&tag.rule),
             server: Arc::clone(&ended.incarnation),
             outcome: ended.outcome,
         };
@@ -194,12 +194,12 @@
     ///
     /// All versions that run when a service is first seen serve it, except a target that was
     /// ordered before: the platform starts its servers for the roll-out.
-    pub fn propose_established(&mut self, listing: &ServerList, now: Instant) -> Vec<Step> {
-        if self.bounds.is_none() || self.established_list_version == listing.version {
+    pub fn propose_established(&mut self, server_list: &ServerList, now: Instant) -> Vec<Step> {
+        if self.bounds.is_none() || self.established_list_version == server_list.version {
             return Vec::new();
         }
         let mut seen: BTreeMap<&id::Service, BTreeSet<Version>> = BTreeMap::new();
-        for server in &listing.servers {
+        for server in &server_list.servers {
             if self.plans.serving_versions(&server.service).is_none() {
                 let versions = seen.entry(&server.service).or_default();
                 versions.insert(server.version.clone());
@@ -214,7 +214,7 @@
             }
         }
         if seen.is_empty() {
-            self.established_list_version = listing.version;
+            self.established_list_version = server_list.version;
         }
         let mut steps = Vec::new();
         for (service, versions) in seen {
