--- a/crates/core/src/queue/dispatch.rs
+++ b/crates/core/src/queue/dispatch.rs
@@ -44,10 +44,10 @@
         let Some(pick) = self.fleet.pick(&work) else {
             return false;
         };
-        let caution = self.fleet.get_tuning().safety_margin;
+        let safety_margin = self.fleet.get_tuning().safety_margin;
         let in_time = |time: &TimeEstimate| {
-            now + with_margin(time.first_token, caution) <= first_token_deadline
-                && now + with_margin(time.total, caution) <= deadline
+            now + with_margin(time.first_token, safety_margin) <= first_token_deadline
+                && now + with_margin(time.total, safety_margin) <= deadline
         };
         let is_late = !in_time(&pick.estimate);
         // Another server would finish in time: the request waits for a slot there.
@@ -164,14 +164,14 @@
     }
 }
 
-/// Adds a safety margin to an expected time: the fraction `caution` of it, and the delay of
+/// Adds a safety margin to an expected time: the fraction `safety_margin` of it, and the delay of
 /// messages.
 ///
 /// Under overload granted requests only just meet their deadlines. Without a margin a small error
 /// in the estimate makes such a request miss its deadline, and the work on its whole prompt is
 /// wasted.
-fn with_margin(time: Duration, caution: f64) -> Duration {
-    time.mul_f64(1.0 + caution) + MESSAGE_DELAY_MARGIN
+fn with_margin(time: Duration, safety_margin: f64) -> Duration {
+    time.mul_f64(1.0 + safety_margin) + MESSAGE_DELAY_MARGIN
 }
 
 /// The work that the request causes on a server, with the expected length of its response.
