--- a/crates/core/benches/places.rs
+++ b/crates/core/benches/places.rs
@@ -97,7 +97,7 @@
             needs_retry: false,
             tried: Vec::new(),
             avoid: Vec::new(),
-            backing_off: Vec::new(),
+            backoffs: Vec::new(),
             allowed_halls: None,
         };
         let SlotDecision::Queued(ticket, last) = self.hub.request_slot(want, self.now) else {
--- a/crates/core/src/gateway/dispatch.rs
+++ b/crates/core/src/gateway/dispatch.rs
@@ -233,7 +233,7 @@
             hall: request.hall,
             tried: request.tried,
             avoid: request.avoid.into_iter().map(expiry).collect(),
-            backoffs: request.backing_off.into_iter().map(expiry).collect(),
+            backoffs: request.backoffs.into_iter().map(expiry).collect(),
             allowed_halls: request.allowed_halls,
         };
         let (number, displaced) = pool.enqueue(pool_request, now);
@@ -391,7 +391,7 @@
             id,
             server,
             permit,
-            rate_charged: assignment.charged_to_limit,
+            charged_to_limit: assignment.charged_to_limit,
             includes_retry: reservation.retry_service.is_some(),
         };
         Some((grant, reservation))
--- a/crates/core/src/gateway/grant.rs
+++ b/crates/core/src/gateway/grant.rs
@@ -56,7 +56,7 @@
     /// Further incarnations that the gateway avoids, and for how much longer.
     pub avoid: Vec<(Arc<str>, Duration)>,
     /// The incarnations that told the gateway's host to back off, and for how much longer.
-    pub backing_off: Vec<(Arc<str>, Duration)>,
+    pub backoffs: Vec<(Arc<str>, Duration)>,
     /// The data halls to which the request is restricted, if it is.
     pub allowed_halls: Option<Arc<[Arc<str>]>>,
 }
@@ -71,7 +71,7 @@
     /// The number of the permit of the request, if servers crashed under requests of its identity.
     pub permit: Option<u64>,
     /// Whether the request was charged to a limit that the server announced.
-    pub rate_charged: bool,
+    pub charged_to_limit: bool,
     /// Whether the grant includes the retry that the gateway asked for.
     pub includes_retry: bool,
 }
--- a/crates/core/tests/support/limited.rs
+++ b/crates/core/tests/support/limited.rs
@@ -591,7 +591,7 @@
                 self.send(place, server, grant, given)?
             }
             Stage::Sent(server, grant, given, sent) => {
-                let is_drawn = grant.as_ref().is_some_and(|grant| grant.rate_charged);
+                let is_drawn = grant.as_ref().is_some_and(|grant| grant.charged_to_limit);
                 let mark = grant.map_or(GrantId::default(), |grant| grant.id);
                 self.undrawn += u32::from(!is_drawn && self.was_told(place, &server, sent));
                 self.arrive(place, server, mark, given)
@@ -642,7 +642,7 @@
         let looks = self.flaw != Some(Flaw::NoLookAtPlace);
         let server = Arc::new(grant.server.clone());
         let node = &mut self.nodes[place];
-        let is_beyond = !grant.rate_charged && node.limits.blocks(&server, grant.id);
+        let is_beyond = !grant.charged_to_limit && node.limits.blocks(&server, grant.id);
         let is_beyond = is_beyond && looks;
         if is_late || is_beyond || !node.pool.accept_grant(&server, Tokens(0), now) {
             self.refused += 1;
@@ -660,7 +660,7 @@
         given: Instant,
     ) -> Option<(Stage, Instant)> {
         let due = self.now + self.millis(1, 4);
-        let is_drawn = grant.as_ref().is_some_and(|grant| grant.rate_charged);
+        let is_drawn = grant.as_ref().is_some_and(|grant| grant.charged_to_limit);
         let mark = grant.as_ref().map_or(GrantId::default(), |grant| grant.id);
         let is_beyond = !is_drawn && self.nodes[place].limits.blocks(&server, mark);
         let looks = !matches!(
--- a/crates/core/tests/support/messages.rs
+++ b/crates/core/tests/support/messages.rs
@@ -32,7 +32,7 @@
         needs_retry: false,
         tried: Vec::new(),
         avoid: Vec::new(),
-        backing_off: Vec::new(),
+        backoffs: Vec::new(),
         allowed_halls: None,
     }
 }
--- a/crates/core/tests/support/resting.rs
+++ b/crates/core/tests/support/resting.rs
@@ -630,7 +630,7 @@
 fn want(node: &Node, now: Instant) -> SlotRequest {
     SlotRequest {
         avoid: node.pool.avoided(&[], now).collect(),
-        backing_off: node.pool.get_notices().backing_off(now).collect(),
+        backoffs: node.pool.get_notices().backing_off(now).collect(),
         allowed_halls: None,
         ..messages::slot_request(&node.host)
     }
--- a/crates/curlewlift/src/gateway/place.rs
+++ b/crates/curlewlift/src/gateway/place.rs
@@ -226,7 +226,10 @@
         if self.node.policy.borrow().is_evacuated(&self.server.hall) {
             return true;
         }
-        let is_drawn = self.grant.as_ref().is_some_and(|grant| grant.rate_charged);
+        let is_drawn = self
+            .grant
+            .as_ref()
+            .is_some_and(|grant| grant.charged_to_limit);
         let limits = self.node.limits.borrow();
         if !is_drawn && limits.blocks(&self.server, self.mark()) {
             return true;
--- a/crates/curlewlift/src/gateway/places.rs
+++ b/crates/curlewlift/src/gateway/places.rs
@@ -178,7 +178,7 @@
             needs_retry: wanted.retry,
             tried: ask.tried.clone(),
             avoid: avoid.unwrap_or_default(),
-            backing_off: rests.unwrap_or_default(),
+            backoffs: rests.unwrap_or_default(),
             allowed_halls: ask.allowed_halls.clone(),
         }
     }
@@ -198,7 +198,7 @@
             .borrow_mut()
             .observe_servers(std::iter::once(&*server), now);
         self.limit(met.into_iter());
-        let is_beyond = !grant.rate_charged && self.limits.borrow().blocks(&server, grant.id);
+        let is_beyond = !grant.charged_to_limit && self.limits.borrow().blocks(&server, grant.id);
         let is_evacuated = self.policy.borrow().is_evacuated(&server.hall);
         let is_closed = is_beyond || is_evacuated;
         let take = |service: &mut Service| {
--- a/crates/lab/src/rollout/world.rs
+++ b/crates/lab/src/rollout/world.rs
@@ -400,7 +400,7 @@
             needs_retry: false,
             tried: Vec::new(),
             avoid: Vec::new(),
-            backing_off: Vec::new(),
+            backoffs: Vec::new(),
             allowed_halls: None,
         };
         let Some(hub) = &mut self.hub else { return };
