--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -76,7 +76,7 @@
     publication: Publication,
     #[serde(default)]
     #[serde(rename = "parts")]
-    shares: Shares,
+    retry_shares: Shares,
     #[serde(default)]
     #[serde(rename = "deputies")]
     standbys: Shares,
@@ -110,8 +110,8 @@
                 self.apply_publication(publication);
                 Ok(self.snapshot.revision)
             }
-            Record::Shares(shares) => {
-                self.shares = shares.clone();
+            Record::RetryShares(shares) => {
+                self.retry_shares = shares.clone();
                 Ok(self.snapshot.revision)
             }
             Record::Standbys(standbys) => {
@@ -198,8 +198,8 @@
 
     /// The gateways that hold a share of the retries, which they may use without the hub.
     #[must_use]
-    pub fn get_shares(&self) -> &Shares {
-        &self.shares
+    pub fn get_retry_shares(&self) -> &Shares {
+        &self.retry_shares
     }
 
     /// The standby gateways: those that hold a share of what may be admitted without the hub.
--- a/crates/core/src/state/record.rs
+++ b/crates/core/src/state/record.rs
@@ -43,7 +43,7 @@
     Publication(Publication),
     /// The gateways that hold a share of the retries, which they may use without the hub.
     #[serde(rename = "Parts")]
-    Shares(Shares),
+    RetryShares(Shares),
     /// The standby gateways: those that hold a share of what may be admitted without the hub.
     #[serde(rename = "Deputies")]
     Standbys(Shares),
--- a/crates/curlewlift/src/control/parts.rs
+++ b/crates/curlewlift/src/control/parts.rs
@@ -13,7 +13,7 @@
         let Some(hub) = &mut self.hub else {
             return;
         };
-        let parts = self.machine.get_shares();
+        let parts = self.machine.get_retry_shares();
         hub.apply_retry_shares(parts, now);
         let deputies = self.machine.get_standbys();
         hub.apply_standbys(deputies, now);
@@ -30,7 +30,7 @@
         let Some(hub) = &mut self.hub else {
             return;
         };
-        let parts = hub.propose_retry_shares(now).map(Record::Shares);
+        let parts = hub.propose_retry_shares(now).map(Record::RetryShares);
         let deputies = hub.propose_standbys(now).map(Record::Standbys);
         for record in parts.into_iter().chain(deputies) {
             // A change that is lost goes with this leader, and with it the hub that waits for it.
--- a/crates/curlewlift/src/control/replica.rs
+++ b/crates/curlewlift/src/control/replica.rs
@@ -253,7 +253,7 @@
                     self.first_table();
                 }
             }
-            Record::Shares(_) | Record::Standbys(_) => self.take_up_parts(),
+            Record::RetryShares(_) | Record::Standbys(_) => self.take_up_parts(),
             Record::Rollout(step) => self.take_up_step(&step, &plans, term),
             Record::Quarantine(steps) => self.take_up_quarantine(&steps),
             Record::Evacuation(order) => self.take_up_evacuation(&order),
