--- a/crates/core/src/gateway/subset.rs
+++ b/crates/core/src/gateway/subset.rs
@@ -68,7 +68,7 @@
 
 /// The difference of two server lists, by which the hub finds the gateways whose subsets change.
 /// Selecting 1,000 subsets of 3,000 servers for each new list would take longer than a leader may
-/// be silent.
+/// go without sending a heartbeat.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServerListDelta {
     /// The version of the former list.
