--- a/crates/core/src/gateway/distribution.rs
+++ b/crates/core/src/gateway/distribution.rs
@@ -26,8 +26,8 @@
 /// A chunk of a packed document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// The number of the table.
-    pub number: u64,
+    /// The version of the table.
+    pub table_version: u64,
     /// The length of the whole document in bytes.
     pub total_len: usize,
     /// The offset of the chunk in bytes.
@@ -37,12 +37,12 @@
 }
 
 impl Chunk {
-    /// Returns the chunk of `publication` at `offset` of the table `number`, or the first chunk if
-    /// another table is active by now.
+    /// Returns the chunk of `publication` at `offset`, or the first chunk if `publication` has
+    /// another version than `version`, as another table is active by now.
     #[must_use]
-    pub fn cut(publication: &Publication, number: u64, offset: usize) -> Self {
+    pub fn cut(publication: &Publication, version: u64, offset: usize) -> Self {
         let text = publication.document.as_packed();
-        let start = if number == publication.number {
+        let start = if version == publication.version {
             offset
         } else {
             0
@@ -50,7 +50,7 @@
         let offset = text.floor_char_boundary(start);
         let end = text.floor_char_boundary(offset + CHUNK_BYTES);
         Self {
-            number: publication.number,
+            table_version: publication.version,
             total_len: text.len(),
             offset,
             text: text[offset..end].to_owned(),
--- a/crates/core/src/gateway/hub.rs
+++ b/crates/core/src/gateway/hub.rs
@@ -125,7 +125,7 @@
     distribution: Distribution,
     /// The number of the last reply.
     pub(super) last_reply: u64,
-    table_number: u64,
+    table_version: u64,
     pub(super) server_list: Arc<ServerList>,
     pub(super) subset_selector: SubsetSelector,
     /// The difference between the former server list and this one.
@@ -166,7 +166,7 @@
             standbys: Standbys::default(),
             distribution: Distribution::new(tuning.link_bytes_per_s),
             last_reply: 0,
-            table_number: 0,
+            table_version: 0,
             server_list: Arc::default(),
             subset_selector: SubsetSelector::default(),
             server_list_delta: ServerListDelta::default(),
@@ -198,8 +198,8 @@
 
     /// Applies the quotas and cold rates of a newer table.
     pub fn apply_table(&mut self, table: &Table, now: Instant) {
-        if table.get_version() > self.table_number {
-            self.table_number = table.get_version();
+        if table.get_version() > self.table_version {
+            self.table_version = table.get_version();
             let policies = table.customers();
             let policies = policies.map(|policy| (&policy.name, policy.quota));
             self.limiter.set_quotas(policies, now);
--- a/crates/core/src/gateway/polls.rs
+++ b/crates/core/src/gateway/polls.rs
@@ -42,8 +42,8 @@
         self.update_subset(&poll.host);
         let mut reply = self.small_reply(poll, publication, now);
         let is_small = publication.document.as_packed().len() <= MAX_INLINE_TABLE;
-        let is_inline = is_small && publication.number > poll.known_table;
-        reply.newest_table = publication.number;
+        let is_inline = is_small && publication.version > poll.known_table;
+        reply.newest_table = publication.version;
         reply.table = is_inline.then(|| publication.clone());
         let has_list_update = self.has_list_update(poll);
         reply.server_list = has_list_update.then(|| self.server_list_update(poll));
@@ -59,7 +59,7 @@
         publication: &Publication,
         now: Instant,
     ) -> Option<Instant> {
-        let is_new_table = publication.number > poll.known_table;
+        let is_new_table = publication.version > poll.known_table;
         let is_large = is_new_table
             || self.has_list_update(poll)
             || self.membership.needs_whole(poll.membership_version);
@@ -82,7 +82,7 @@
             retry_share,
             admission_share,
             standbys: self.standbys_update(poll),
-            newest_table: publication.number.min(poll.known_table),
+            newest_table: publication.version.min(poll.known_table),
             poll_timeout: self.poll_timeout(poll),
             server_list_version: self.server_list.version,
             policy: self.policy_update(poll),
--- a/crates/core/src/gateway/sync.rs
+++ b/crates/core/src/gateway/sync.rs
@@ -67,7 +67,7 @@
     pub gateway: Gateway,
     /// Whether it accepts callers: it has a table and a server list, and is not stopping.
     pub ready: bool,
-    /// The number of the newest table that it has or is fetching.
+    /// The version of the newest table that it has or is fetching.
     pub known_table: u64,
     /// Whether it receives the whole server list rather than its subset.
     pub wants_whole_list: bool,
@@ -110,7 +110,7 @@
     pub quarantine: Option<quarantine::Update>,
     /// The update of the limits that servers announced.
     pub limits: Option<limit::Update>,
-    /// The number of the active table.
+    /// The version of the active table.
     pub newest_table: u64,
     /// The active table, if the gateway does not know it and it is small.
     pub table: Option<Publication>,
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -135,9 +135,9 @@
         }
     }
 
-    /// Replaces the routing table; ignores one whose number is not higher than the current one's.
+    /// Replaces the routing table; ignores one whose version is not higher than the current one's.
     fn apply_publication(&mut self, publication: &Publication) {
-        if publication.number > self.publication.number {
+        if publication.version > self.publication.version {
             self.publication = publication.clone();
         }
     }
@@ -190,7 +190,7 @@
         &self.snapshot
     }
 
-    /// The routing table in effect; its number is 0 if none was published.
+    /// The routing table in effect; its version is 0 if none was published.
     #[must_use]
     pub fn get_publication(&self) -> &Publication {
         &self.publication
--- a/crates/core/src/state/record.rs
+++ b/crates/core/src/state/record.rs
@@ -23,11 +23,12 @@
     pub line: String,
 }
 
-/// A published routing table: one complete document under an increasing number.
+/// A published routing table: one complete document under an increasing version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Publication {
-    /// Its number; the table with the highest one is in effect.
-    pub number: u64,
+    /// Its version; the table with the highest one is in effect.
+    #[serde(rename = "number")]
+    pub version: u64,
     /// The document as it was sent, byte for byte.
     pub document: Document,
 }
--- a/crates/core/tests/thousand_gateways.rs
+++ b/crates/core/tests/thousand_gateways.rs
@@ -292,7 +292,7 @@
     let mut hub = Hub::new(Tuning::default(), ms(0));
     hub.set_server_list(Arc::new(ServerList::new(servers())));
     let publication = Publication {
-        number: 7,
+        version: 7,
         ..Publication::default()
     };
     let gateways: Vec<_> = (0..100).map(GatewayState::new).collect();
--- a/crates/curlewlift/src/control/hub.rs
+++ b/crates/curlewlift/src/control/hub.rs
@@ -60,19 +60,19 @@
         let (Some(hub), Some(gateways)) = (&mut self.hub, &self.gateways) else {
             return;
         };
-        if publication.number == 0 {
+        if publication.version == 0 {
             return;
         }
         match (gateways.decode)(publication) {
             Ok(table) => hub.apply_table(&table, self.clock.now()),
-            Err(why) => log::error!("table {} cannot be read: {why}", publication.number),
+            Err(why) => log::error!("table {} cannot be read: {why}", publication.version),
         }
         self.news.notify_waiters();
     }
 
     /// Whether there is something that the asker does not hold yet.
     fn has_news(&mut self, question: &Poll) -> bool {
-        let is_newer = self.machine.get_publication().number > question.known_table;
+        let is_newer = self.machine.get_publication().version > question.known_table;
         let hub = self.hub.as_mut();
         is_newer || hub.is_some_and(|hub| hub.has_update(question))
     }
@@ -217,12 +217,12 @@
 }
 
 async fn publish(state: &Shared, publication: Publication) -> Result<HubReply, Refusal> {
-    let number = publication.number;
+    let number = publication.version;
     let bytes = publication.document.as_packed().len();
     let wait = {
         let mut state = state.borrow_mut();
         // Leading surely and settled, what is applied here is what is committed.
-        if number <= state.machine.get_publication().number {
+        if number <= state.machine.get_publication().version {
             return Ok(HubReply::Published);
         }
         state.outlives_losses()?;
--- a/crates/curlewlift/src/control/replica.rs
+++ b/crates/curlewlift/src/control/replica.rs
@@ -242,7 +242,7 @@
     fn apply_record(&mut self, data: &[u8], term: id::Term) -> Answer {
         let record = Record::decode(data).map_err(|why| Refusal::new(Code::Internal, why))?;
         let before = Arc::clone(self.machine.get_snapshot());
-        let had_table = self.machine.get_publication().number > 0;
+        let had_table = self.machine.get_publication().version > 0;
         let plans = self.machine.get_rollouts().clone();
         let answer = self.machine.apply(&record);
         match record {
--- a/crates/curlewlift/src/control/rollouts.rs
+++ b/crates/curlewlift/src/control/rollouts.rs
@@ -77,7 +77,7 @@
             return Err(Refusal::new(Code::Unknown, why));
         }
         let publication = self.machine.get_publication();
-        if publication.number == 0 {
+        if publication.version == 0 {
             return Err(Refusal::new(Code::NoTable, "no routing table is in force"));
         }
         let table = (gateways.decode)(publication)?;
--- a/crates/curlewlift/src/gateway/tables.rs
+++ b/crates/curlewlift/src/gateway/tables.rs
@@ -37,7 +37,7 @@
                 Progress::Piece => {}
                 Progress::None => tokio::time::sleep(AGAIN).await,
                 Progress::Whole(publication) => {
-                    done = publication.number;
+                    done = publication.version;
                     adopt(&node, &around, &publication);
                 }
             }
@@ -49,7 +49,7 @@
 pub(super) fn adopt(node: &Node, around: &Surroundings, publication: &Publication) {
     match (around.decode)(publication) {
         Ok(table) => node.adopt_table(table),
-        Err(why) => log::error!("table {} cannot be read: {why}", publication.number),
+        Err(why) => log::error!("table {} cannot be read: {why}", publication.version),
     }
 }
 
@@ -76,8 +76,8 @@
         let Some(piece) = self.ask(node).await else {
             return Progress::None;
         };
-        if piece.number != self.number {
-            self.number = piece.number;
+        if piece.table_version != self.number {
+            self.number = piece.table_version;
             self.text.clear();
         }
         if piece.offset != self.text.len() {
@@ -92,7 +92,7 @@
         let _ = self.ask(node).await;
         let text = std::mem::take(&mut self.text);
         Progress::Whole(Publication {
-            number: self.number,
+            version: self.number,
             document: Document::from_packed(&text),
         })
     }
--- a/crates/curlewlift/src/platform/operator.rs
+++ b/crates/curlewlift/src/platform/operator.rs
@@ -63,7 +63,7 @@
         }
     };
     let publication = Publication {
-        number,
+        version: number,
         document: Document::pack(&text),
     };
     let published = gateway::publish(node, around, publication).await;
@@ -81,7 +81,7 @@
 
 async fn get(node: &Node, around: &Surroundings) -> Answer {
     match gateway::read(node, around).await {
-        Ok(publication) if publication.number > 0 => match publication.document.unpack() {
+        Ok(publication) if publication.version > 0 => match publication.document.unpack() {
             Ok(text) => gateway::json(text),
             Err(refusal) => http::refused(&unclear(refusal)),
         },
