--- a/crates/core/src/quota/limiter.rs
+++ b/crates/core/src/quota/limiter.rs
@@ -45,7 +45,7 @@
 /// In any period it admits at most what a bucket held and what it has gained since. A share of the quotas is reserved
 /// for gateways that may be admitting requests without the hub ([`super::LocalLimiter`]). Buckets start empty, because
 /// what the previous hub admitted is not known; so all hubs and gateways together admit no more than a single bucket
-/// would. A bucket that was filled up at any later time would admit a burst twice.
+/// would. Nor is a bucket filled up at once later on, which would admit a burst twice.
 #[derive(Clone, Debug)]
 pub struct Limiter {
     tolerance: Tolerance,
