--- a/crates/core/src/pool/choose.rs
+++ b/crates/core/src/pool/choose.rs
@@ -118,8 +118,8 @@
             self.tuning.remote_hall_cost
         };
         let failure_factor = 1.0 + self.tuning.failure_penalty * state.health.failure_rate();
-        let unread = request.prompt.as_f64() + state.unread_prompt().as_f64();
-        let own_cost = self.tuning.request_cost + self.tuning.prompt_cost * unread / 1_000.0;
+        let prefill = request.prompt.as_f64() + state.prefill_tokens().as_f64();
+        let own_cost = self.tuning.request_cost + self.tuning.prompt_cost * prefill / 1_000.0;
         (f64::from(state.in_flight()) + own_cost + hall_cost)
             * latency.clamp(MIN_RELATIVE_LATENCY, MAX_RELATIVE_LATENCY)
             * failure_factor
--- a/crates/core/src/pool/server_health.rs
+++ b/crates/core/src/pool/server_health.rs
@@ -31,7 +31,7 @@
 
 impl ServerHealth {
     /// Records a response.
-    pub fn record_answer(&mut self) {
+    pub fn record_response(&mut self) {
         self.breaks_in_a_row = 0;
         self.is_recovering = false;
         self.avoid_until = None;
--- a/crates/core/src/pool/server_state.rs
+++ b/crates/core/src/pool/server_state.rs
@@ -22,9 +22,9 @@
     /// Requests in flight of other gateways, as last reported.
     pub(super) other_requests: u32,
     /// Prompt tokens of requests sent from here whose responses have not begun.
-    pub(super) own_unread_prompt: u64,
+    pub(super) own_prefill_tokens: u64,
     /// The same of other gateways, as last reported.
-    pub(super) other_unread_prompt: u64,
+    pub(super) other_prefill_tokens: u64,
     /// The time to the first byte of a response.
     pub(super) first_byte: ServerLatency,
     /// The time between two chunks of a stream.
@@ -40,8 +40,8 @@
             is_listed: true,
             own_requests: 0,
             other_requests: 0,
-            own_unread_prompt: 0,
-            other_unread_prompt: 0,
+            own_prefill_tokens: 0,
+            other_prefill_tokens: 0,
             first_byte: ServerLatency::default(),
             gap: ServerLatency::default(),
             health: ServerHealth::default(),
@@ -77,37 +77,37 @@
     }
 
     /// The prompt tokens that it has not finished reading, over all gateways.
-    pub(super) fn unread_prompt(&self) -> Tokens {
+    pub(super) fn prefill_tokens(&self) -> Tokens {
         Tokens(
-            self.own_unread_prompt
-                .saturating_add(self.other_unread_prompt),
+            self.own_prefill_tokens
+                .saturating_add(self.other_prefill_tokens),
         )
     }
 
     /// Counts a request that is sent there.
     pub(super) fn start_request(&mut self, prompt: Tokens) {
         self.own_requests += 1;
-        self.own_unread_prompt = self.own_unread_prompt.saturating_add(prompt.0);
+        self.own_prefill_tokens = self.own_prefill_tokens.saturating_add(prompt.0);
     }
 
     /// Counts a request that was sent there as ended.
     pub(super) fn end_request(&mut self) {
         self.own_requests = self.own_requests.saturating_sub(1);
         if self.own_requests == 0 {
-            self.own_unread_prompt = 0;
+            self.own_prefill_tokens = 0;
         }
     }
 
     /// Resets the counts of requests sent from here.
     pub(super) fn reset_own_load(&mut self) {
         self.own_requests = 0;
-        self.own_unread_prompt = 0;
+        self.own_prefill_tokens = 0;
     }
 
     /// Sets the load by other gateways.
     pub(super) fn set_other_load(&mut self, load: Option<&Load>) {
         self.other_requests = load.map_or(0, |load| load.requests);
-        self.other_unread_prompt = load.map_or(0, |load| load.prefill_tokens.0);
+        self.other_prefill_tokens = load.map_or(0, |load| load.prefill_tokens.0);
     }
 
     /// Its recent latency in seconds: the time between two chunks of a stream, or else to the first byte.
@@ -126,7 +126,7 @@
     pub(super) fn record_outcome(&mut self, outcome: AttemptOutcome, now: Instant) {
         match outcome {
             AttemptOutcome::Answered { first_byte, gap } => {
-                self.health.record_answer();
+                self.health.record_response();
                 self.first_byte.add(first_byte);
                 if let Some(gap) = gap {
                     self.gap.add(gap);
--- a/crates/core/src/pool/servers.rs
+++ b/crates/core/src/pool/servers.rs
@@ -271,14 +271,14 @@
         busy.map(|state| Load {
             incarnation: Arc::clone(&state.server.incarnation),
             requests: state.own_requests,
-            prefill_tokens: Tokens(state.own_unread_prompt),
+            prefill_tokens: Tokens(state.own_prefill_tokens),
         })
     }
 
     /// Records that a server has read a request's prompt, or will not read it.
     pub fn record_first_byte(&mut self, incarnation: &str, prompt: Tokens) {
         self.servers.update(incarnation, |state| {
-            state.own_unread_prompt = state.own_unread_prompt.saturating_sub(prompt.0);
+            state.own_prefill_tokens = state.own_prefill_tokens.saturating_sub(prompt.0);
         });
     }
 
