--- a/crates/core/src/gateway/grant.rs
+++ b/crates/core/src/gateway/grant.rs
@@ -35,10 +35,11 @@
     pub rank: Rank,
     /// The time since the request arrived.
     pub waited: Duration,
-    /// The time left for a response to begin early enough to be of use.
-    pub useful_for: Duration,
-    /// The time left to wait for a slot.
-    pub wait_limit: Duration,
+    /// The time within which the request must be sent for its response to begin within the latency
+    /// objective.
+    pub send_within: Duration,
+    /// How much longer the request may wait for a slot.
+    pub max_wait: Duration,
     /// The time left to complete the request.
     pub time_left: Duration,
     /// The identity of the request, for quarantine.
--- a/crates/core/tests/hub_slots.rs
+++ b/crates/core/tests/hub_slots.rs
@@ -67,8 +67,8 @@
 fn request(host: &str, rank: u8) -> SlotRequest {
     SlotRequest {
         rank: rank.into(),
-        useful_for: Duration::from_millis(100),
-        wait_limit: Duration::from_millis(200),
+        send_within: Duration::from_millis(100),
+        max_wait: Duration::from_millis(200),
         time_left: Duration::from_secs(10),
         prompt: Tokens(10),
         ..messages::slot_request(&host.parse().expect("a name"))
--- a/crates/curlewlift/src/control/places.rs
+++ b/crates/curlewlift/src/control/places.rs
@@ -53,7 +53,7 @@
 
 /// Waits for a place for as long as the request may.
 pub(super) async fn want(state: &Shared, want: SlotRequest) -> Result<HubReply, Refusal> {
-    let until = Instant::now() + want.wait_limit;
+    let until = Instant::now() + want.max_wait;
     let listed = until.min(Instant::now() + FIRST_LIST);
     let _ = tokio::time::timeout_at(listed, first_list(state)).await;
     let (line, place) = match line_up(state, want)? {
--- a/crates/curlewlift/src/gateway/places.rs
+++ b/crates/curlewlift/src/gateway/places.rs
@@ -164,8 +164,8 @@
             rule: watched.then(|| Arc::clone(wanted.rule)),
             rank: ask.rank,
             waited: now.since(ask.arrived),
-            useful_for: ask.send_by.since(now),
-            wait_limit: patience,
+            send_within: ask.send_by.since(now),
+            max_wait: patience,
             time_left: wanted.left,
             identity: wanted.identity.clone(),
             observations: self
