--- a/crates/core/src/gateway/bulk_schedule.rs
+++ b/crates/core/src/gateway/bulk_schedule.rs
@@ -8,10 +8,10 @@
 
 /// Time between two gateways that receive a large update. It leaves a small leader time for
 /// heartbeats and slot grants.
-const UPDATE_INTERVAL: Duration = Duration::from_millis(1);
+const BULK_UPDATE_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Time after which an unused time slot is dropped, as its gateway has gone.
-const UNUSED_SLOT_TIMEOUT: Duration = Duration::from_secs(5);
+const UNUSED_TIME_SLOT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Schedules large updates to gateways: a server list, a membership or a table that they do not
 /// have yet.
@@ -31,12 +31,12 @@
     pub fn reserve(&mut self, host: &Host, now: Instant) -> Instant {
         let time_slot = self.time_slots.get(host).copied();
         if let Some(time_slot) =
-            time_slot.filter(|time_slot| now.since(*time_slot) < UNUSED_SLOT_TIMEOUT)
+            time_slot.filter(|time_slot| now.since(*time_slot) < UNUSED_TIME_SLOT_TIMEOUT)
         {
             return time_slot;
         }
         let time_slot = self.next.max(now);
-        self.next = time_slot + UPDATE_INTERVAL;
+        self.next = time_slot + BULK_UPDATE_INTERVAL;
         self.time_slots.insert(host.clone(), time_slot);
         time_slot
     }
--- a/crates/core/src/gateway/grant.rs
+++ b/crates/core/src/gateway/grant.rs
@@ -56,7 +56,7 @@
     pub tried: Vec<Arc<str>>,
     /// Further incarnations that the gateway avoids, and for how much longer.
     pub avoid: Vec<(Arc<str>, Duration)>,
-    /// The incarnations that told the gateway's host to back off, and for how much longer.
+    /// The incarnations that asked the gateway's host to back off, and for how much longer.
     pub backoffs: Vec<(Arc<str>, Duration)>,
     /// The data halls to which the request is restricted, if it is.
     pub allowed_halls: Option<Arc<[Arc<str>]>>,
--- a/crates/core/src/gateway/hub.rs
+++ b/crates/core/src/gateway/hub.rs
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Sets the random number by which the grants and replies of this hub are told from those of
+    /// Sets the random number that distinguishes the grants and replies of this hub from those of
     /// others.
     #[must_use]
     pub fn with_id(mut self, hub_id: u64) -> Self {
--- a/crates/core/src/gateway/polls.rs
+++ b/crates/core/src/gateway/polls.rs
@@ -28,7 +28,7 @@
 
 /// Time that a poll waits for each gateway in larger deployments: all of them together send 2,000
 /// polls a second.
-const LONG_POLL_TIMEOUT_PER_GATEWAY: Duration = Duration::from_micros(500);
+const LARGE_DEPLOYMENT_POLL_TIMEOUT_PER_GATEWAY: Duration = Duration::from_micros(500);
 
 /// Size in bytes of the largest packed table that a reply includes. Larger ones are fetched in
 /// chunks.
@@ -105,7 +105,7 @@
         if poll.wants_whole_list || self.standbys.hosts.contains(&poll.host) {
             return timeout;
         }
-        timeout.max(LONG_POLL_TIMEOUT_PER_GATEWAY * gateway_count)
+        timeout.max(LARGE_DEPLOYMENT_POLL_TIMEOUT_PER_GATEWAY * gateway_count)
     }
 
     /// Returns the update of a gateway's server list.
@@ -193,7 +193,8 @@
     /// Returns the time without a poll after which a gateway counts as timed out. It covers more
     /// than two waits between its polls.
     pub(super) fn gateway_timeout(&self) -> Duration {
-        let two_waits = LONG_POLL_TIMEOUT_PER_GATEWAY * self.gateway_count() * 2 + MIN_POLL_TIMEOUT;
+        let two_waits =
+            LARGE_DEPLOYMENT_POLL_TIMEOUT_PER_GATEWAY * self.gateway_count() * 2 + MIN_POLL_TIMEOUT;
         self.tuning.gateway_timeout.max(two_waits)
     }
 }
--- a/crates/core/src/gateway/shares.rs
+++ b/crates/core/src/gateway/shares.rs
@@ -15,14 +15,14 @@
 
 /// Minimum time between two changes of the shares, and before a leader's first one. Each change is
 /// an entry of the log, and after a start of all hosts, the gateways appear within about 300 ms.
-const MIN_CHANGE_INTERVAL: Duration = Duration::from_millis(300);
+const MIN_SHARES_CHANGE_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Number of holders per spare share. A spare share lets a new gateway hold one at once, without
 /// waiting until all others know that the shares have become smaller.
 const HOLDERS_PER_SPARE_SHARE: u32 = 8;
 
-/// The number of shares into which the gateways' allowance without the hub is divided, and who
-/// holds one. Both are stored in the log.
+/// The number of shares into which the retries or admissions of gateways without the hub are
+/// divided, and who holds one. Both are stored in the log.
 ///
 /// The shares in use never add up to more than the whole, although a host may use a reply for as
 /// long as [`quota::SHARE_LIFETIME`]: a holder is added only once all holders have received a reply that
@@ -142,8 +142,8 @@
         }
     }
 
-    /// Returns the fraction, 0 to 1, of the allowance that the hub may use. It excludes the shares
-    /// of holders that have acknowledged no reply for [`quota::SHARE_RESERVE_DELAY`].
+    /// Returns the hub's share, 0 to 1, of the quotas. It excludes the shares of holders that have
+    /// acknowledged no reply for [`quota::SHARE_RESERVE_DELAY`].
     ///
     /// It is called for each request and computed again only when it can have changed, as this
     /// takes time linear in the number of holders.
@@ -180,7 +180,7 @@
     /// Returns the shares to commit if they should change. No holder is added if there are
     /// `max_holders` or more.
     pub fn propose(&mut self, max_holders: usize, now: Instant) -> Option<Shares> {
-        if now.since(self.changed_at) < MIN_CHANGE_INTERVAL || self.proposed.is_some() {
+        if now.since(self.changed_at) < MIN_SHARES_CHANGE_INTERVAL || self.proposed.is_some() {
             return None;
         }
         let holders = &self.shares.holders;
--- a/crates/core/src/log/output.rs
+++ b/crates/core/src/log/output.rs
@@ -35,8 +35,8 @@
     pub disk: Disk,
     /// How many times a replica had started on that disk.
     pub number: u64,
-    /// A random number generated at the start. It tells the disk from a copy of it that was started
-    /// the same number of times.
+    /// A random number generated at the start. It distinguishes the disk from a copy of it that
+    /// was started the same number of times.
     #[serde(rename = "mark")]
     pub nonce: u64,
 }
--- a/crates/core/src/pool/retry_budget.rs
+++ b/crates/core/src/pool/retry_budget.rs
@@ -7,7 +7,7 @@
 
 /// The share of the minimum number of retries that gateways divide among themselves. The rest is a reserve, because the
 /// hub grants some retries as well, and because a gateway that restarts no longer knows how many it used before.
-const GATEWAY_SHARE: f64 = 0.5;
+const GATEWAYS_MIN_RETRIES_FRACTION: f64 = 0.5;
 
 /// How many steps the window is divided into for counting.
 const STEPS_PER_WINDOW: u32 = 10;
@@ -76,7 +76,7 @@
         let recent = steps.filter(|step| now.since(step.began) < window);
         let first_attempts: u32 = recent.map(|step| step.first_attempts).sum();
         let retries: u32 = self.steps.iter().map(|step| step.retries).sum();
-        let min_retries = self.allowance.min_retries * GATEWAY_SHARE * share;
+        let min_retries = self.allowance.min_retries * GATEWAYS_MIN_RETRIES_FRACTION * share;
         let max_retries = min_retries + self.allowance.ratio * f64::from(first_attempts);
         f64::from(retries) + 1.0 <= max_retries
     }
--- a/crates/core/src/pool/server_latency.rs
+++ b/crates/core/src/pool/server_latency.rs
@@ -6,7 +6,7 @@
 ///
 /// About eight responses make up most of the mean: an engine that becomes five times slower shows
 /// within seconds, a single outlier does not.
-const WEIGHT: f64 = 0.2;
+const MEASUREMENT_WEIGHT: f64 = 0.2;
 
 /// An exponentially weighted moving mean of a server's latency.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -19,7 +19,7 @@
     pub fn add(&mut self, time: Duration) {
         let time = time.as_secs_f64();
         self.mean = Some(match self.mean {
-            Some(mean) => mean + (time - mean) * WEIGHT,
+            Some(mean) => mean + (time - mean) * MEASUREMENT_WEIGHT,
             None => time,
         });
     }
