--- a/crates/core/src/queue/dispatch.rs
+++ b/crates/core/src/queue/dispatch.rs
@@ -187,8 +187,7 @@
 pub(super) fn cannot_finish(expected: &TimeEstimate) -> Refusal {
     let first = expected.first_token.as_millis();
     let whole = expected.total.as_millis();
-    let why = format!(
-        "the request needs {first} ms to its first token and {whole} ms in all; that is too late"
-    );
+    let why =
+        format!("it needs {first} ms to its first token and {whole} ms in all; that is too late");
     Refusal::new(Code::CannotFinish, why)
 }
--- a/crates/core/src/state/document.rs
+++ b/crates/core/src/state/document.rs
@@ -88,7 +88,7 @@
             .map_err(|error| damaged(error.to_string()))?;
         if text.len() > MAX_DOCUMENT_BYTES {
             return Err(damaged(format!(
-                "the document has more than {MAX_DOCUMENT_BYTES} bytes"
+                "it has more than {MAX_DOCUMENT_BYTES} bytes"
             )));
         }
         Ok(text)
