--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -284,7 +284,7 @@
             return Err(Refusal::new(Code::Forbidden, message));
         };
         if known.right == Right::Read && right == Right::Write {
-            let message = format!("operator `{operator}` may read but not write");
+            let message = format!("`{operator}` may ask but not change");
             return Err(Refusal::new(Code::Forbidden, message));
         }
         Ok(())
