--- a/crates/core/src/pool/server_health.rs
+++ b/crates/core/src/pool/server_health.rs
@@ -13,7 +13,7 @@
 /// How long a server without room is avoided: about the time that a fast engine takes for a few requests.
 const FULL_AVOIDANCE: Duration = Duration::from_millis(120);
 
-/// How many breaks in a row a server may have to be still used if all servers are suspect.
+/// The most breaks in a row after which a server is still used if all servers are suspect.
 const MAX_BREAKS_AS_LAST_RESORT: u32 = 2;
 
 /// The weight of one response in the failure rate.
--- a/crates/core/src/quarantine/tracker.rs
+++ b/crates/core/src/quarantine/tracker.rs
@@ -32,8 +32,8 @@
 /// After how many trials the delay no longer grows.
 const MAX_TRIAL_DELAY_STEPS: usize = 3;
 
-/// How long a request with fewer crashes than put it into quarantine is remembered after the last one. Callers that
-/// retry by themselves do so within seconds.
+/// How long a request that is not quarantined is remembered after its last crash. Callers that retry by themselves do
+/// so within seconds.
 const SUSPECT_RETENTION: Duration = Duration::from_mins(10);
 
 /// How long a quarantined request is remembered after its last crash, trial or retry.
