--- a/crates/core/benches/places.rs
+++ b/crates/core/benches/places.rs
@@ -87,8 +87,8 @@
             service: "chat".parse().expect("a valid name"),
             rank: u8::try_from(self.request_count % 4).expect("fits").into(),
             waited: Duration::ZERO,
-            useful_for: Duration::from_secs(100_000),
-            wait_limit: Duration::from_secs(100_000),
+            send_within: Duration::from_secs(100_000),
+            max_wait: Duration::from_secs(100_000),
             time_left: Duration::from_secs(10),
             identity: Identity::default(),
             observations: Vec::new(),
@@ -97,7 +97,7 @@
             needs_retry: false,
             tried: Vec::new(),
             avoid: Vec::new(),
-            backing_off: Vec::new(),
+            backoffs: Vec::new(),
             allowed_halls: None,
         };
         let SlotDecision::Queued(ticket, replaced) = self.hub.request_slot(slot_request, self.now)
--- a/crates/core/src/gateway/dispatch.rs
+++ b/crates/core/src/gateway/dispatch.rs
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Applies changes of the limits that servers named.
+    /// Applies changes of the limits that servers announced.
     pub(super) fn set_limits(&mut self, changes: impl Iterator<Item = Change>, now: Instant) {
         for Change { key, limit } in changes {
             if let Some(pool) = self.pools.get_mut(&key.service) {
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Returns for how long requests have waited only because of limits that servers named, since
+    /// Returns for how long requests have waited only because of limits that servers announced, since
     /// the last call.
     pub(super) fn take_limit_wait(&mut self) -> Duration {
         self.pools.values_mut().map(Pool::take_limit_wait).sum()
@@ -227,13 +227,13 @@
             rule: request.rule,
             rank: request.rank,
             arrived: now - request.waited,
-            send_by: now + request.useful_for,
-            wait_until: now + request.wait_limit,
+            send_by: now + request.send_within,
+            wait_until: now + request.max_wait,
             prompt: request.prompt,
             hall: request.hall,
             tried: request.tried,
             avoid: request.avoid.into_iter().map(expiry).collect(),
-            backoffs: request.backing_off.into_iter().map(expiry).collect(),
+            backoffs: request.backoffs.into_iter().map(expiry).collect(),
             allowed_halls: request.allowed_halls,
         };
         let (number, displaced) = pool.enqueue(pool_request, now);
@@ -391,7 +391,7 @@
             id,
             server,
             permit,
-            rate_charged: assignment.charged_to_limit,
+            charged_to_limit: assignment.charged_to_limit,
             includes_retry: reservation.retry_service.is_some(),
         };
         Some((grant, reservation))
--- a/crates/core/src/gateway/grant.rs
+++ b/crates/core/src/gateway/grant.rs
@@ -35,10 +35,11 @@
     pub rank: Rank,
     /// The time since the request arrived.
     pub waited: Duration,
-    /// The time left for a response to begin early enough to be of use.
-    pub useful_for: Duration,
-    /// The time left to wait for a slot.
-    pub wait_limit: Duration,
+    /// The time within which the request must be sent for its response to begin within the latency
+    /// objective.
+    pub send_within: Duration,
+    /// How much longer the request may wait for a slot.
+    pub max_wait: Duration,
     /// The time left to complete the request.
     pub time_left: Duration,
     /// The identity of the request, for quarantine.
@@ -55,8 +56,8 @@
     pub tried: Vec<Arc<str>>,
     /// Further incarnations that the gateway avoids, and for how much longer.
     pub avoid: Vec<(Arc<str>, Duration)>,
-    /// The incarnations that told the gateway's host to back off, and for how much longer.
-    pub backing_off: Vec<(Arc<str>, Duration)>,
+    /// The incarnations that asked the gateway's host to back off, and for how much longer.
+    pub backoffs: Vec<(Arc<str>, Duration)>,
     /// The data halls to which the request is restricted, if it is.
     pub allowed_halls: Option<Arc<[Arc<str>]>>,
 }
@@ -70,8 +71,8 @@
     pub server: Server,
     /// The number of the permit of the request, if servers crashed under requests of its identity.
     pub permit: Option<u64>,
-    /// Whether the request was charged to a limit that the server named.
-    pub rate_charged: bool,
+    /// Whether the request was charged to a limit that the server announced.
+    pub charged_to_limit: bool,
     /// Whether the grant includes the retry that the gateway asked for.
     pub includes_retry: bool,
 }
@@ -140,6 +141,6 @@
     pub ended: Vec<AttemptEnd>,
     /// Its observations of requests under which servers crashed.
     pub observations: Vec<Observation>,
-    /// Its reports of limits that servers named.
+    /// Its reports of limits that servers announced.
     pub limit_reports: Reports,
 }
--- a/crates/core/src/gateway/hub.rs
+++ b/crates/core/src/gateway/hub.rs
@@ -93,8 +93,8 @@
 /// Number of standbys where not all gateways can be one.
 ///
 /// A share of a customer's tolerance must allow some requests: a two-hundredth of it is less than
-/// one request, so that nothing was admitted. With fewer standbys, the loss of one sets a larger
-/// fraction of all quotas aside for 10 s.
+/// one request, so that nothing was admitted. With fewer standbys, the loss of one keeps a larger
+/// fraction of all quotas reserved for 10 s.
 const MAX_STANDBYS: usize = 8;
 
 /// Largest number of gateways that are all standbys. This saves the call to a standby, and an
@@ -125,7 +125,7 @@
     distribution: Distribution,
     /// The number of the last reply.
     pub(super) last_reply: u64,
-    table_number: u64,
+    table_version: u64,
     pub(super) server_list: Arc<ServerList>,
     pub(super) subset_selector: SubsetSelector,
     /// The difference between the former server list and this one.
@@ -142,7 +142,7 @@
     pub(super) tracker: quarantine::Tracker,
     /// The committed list of requests in quarantine.
     pub(super) quarantine: quarantine::List,
-    /// The limits that servers named.
+    /// The limits that servers announced.
     pub(super) limits: limit::Table,
     /// The requests that quarantine has removed from the queue.
     pub(super) rejected: Vec<Ticket>,
@@ -166,7 +166,7 @@
             standbys: Standbys::default(),
             distribution: Distribution::new(tuning.link_bytes_per_s),
             last_reply: 0,
-            table_number: 0,
+            table_version: 0,
             server_list: Arc::default(),
             subset_selector: SubsetSelector::default(),
             server_list_delta: ServerListDelta::default(),
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Sets the random number by which the grants and replies of this hub are told from those of
+    /// Sets the random number that distinguishes the grants and replies of this hub from those of
     /// others.
     #[must_use]
     pub fn with_id(mut self, hub_id: u64) -> Self {
@@ -198,8 +198,8 @@
 
     /// Applies the quotas and cold rates of a newer table.
     pub fn apply_table(&mut self, table: &Table, now: Instant) {
-        if table.get_version() > self.table_number {
-            self.table_number = table.get_version();
+        if table.get_version() > self.table_version {
+            self.table_version = table.get_version();
             let policies = table.customers();
             let policies = policies.map(|policy| (&policy.name, policy.quota));
             self.limiter.set_quotas(policies, now);
--- a/crates/core/src/gateway/polls.rs
+++ b/crates/core/src/gateway/polls.rs
@@ -28,7 +28,7 @@
 
 /// Time that a poll waits for each gateway in larger deployments: all of them together send 2,000
 /// polls a second.
-const LONG_POLL_TIMEOUT_PER_GATEWAY: Duration = Duration::from_micros(500);
+const LARGE_DEPLOYMENT_POLL_TIMEOUT_PER_GATEWAY: Duration = Duration::from_micros(500);
 
 /// Size in bytes of the largest packed table that a reply includes. Larger ones are fetched in
 /// chunks.
@@ -42,8 +42,8 @@
         self.update_subset(&poll.host);
         let mut reply = self.small_reply(poll, publication, now);
         let is_small = publication.document.as_packed().len() <= MAX_INLINE_TABLE;
-        let is_inline = is_small && publication.number > poll.known_table;
-        reply.newest_table = publication.number;
+        let is_inline = is_small && publication.version > poll.known_table;
+        reply.newest_table = publication.version;
         reply.table = is_inline.then(|| publication.clone());
         let has_list_update = self.has_list_update(poll);
         reply.server_list = has_list_update.then(|| self.server_list_update(poll));
@@ -59,7 +59,7 @@
         publication: &Publication,
         now: Instant,
     ) -> Option<Instant> {
-        let is_new_table = publication.number > poll.known_table;
+        let is_new_table = publication.version > poll.known_table;
         let is_large = is_new_table
             || self.has_list_update(poll)
             || self.membership.needs_whole(poll.membership_version);
@@ -82,7 +82,7 @@
             retry_share,
             admission_share,
             standbys: self.standbys_update(poll),
-            newest_table: publication.number.min(poll.known_table),
+            newest_table: publication.version.min(poll.known_table),
             poll_timeout: self.poll_timeout(poll),
             server_list_version: self.server_list.version,
             policy: self.policy_update(poll),
@@ -95,8 +95,8 @@
     ///
     /// Load pattern: a thousand gateways, each with one request in two seconds. If each polls four
     /// times a second, the polls alone take half of a leader's core. Standbys, whose shares the hub
-    /// sets aside when they time out, and gateways beside a replica poll as often as in a small
-    /// deployment.
+    /// reserves when they acknowledge no reply, and gateways beside a replica poll as often as in a
+    /// small deployment.
     #[must_use]
     pub fn poll_timeout(&self, poll: &Poll) -> Duration {
         let gateway_count = self.gateway_count();
@@ -105,7 +105,7 @@
         if poll.wants_whole_list || self.standbys.hosts.contains(&poll.host) {
             return timeout;
         }
-        timeout.max(LONG_POLL_TIMEOUT_PER_GATEWAY * gateway_count)
+        timeout.max(LARGE_DEPLOYMENT_POLL_TIMEOUT_PER_GATEWAY * gateway_count)
     }
 
     /// Returns the update of a gateway's server list.
@@ -193,7 +193,8 @@
     /// Returns the time without a poll after which a gateway counts as timed out. It covers more
     /// than two waits between its polls.
     pub(super) fn gateway_timeout(&self) -> Duration {
-        let two_waits = LONG_POLL_TIMEOUT_PER_GATEWAY * self.gateway_count() * 2 + MIN_POLL_TIMEOUT;
+        let two_waits =
+            LARGE_DEPLOYMENT_POLL_TIMEOUT_PER_GATEWAY * self.gateway_count() * 2 + MIN_POLL_TIMEOUT;
         self.tuning.gateway_timeout.max(two_waits)
     }
 }
--- a/crates/core/src/gateway/sync.rs
+++ b/crates/core/src/gateway/sync.rs
@@ -67,7 +67,7 @@
     pub gateway: Gateway,
     /// Whether it accepts callers: it has a table and a server list, and is not stopping.
     pub ready: bool,
-    /// The number of the newest table that it has or is fetching.
+    /// The version of the newest table that it has or is fetching.
     pub known_table: u64,
     /// Whether it receives the whole server list rather than its subset.
     pub wants_whole_list: bool,
@@ -90,7 +90,7 @@
     pub quarantine_version: u64,
     /// Its observations of requests under which servers crashed.
     pub observations: Vec<quarantine::Observation>,
-    /// Its reports of limits that servers named.
+    /// Its reports of limits that servers announced.
     pub limit_reports: limit::Reports,
     /// The hub whose limits it applies, and their version.
     pub limits_version: (u64, u64),
@@ -108,9 +108,9 @@
     pub hub_id: u64,
     /// The update of the quarantine list.
     pub quarantine: Option<quarantine::Update>,
-    /// The update of the limits that servers named.
+    /// The update of the limits that servers announced.
     pub limits: Option<limit::Update>,
-    /// The number of the active table.
+    /// The version of the active table.
     pub newest_table: u64,
     /// The active table, if the gateway does not know it and it is small.
     pub table: Option<Publication>,
--- a/crates/core/src/limit/local.rs
+++ b/crates/core/src/limit/local.rs
@@ -25,7 +25,7 @@
 /// How long the server list may take to show a new incarnation of a server. A limit received meanwhile under the
 /// previous incarnation may come from the new one. Covers the lag of the platform's list and four fetches of a host
 /// without a hub.
-const MAX_LIST_DELAY: Duration = Duration::from_secs(5);
+const MAX_LIST_LAG: Duration = Duration::from_secs(5);
 
 /// For how many servers the incarnation seen last is remembered.
 const MAX_LATEST_INCARNATIONS: usize = 4_096;
@@ -83,7 +83,7 @@
         let known = self.get(&key);
         if let Announcement::Limited(rate) = announcement {
             self.announced
-                .retain(|_, (_, at)| now.since(*at) < MAX_LIST_DELAY);
+                .retain(|_, (_, at)| now.since(*at) < MAX_LIST_LAG);
             self.announced.insert(key.clone(), (*rate, now));
         }
         let rate = match announcement {
@@ -157,7 +157,7 @@
             .iter()
             .filter(|(other, _)| is_same_server(other));
         let recent = others.filter(|(other, (_, at))| {
-            other.incarnation != key.incarnation && now.since(*at) < MAX_LIST_DELAY
+            other.incarnation != key.incarnation && now.since(*at) < MAX_LIST_LAG
         });
         let rates = recent.map(|(_, (rate, _))| *rate);
         rates.reduce(|a, b| if a < b { a } else { b })
@@ -262,16 +262,16 @@
         self.last_number
     }
 
-    /// Applies a reply of the hub `hub` that acknowledges all reports up to number `acknowledged` and may contain an
+    /// Applies a reply of the hub `hub_id` that acknowledges all reports up to number `acknowledged` and may contain an
     /// update of its table; returns the limits that may have changed here.
     pub fn apply_reply(
         &mut self,
-        hub: u64,
+        hub_id: u64,
         acknowledged: u64,
         update: Option<&Update>,
         now: Instant,
     ) -> Vec<Change> {
-        let is_other = hub != self.table_version.0;
+        let is_other = hub_id != self.table_version.0;
         let previous = if is_other {
             std::mem::take(&mut self.table)
         } else {
@@ -280,7 +280,7 @@
         let mut changed = self.acknowledge(acknowledged);
         if is_other {
             self.report_to_new_hub(previous, now);
-            self.table_version = (hub, 0);
+            self.table_version = (hub_id, 0);
         }
         if let Some(update) = update {
             changed.extend(self.apply_update(update));
--- a/crates/core/src/pool/choose.rs
+++ b/crates/core/src/pool/choose.rs
@@ -13,11 +13,11 @@
 /// servers with nearly equal scores.
 const TIE_BREAK_WEIGHT: f64 = 0.3;
 
-/// The lower bound of a server's latency, relative to the mean: a few unusually fast answers must not draw every
+/// The lower bound of a server's latency, relative to the mean: a few unusually fast responses must not draw every
 /// request to one server.
 const MIN_RELATIVE_LATENCY: f64 = 0.2;
 
-/// The upper bound of a server's latency, relative to the mean: a few unusually slow answers must not keep all
+/// The upper bound of a server's latency, relative to the mean: a few unusually slow responses must not keep all
 /// requests away from a server.
 const MAX_RELATIVE_LATENCY: f64 = 5.0;
 
@@ -118,8 +118,8 @@
             self.tuning.remote_hall_cost
         };
         let failure_factor = 1.0 + self.tuning.failure_penalty * state.health.failure_rate();
-        let unread = request.prompt.as_f64() + state.unread_prompt().as_f64();
-        let own_cost = self.tuning.request_cost + self.tuning.prompt_cost * unread / 1_000.0;
+        let prefill = request.prompt.as_f64() + state.prefill_tokens().as_f64();
+        let own_cost = self.tuning.request_cost + self.tuning.prompt_cost * prefill / 1_000.0;
         (f64::from(state.in_flight()) + own_cost + hall_cost)
             * latency.clamp(MIN_RELATIVE_LATENCY, MAX_RELATIVE_LATENCY)
             * failure_factor
--- a/crates/core/src/state/machine.rs
+++ b/crates/core/src/state/machine.rs
@@ -76,7 +76,7 @@
     publication: Publication,
     #[serde(default)]
     #[serde(rename = "parts")]
-    shares: Shares,
+    retry_shares: Shares,
     #[serde(default)]
     #[serde(rename = "deputies")]
     standbys: Shares,
@@ -110,8 +110,8 @@
                 self.apply_publication(publication);
                 Ok(self.snapshot.revision)
             }
-            Record::Shares(shares) => {
-                self.shares = shares.clone();
+            Record::RetryShares(shares) => {
+                self.retry_shares = shares.clone();
                 Ok(self.snapshot.revision)
             }
             Record::Standbys(standbys) => {
@@ -135,9 +135,9 @@
         }
     }
 
-    /// Replaces the routing table; ignores one whose number is not higher than the current one's.
+    /// Replaces the routing table; ignores one whose version is not higher than the current one's.
     fn apply_publication(&mut self, publication: &Publication) {
-        if publication.number > self.publication.number {
+        if publication.version > self.publication.version {
             self.publication = publication.clone();
         }
     }
@@ -190,7 +190,7 @@
         &self.snapshot
     }
 
-    /// The routing table in effect; its number is 0 if none was published.
+    /// The routing table in effect; its version is 0 if none was published.
     #[must_use]
     pub fn get_publication(&self) -> &Publication {
         &self.publication
@@ -198,8 +198,8 @@
 
     /// The gateways that hold a share of the retries, which they may use without the hub.
     #[must_use]
-    pub fn get_shares(&self) -> &Shares {
-        &self.shares
+    pub fn get_retry_shares(&self) -> &Shares {
+        &self.retry_shares
     }
 
     /// The standby gateways: those that hold a share of what may be admitted without the hub.
@@ -284,7 +284,7 @@
             return Err(Refusal::new(Code::Forbidden, message));
         };
         if known.right == Right::Read && right == Right::Write {
-            let message = format!("operator `{operator}` may read but not write");
+            let message = format!("`{operator}` may ask but not change");
             return Err(Refusal::new(Code::Forbidden, message));
         }
         Ok(())
--- a/crates/core/src/state/record.rs
+++ b/crates/core/src/state/record.rs
@@ -23,11 +23,12 @@
     pub line: String,
 }
 
-/// A published routing table: one complete document under an increasing number.
+/// A published routing table: one complete document under an increasing version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Publication {
-    /// Its number; the table with the highest one is in effect.
-    pub number: u64,
+    /// Its version; the table with the highest one is in effect.
+    #[serde(rename = "number")]
+    pub version: u64,
     /// The document as it was sent, byte for byte.
     pub document: Document,
 }
@@ -43,7 +44,7 @@
     Publication(Publication),
     /// The gateways that hold a share of the retries, which they may use without the hub.
     #[serde(rename = "Parts")]
-    Shares(Shares),
+    RetryShares(Shares),
     /// The standby gateways: those that hold a share of what may be admitted without the hub.
     #[serde(rename = "Deputies")]
     Standbys(Shares),
--- a/crates/core/tests/support/backoff.rs
+++ b/crates/core/tests/support/backoff.rs
@@ -652,7 +652,7 @@
 fn slot_request(gateway_state: &GatewayState, now: Instant) -> SlotRequest {
     SlotRequest {
         avoid: gateway_state.pool.avoided(&[], now).collect(),
-        backing_off: gateway_state.pool.get_notices().backing_off(now).collect(),
+        backoffs: gateway_state.pool.get_notices().backing_off(now).collect(),
         allowed_halls: None,
         ..messages::slot_request(&gateway_state.host)
     }
--- a/crates/core/tests/support/limits.rs
+++ b/crates/core/tests/support/limits.rs
@@ -619,7 +619,7 @@
                 self.send(index, server, grant, granted_at)?
             }
             Stage::Sent(server, grant, granted_at, sent) => {
-                let is_charged = grant.as_ref().is_some_and(|grant| grant.rate_charged);
+                let is_charged = grant.as_ref().is_some_and(|grant| grant.charged_to_limit);
                 let grant_id = grant.map_or(GrantId::default(), |grant| grant.id);
                 self.sent_uncharged +=
                     u32::from(!is_charged && self.had_seen_limit(index, &server, sent));
@@ -676,7 +676,7 @@
         let checks_limit = self.flaw != Some(Flaw::NoCheckAtGrant);
         let server = Arc::new(grant.server.clone());
         let gateway_state = &mut self.gateways[index];
-        let is_blocked = !grant.rate_charged && gateway_state.limits.blocks(&server, grant.id);
+        let is_blocked = !grant.charged_to_limit && gateway_state.limits.blocks(&server, grant.id);
         let is_blocked = is_blocked && checks_limit;
         if is_late || is_blocked || !gateway_state.pool.accept_grant(&server, Tokens(0), now) {
             self.refused += 1;
@@ -694,7 +694,7 @@
         granted_at: Instant,
     ) -> Option<(Stage, Instant)> {
         let due_at = self.now + self.millis(1, 4);
-        let is_charged = grant.as_ref().is_some_and(|grant| grant.rate_charged);
+        let is_charged = grant.as_ref().is_some_and(|grant| grant.charged_to_limit);
         let grant_id = grant.as_ref().map_or(GrantId::default(), |grant| grant.id);
         let is_blocked = !is_charged && self.gateways[index].limits.blocks(&server, grant_id);
         let checks_limit = !matches!(
--- a/crates/core/tests/support/messages.rs
+++ b/crates/core/tests/support/messages.rs
@@ -22,8 +22,8 @@
         service: "chat".parse().expect("a name"),
         rank: Rank::default(),
         waited: Duration::ZERO,
-        useful_for: Duration::from_secs(1),
-        wait_limit: Duration::from_secs(1),
+        send_within: Duration::from_secs(1),
+        max_wait: Duration::from_secs(1),
         time_left: Duration::from_secs(5),
         identity: Identity::default(),
         observations: Vec::new(),
@@ -32,7 +32,7 @@
         needs_retry: false,
         tried: Vec::new(),
         avoid: Vec::new(),
-        backing_off: Vec::new(),
+        backoffs: Vec::new(),
         allowed_halls: None,
     }
 }
--- a/crates/curlewlift/src/control/hub.rs
+++ b/crates/curlewlift/src/control/hub.rs
@@ -61,19 +61,19 @@
         let (Some(hub), Some(gateways)) = (&mut self.hub, &self.gateways) else {
             return;
         };
-        if publication.number == 0 {
+        if publication.version == 0 {
             return;
         }
         match (gateways.decode)(publication) {
             Ok(table) => hub.apply_table(&table, self.clock.now()),
-            Err(why) => log::error!("cannot decode routing table {}: {why}", publication.number),
+            Err(why) => log::error!("cannot decode routing table {}: {why}", publication.version),
         }
         self.updates.notify_waiters();
     }
 
     /// Whether there is an update that the polling gateway does not have yet.
     fn has_update(&mut self, poll: &Poll) -> bool {
-        let is_newer = self.machine.get_publication().number > poll.known_table;
+        let is_newer = self.machine.get_publication().version > poll.known_table;
         let hub = self.hub.as_mut();
         is_newer || hub.is_some_and(|hub| hub.has_update(poll))
     }
@@ -224,12 +224,12 @@
 
 /// Commits a routing table; returns once it is committed, or at once if the active table is at least as new.
 async fn publish(state: &Shared, publication: Publication) -> Result<HubReply, Refusal> {
-    let number = publication.number;
+    let number = publication.version;
     let bytes = publication.document.as_packed().len();
     let committed = {
         let mut state = state.borrow_mut();
         // A leader that a majority confirms has applied everything that is committed.
-        if number <= state.machine.get_publication().number {
+        if number <= state.machine.get_publication().version {
             return Ok(HubReply::Published);
         }
         state.ensure_enough_replicas()?;
--- a/crates/curlewlift/src/control/replica.rs
+++ b/crates/curlewlift/src/control/replica.rs
@@ -253,7 +253,7 @@
     fn apply_record(&mut self, data: &[u8], term: id::Term) -> CommandResult {
         let record = Record::decode(data).map_err(|why| Refusal::new(Code::Internal, why))?;
         let before = Arc::clone(self.machine.get_snapshot());
-        let had_table = self.machine.get_publication().number > 0;
+        let had_table = self.machine.get_publication().version > 0;
         let plans = self.machine.get_rollouts().clone();
         let result = self.machine.apply(&record);
         match record {
@@ -264,7 +264,7 @@
                     self.mark_first_table();
                 }
             }
-            Record::Shares(_) | Record::Standbys(_) => self.apply_shares(),
+            Record::RetryShares(_) | Record::Standbys(_) => self.apply_shares(),
             Record::Rollout(step) => self.apply_rollout_step(&step, &plans, term),
             Record::Quarantine(steps) => self.apply_quarantine_steps(&steps),
             Record::Evacuation(order) => self.apply_evacuation_order(&order),
--- a/crates/curlewlift/src/control/shares.rs
+++ b/crates/curlewlift/src/control/shares.rs
@@ -13,7 +13,7 @@
         let Some(hub) = &mut self.hub else {
             return;
         };
-        let shares = self.machine.get_shares();
+        let shares = self.machine.get_retry_shares();
         hub.apply_retry_shares(shares, now);
         let standbys = self.machine.get_standbys();
         hub.apply_standbys(standbys, now);
@@ -30,7 +30,7 @@
         let Some(hub) = &mut self.hub else {
             return;
         };
-        let shares = hub.propose_retry_shares(now).map(Record::Shares);
+        let shares = hub.propose_retry_shares(now).map(Record::RetryShares);
         let standbys = hub.propose_standbys(now).map(Record::Standbys);
         for record in shares.into_iter().chain(standbys) {
             // A proposal is lost only with this leader, and then the hub that waits for it is gone too.
--- a/crates/curlewlift/src/control/slots.rs
+++ b/crates/curlewlift/src/control/slots.rs
@@ -58,7 +58,7 @@
     state: &Shared,
     request: SlotRequest,
 ) -> Result<HubReply, Refusal> {
-    let until = Instant::now() + request.wait_limit;
+    let until = Instant::now() + request.max_wait;
     let list_deadline = until.min(Instant::now() + FIRST_LIST_TIMEOUT);
     let _ = tokio::time::timeout_at(list_deadline, wait_for_server_list(state)).await;
     let (queued, grant) = match enqueue(state, request)? {
--- a/crates/curlewlift/src/gateway/hub_slots.rs
+++ b/crates/curlewlift/src/gateway/hub_slots.rs
@@ -165,8 +165,8 @@
             rule: in_rollout.then(|| Arc::clone(context.rule)),
             rank: request.rank,
             waited: now.since(request.arrived),
-            useful_for: request.send_by.since(now),
-            wait_limit,
+            send_within: request.send_by.since(now),
+            max_wait: wait_limit,
             time_left: context.time_left,
             identity: context.identity.clone(),
             observations: self
@@ -179,8 +179,7 @@
             needs_retry: context.needs_retry,
             tried: request.tried.clone(),
             avoid: avoid.unwrap_or_default(),
-            backing_off: backing_off.unwrap_or_default(),
-            allowed_halls: request.allowed_halls.clone(),
+backoffs: backing_off.unwrap_or_default(), allowed_halls: request.allowed_halls.clone(),
         }
     }
 
@@ -204,8 +203,8 @@
             .limits
             .borrow_mut()
             .observe_servers(std::iter::once(&*server), now);
-        self.apply_limits(new_limits.into_iter());
-        let exceeds_limit = !grant.rate_charged && self.limits.borrow().blocks(&server, grant.id);
+self.apply_limits(new_limits.into_iter());
+let exceeds_limit = !grant.charged_to_limit && self.limits.borrow().blocks(&server, grant.id);
         let is_evacuated = self.policy.borrow().is_evacuated(&server.hall);
         let is_unavailable = exceeds_limit || is_evacuated;
         let accept = |service: &mut Service| {
--- a/crates/curlewlift/src/gateway/slot.rs
+++ b/crates/curlewlift/src/gateway/slot.rs
@@ -233,7 +233,10 @@
         if self.node.policy.borrow().is_evacuated(&self.server.hall) {
             return true;
         }
-        let is_rate_charged = self.grant.as_ref().is_some_and(|grant| grant.rate_charged);
+        let is_rate_charged = self
+            .grant
+            .as_ref()
+            .is_some_and(|grant| grant.charged_to_limit);
         let limits = self.node.limits.borrow();
         if !is_rate_charged && limits.blocks(&self.server, self.grant_id()) {
             return true;
--- a/crates/curlewlift/src/gateway/tables.rs
+++ b/crates/curlewlift/src/gateway/tables.rs
@@ -38,7 +38,7 @@
                 Progress::Chunk => {}
                 Progress::None => tokio::time::sleep(RETRY_DELAY).await,
                 Progress::Complete(publication) => {
-                    last_tried = publication.number;
+                    last_tried = publication.version;
                     apply(&node, &environment, &publication);
                 }
             }
@@ -50,7 +50,7 @@
 pub(super) fn apply(node: &Node, environment: &Environment, publication: &Publication) {
     match (environment.decode)(publication) {
         Ok(table) => node.apply_table(table),
-        Err(why) => log::error!("table {} cannot be decoded: {why}", publication.number),
+        Err(why) => log::error!("table {} cannot be decoded: {why}", publication.version),
     }
 }
 
@@ -77,8 +77,8 @@
         let Some(chunk) = self.request_chunk(node).await else {
             return Progress::None;
         };
-        if chunk.number != self.number {
-            self.number = chunk.number;
+        if chunk.table_version != self.number {
+            self.number = chunk.table_version;
             self.text.clear();
         }
         if chunk.offset != self.text.len() {
@@ -93,7 +93,7 @@
         let _ = self.request_chunk(node).await;
         let text = std::mem::take(&mut self.text);
         Progress::Complete(Publication {
-            number: self.number,
+            version: self.number,
             document: Document::from_packed(&text),
         })
     }
--- a/crates/curlewlift/src/platform/operator.rs
+++ b/crates/curlewlift/src/platform/operator.rs
@@ -66,7 +66,7 @@
         }
     };
     let publication = Publication {
-        number,
+        version: number,
         document: Document::pack(&text),
     };
     let published = gateway::publish(node, environment, publication).await;
@@ -84,7 +84,7 @@
 
 async fn get(node: &Node, environment: &Environment) -> Answer {
     match gateway::read(node, environment).await {
-        Ok(publication) if publication.number > 0 => match publication.document.unpack() {
+        Ok(publication) if publication.version > 0 => match publication.document.unpack() {
             Ok(text) => gateway::json(text),
             Err(refusal) => http::refused(&unclear_outcome(refusal)),
         },
--- a/crates/lab/src/rollout/world.rs
+++ b/crates/lab/src/rollout/world.rs
@@ -390,8 +390,8 @@
             rule: Some(RULES[rule].name.into()),
             rank: 0.into(),
             waited: Duration::ZERO,
-            useful_for: Duration::from_millis(200),
-            wait_limit: Duration::from_millis(200),
+            send_within: Duration::from_millis(200),
+            max_wait: Duration::from_millis(200),
             time_left: Duration::from_secs(10),
             identity: Identity::default(),
             observations: Vec::new(),
@@ -400,7 +400,7 @@
             needs_retry: false,
             tried: Vec::new(),
             avoid: Vec::new(),
-            backing_off: Vec::new(),
+            backoffs: Vec::new(),
             allowed_halls: None,
         };
         let Some(hub) = &mut self.hub else { return };
