--- a/crates/curlewlift/src/gateway/hub_slots.rs
+++ b/crates/curlewlift/src/gateway/hub_slots.rs
@@ -179,7 +179,8 @@
             needs_retry: context.needs_retry,
             tried: request.tried.clone(),
             avoid: avoid.unwrap_or_default(),
-backoffs: backing_off.unwrap_or_default(), allowed_halls: request.allowed_halls.clone(),
+            backoffs: backing_off.unwrap_or_default(),
+            allowed_halls: request.allowed_halls.clone(),
         }
     }
 
@@ -203,8 +204,9 @@
             .limits
             .borrow_mut()
             .observe_servers(std::iter::once(&*server), now);
-self.apply_limits(new_limits.into_iter());
-let exceeds_limit = !grant.charged_to_limit && self.limits.borrow().blocks(&server, grant.id);
+        self.apply_limits(new_limits.into_iter());
+        let exceeds_limit =
+            !grant.charged_to_limit && self.limits.borrow().blocks(&server, grant.id);
         let is_evacuated = self.policy.borrow().is_evacuated(&server.hall);
         let is_unavailable = exceeds_limit || is_evacuated;
         let accept = |service: &mut Service| {
