--- a/crates/core/tests/platform_list.rs
+++ b/crates/core/tests/platform_list.rs
@@ -1,5 +1,5 @@
 //! Copies of the platform's list may be late, repeated or incomplete. Neither may drain a live server or undrain one
-//! that is leaving, and servers must not flap (row M2).
+//! that is leaving, and servers must not flap.
 
 use curlewlift_core::config::Snapshot;
 use curlewlift_core::lang;
