--- a/crates/core/src/pool/server_health.rs
+++ b/crates/core/src/pool/server_health.rs
@@ -64,8 +64,7 @@
 
     /// Records that it is assigned a request. After a backoff it gets requests one by one until it has answered one.
     /// When its room was filled at once, five to eight of the queued requests reached it within 0.1 s of the end of its
-    /// backoff and were rejected again; now it is two or three (model of 12 gateways and nine servers, medians and
-    /// maxima of 20 seeds).
+    /// backoff and were rejected again; one by one it is two or three.
     pub fn record_assignment(&mut self, now: Instant) {
         if self.is_recovering {
             let next = now + FULL_AVOIDANCE;
--- a/crates/core/src/rollout/trial.rs
+++ b/crates/core/src/rollout/trial.rs
@@ -19,7 +19,7 @@
 /// requests that run on the former version have the rest to finish.
 ///
 /// At 0.6 a tenth of the versions that turn slow after a third of the duration passed the trial, at
-/// 0.7 none did (example `rollouts`, 40 seeds, no other faults).
+/// 0.7 none did.
 const MIN_TRIAL_FRACTION: f64 = 0.7;
 
 /// The fraction of a roll-out's duration after which the target needs only as many slots as
--- a/crates/curlewlift/src/gateway/slot_wait.rs
+++ b/crates/curlewlift/src/gateway/slot_wait.rs
@@ -26,7 +26,7 @@
 
 /// Such a request waits for the time in which it can still be sent, divided by this: when it is rejected
 /// then, its caller may still get a response in time elsewhere. With a wait of 1 s, one request in thirty
-/// at hosts that were cut off was late (12 hosts over three days, four in ten cut off).
+/// at hosts that were cut off was late.
 const HUB_WAIT_DIVISOR: u32 = 4;
 
 /// A request's entry in the local queue; removed when dropped.
