--- a/crates/core/src/rollout/judge.rs
+++ b/crates/core/src/rollout/judge.rs
@@ -20,7 +20,7 @@
 /// By how much the rate of bad responses of a faulty version is assumed to exceed the typical rate.
 ///
 /// A version that fails four in ten requests where one in a hundred is typical is rejected after
-/// five bad responses on average, ten at most (example `verdicts`).
+/// five bad responses on average, ten at most.
 const BAD_RATE_INCREASE: f64 = 0.3;
 
 /// The maximum rate of bad responses that is assumed of a faulty version.
@@ -29,7 +29,7 @@
 /// The log odds at which a version is rejected.
 ///
 /// None of 2,000 good versions reached them in 180 responses, with 1 or 12 in 100 requests failing
-/// for other reasons (example `verdicts`).
+/// for other reasons.
 const REJECT_LOG_ODDS: f64 = 12.0;
 
 /// The fraction of [`REJECT_LOG_ODDS`] that the responses of one server can contribute: a server
